--- a/crates/woodladder-core/src/configuration/roll_record.rs
+++ b/crates/woodladder-core/src/configuration/roll_record.rs
@@ -25,13 +25,13 @@
     /// Version of the bundle that is rolled.
     pub bundle_version: u64,
     /// Digest of the snapshot that is put in force.
-    pub snapshot: Digest,
+    pub snapshot_digest: Digest,
     /// Length of the snapshot's encoding in bytes.
     pub snapshot_length: u32,
     /// Name of the operator, for messages to others.
     pub operator: String,
     /// When it was rolled, in seconds since the Unix epoch.
-    pub rolled_at: u64,
+    pub rolled_at_unix_seconds: u64,
 }
 
 /// A signed roll statement.
--- a/crates/woodladder-core/src/control/control_message.rs
+++ b/crates/woodladder-core/src/control/control_message.rs
@@ -27,11 +27,11 @@
 /// Format version of frames that this build writes and reads.
 pub const FRAME_VERSION: u8 = 1;
 /// Longest datagram in bytes; fits any path that carries QUIC.
-pub const MAXIMUM_DATAGRAM: usize = 1200;
+pub const MAXIMUM_DATAGRAM_LENGTH: usize = 1200;
 /// Bytes before the payload.
 pub const FRAME_PREFIX: usize = TAG_START + TAG_LENGTH;
 /// Longest payload in bytes.
-pub const MAXIMUM_PAYLOAD: usize = MAXIMUM_DATAGRAM - FRAME_PREFIX;
+pub const MAXIMUM_PAYLOAD: usize = MAXIMUM_DATAGRAM_LENGTH - FRAME_PREFIX;
 /// Bytes of a copy that one message carries.
 pub const CHUNK_LENGTH: usize = 1024;
 /// Chunks that one request may ask for.
@@ -214,7 +214,7 @@
 pub enum FrameError {
     /// The bytes end inside the frame.
     Truncated,
-    /// The frame is longer than [`MAXIMUM_DATAGRAM`].
+    /// The frame is longer than [`MAXIMUM_DATAGRAM_LENGTH`].
     Oversized,
     /// The format version is not known.
     UnknownVersion,
@@ -233,7 +233,7 @@
         let mut frame = vec![0; FRAME_PREFIX];
         self.serialize(&mut frame)
             .map_err(|_| FrameError::Malformed)?;
-        if frame.len() > MAXIMUM_DATAGRAM {
+        if frame.len() > MAXIMUM_DATAGRAM_LENGTH {
             return Err(FrameError::Oversized);
         }
         let length = u16::try_from(frame.len() - FRAME_PREFIX).unwrap_or(u16::MAX);
@@ -307,11 +307,11 @@
 }
 
 fn encoded_length<T: BorshSerialize>(value: &T) -> usize {
-    borsh::object_length(value).unwrap_or(MAXIMUM_DATAGRAM)
+    borsh::object_length(value).unwrap_or(MAXIMUM_DATAGRAM_LENGTH)
 }
 
 fn authenticated_payload<'a>(key: &TagKey, bytes: &'a [u8]) -> Result<&'a [u8], FrameError> {
-    if bytes.len() > MAXIMUM_DATAGRAM {
+    if bytes.len() > MAXIMUM_DATAGRAM_LENGTH {
         return Err(FrameError::Oversized);
     }
     let prefix = bytes.get(..FRAME_PREFIX).ok_or(FrameError::Truncated)?;
--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -57,21 +57,21 @@
     /// Where it is.
     pub locality: Locality,
     /// Address that it takes control messages at.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
 }
 
 /// One entry of the platform's machine list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ListedMachine {
     /// Address that its node takes control messages at.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// What the list says of it.
-    pub standing: ListedStanding,
+    pub state: ListedState,
 }
 
 /// What the machine list says of a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ListedStanding {
+pub enum ListedState {
     /// It runs.
     Live,
     /// It is going away.
@@ -103,7 +103,7 @@
     /// When it was last heard from.
     pub heard: Option<Instant>,
     /// What the machine list says of it.
-    pub listed: Option<ListedStanding>,
+    pub listed: Option<ListedState>,
     /// Whether it says that it is leaving.
     pub leaving: bool,
     seed: bool,
@@ -151,7 +151,7 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.leaving || self.listed == Some(ListedStanding::Leaving)
+        self.leaving || self.listed == Some(ListedState::Leaving)
     }
 
     fn is_in_region(&self, region: u32) -> bool {
@@ -193,7 +193,7 @@
 
     /// Takes note of a message from a node itself.
     pub fn heard_from(&mut self, peer: Peer, leaving: bool, now: Instant) {
-        if let Some(member) = self.entry(peer.control) {
+        if let Some(member) = self.entry(peer.control_address) {
             member.peer = Some(peer);
             member.heard = Some(now);
             member.leaving = leaving;
@@ -203,22 +203,25 @@
 
     /// Takes note of a node that another node named.
     pub fn named_by_other(&mut self, peer: Peer) {
-        if let Some(member) = self.entry(peer.control) {
+        if let Some(member) = self.entry(peer.control_address) {
             member.peer.get_or_insert(peer);
         }
     }
 
     /// Takes over a new reading of the machine list.
     pub fn replace_list(&mut self, machines: &[ListedMachine]) {
-        let named: FxHashSet<SocketAddr> = machines.iter().map(|machine| machine.control).collect();
+        let named: FxHashSet<SocketAddr> = machines
+            .iter()
+            .map(|machine| machine.control_address)
+            .collect();
         for member in &mut self.members {
             if !named.contains(&member.control) {
                 member.listed = None;
             }
         }
         for machine in machines {
-            if let Some(member) = self.entry(machine.control) {
-                member.listed = Some(machine.standing);
+            if let Some(member) = self.entry(machine.control_address) {
+                member.listed = Some(machine.state);
             }
         }
         self.forget_silent();
--- a/crates/woodladder-core/src/control/replica/adoption.rs
+++ b/crates/woodladder-core/src/control/replica/adoption.rs
@@ -7,7 +7,7 @@
 use crate::configuration::roll_record::RollRecord;
 use crate::configuration::snapshot::Snapshot;
 use crate::configuration::snapshot_delta::{DeltaError, SnapshotDelta};
-use crate::control::replica::Installed;
+use crate::control::replica::InstalledRoll;
 use crate::digest::Digest;
 use crate::signature::{SignatureError, TrustedKeys};
 
@@ -50,8 +50,8 @@
     record: &RollRecord,
     copy: &[u8],
     trusted: &TrustedKeys,
-) -> Result<Arc<Installed>, Rejection> {
-    if Digest::of(copy) != record.statement.snapshot {
+) -> Result<Arc<InstalledRoll>, Rejection> {
+    if Digest::of(copy) != record.statement.snapshot_digest {
         return Err(Rejection::CopyDigest);
     }
     let snapshot = Snapshot::try_from_slice(copy).map_err(|_| Rejection::Malformed)?;
@@ -62,14 +62,14 @@
 pub(super) fn adopt_delta(
     record: &RollRecord,
     delta: &SnapshotDelta,
-    installed: &Installed,
+    installed: &InstalledRoll,
     trusted: &TrustedKeys,
-) -> Result<Arc<Installed>, Rejection> {
+) -> Result<Arc<InstalledRoll>, Rejection> {
     let snapshot = delta
         .apply(
             &installed.snapshot,
             installed.digest(),
-            record.statement.snapshot,
+            record.statement.snapshot_digest,
         )
         .map_err(Rejection::Delta)?;
     adopt_snapshot(record, snapshot, trusted)
@@ -79,14 +79,14 @@
     record: &RollRecord,
     snapshot: Snapshot,
     trusted: &TrustedKeys,
-) -> Result<Arc<Installed>, Rejection> {
+) -> Result<Arc<InstalledRoll>, Rejection> {
     snapshot
         .verify_sign_off(trusted)
         .map_err(Rejection::SignOff)?;
     if snapshot.bundle.version != record.statement.bundle_version {
         return Err(Rejection::BundleVersion);
     }
-    Ok(Installed::new(record.clone(), snapshot))
+    Ok(InstalledRoll::new(record.clone(), snapshot))
 }
 
 impl Rejection {
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -16,9 +16,9 @@
 use crate::control::replica::pace::Pace;
 use crate::control::replica::probing::Probing;
 use crate::control::replica::store_reader::jittered;
-use crate::control::replica::{Action, Replica, ReplicaSettings};
+use crate::control::replica::{Replica, ReplicaAction, ReplicaSettings};
 use crate::identifier::TargetId;
-use crate::packets::directory::Standing;
+use crate::packets::routing_table::TargetStatus;
 
 /// Times that a node passes on what it learned from others.
 const RELAY_SENDS: u8 = 2;
@@ -53,8 +53,8 @@
 
 impl AvailabilityState {
     pub(super) fn new(settings: &ReplicaSettings, now: Instant) -> Self {
-        let own = settings.served;
-        let own = own.map(|served| OwnAvailability::new(served, settings.control));
+        let own = settings.served_target;
+        let own = own.map(|served| OwnAvailability::new(served, settings.control_address));
         let mut rumors = Rumors::default();
         if let Some(own) = &own {
             rumors.add(own.report().target, ANNOUNCEMENT_SENDS, now);
@@ -108,7 +108,7 @@
 impl Replica {
     /// Targets that are known to take no new flows, the own one included.
     #[must_use]
-    pub fn marked_targets(&self) -> usize {
+    pub fn unavailable_target_count(&self) -> usize {
         self.availability.marked().count()
     }
 
@@ -145,7 +145,7 @@
     /// Takes what a digest message says of its sender's target and marks.
     pub(super) fn compare_marks(&mut self, from: SocketAddr, digest: &DigestMessage, now: Instant) {
         let own = digest.own;
-        let own = own.filter(|own| own.control == digest.sender.control);
+        let own = own.filter(|own| own.control == digest.sender.control_address);
         let mut differing: Vec<Report> = own
             .and_then(|own| self.take_report(own, now))
             .into_iter()
@@ -166,7 +166,7 @@
             availability: Availability::Unreachable,
             ..*known
         };
-        self.counters.accusations += 1;
+        self.counters.agents_declared_unreachable += 1;
         self.learn(report, ANNOUNCEMENT_SENDS, now);
     }
 
@@ -180,7 +180,7 @@
         let marked: FxHashSet<TargetId> = table.marked().collect();
         let full = table.is_full();
         table.retain(|target| match directory.target(target) {
-            Some(entry) => entry.standing != Standing::Retired,
+            Some(entry) => entry.status != TargetStatus::Retired,
             None => !full && !marked.contains(&target),
         });
     }
@@ -203,9 +203,10 @@
             return;
         };
         let marked: FxHashSet<TargetId> = self.availability.marked().collect();
-        let own = self.settings.served.map(|served| served.target);
+        let own = self.settings.served_target.map(|served| served.target);
         let directory = installed.directory.with_unavailable(&marked, own);
-        self.actions.push(Action::Refresh(Arc::new(directory)));
+        self.actions
+            .push(ReplicaAction::ReplaceDirectory(Arc::new(directory)));
     }
 
     /// Takes a report; returns a newer one when there is one.
@@ -231,7 +232,7 @@
             Hearing::Known | Hearing::Replaced => None,
             Hearing::Outdated => Some(own),
             Hearing::Refuted => {
-                self.counters.refutations += 1;
+                self.counters.own_reports_refuted += 1;
                 self.availability
                     .rumors
                     .add(own.target, ANNOUNCEMENT_SENDS, now);
@@ -246,7 +247,7 @@
             return true;
         };
         let entry = installed.directory.target(target);
-        entry.is_some_and(|entry| entry.standing != Standing::Retired)
+        entry.is_some_and(|entry| entry.status != TargetStatus::Retired)
     }
 
     fn learn(&mut self, report: Report, sends: u8, now: Instant) -> Learned {
--- a/crates/woodladder-core/src/control/replica/catch_up.rs
+++ b/crates/woodladder-core/src/control/replica/catch_up.rs
@@ -16,7 +16,7 @@
 use crate::control::replica::history::History;
 use crate::control::replica::install::Way;
 use crate::control::replica::joining::JoinProgress;
-use crate::control::replica::{Installed, Replica};
+use crate::control::replica::{InstalledRoll, Replica};
 
 impl Replica {
     /// Takes an offer from a node.
@@ -197,7 +197,7 @@
         let Some(installed) = &self.installed else {
             return false;
         };
-        if installed.digest() != record.statement.snapshot {
+        if installed.digest() != record.statement.snapshot_digest {
             return false;
         }
         let delta = SnapshotDelta::between(&installed.snapshot, &installed.snapshot);
@@ -286,7 +286,7 @@
 }
 
 fn encoded_content(
-    installed: &Installed,
+    installed: &InstalledRoll,
     history: &History,
     content: &CopyContent,
 ) -> Option<Vec<u8>> {
--- a/crates/woodladder-core/src/control/replica/counters.rs
+++ b/crates/woodladder-core/src/control/replica/counters.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReplicaCounters {
     /// Rolls put in force.
-    pub adopted: u64,
+    pub rolls_adopted: u64,
     /// Rolls among them that came by a delta.
-    pub adopted_by_delta: u64,
+    pub rolls_adopted_by_delta: u64,
     /// Messages sent.
     pub messages_sent: u64,
     /// Messages received.
@@ -23,11 +23,11 @@
     /// Bytes of reports about targets' availability sent to others.
     pub report_bytes_sent: u64,
     /// Agents that this node found unreachable.
-    pub accusations: u64,
+    pub agents_declared_unreachable: u64,
     /// Reports about the own target that were wrong.
-    pub refutations: u64,
+    pub own_reports_refuted: u64,
     /// Pauses that were noticed.
-    pub pauses: u64,
+    pub pauses_detected: u64,
     /// Refusals by reason.
     pub rejections: RejectionCounts,
 }
@@ -42,7 +42,7 @@
     /// Frames of an unknown version.
     pub frame_unknown_version: u64,
     /// Frames whose tag does not match.
-    pub frame_forged: u64,
+    pub frame_tag_mismatch: u64,
     /// Frames that cannot be decoded.
     pub frame_malformed: u64,
     /// Records signed by a key that is not trusted, or wrongly signed.
@@ -85,7 +85,7 @@
             FrameError::Truncated => &mut self.frame_truncated,
             FrameError::Oversized => &mut self.frame_oversized,
             FrameError::UnknownVersion => &mut self.frame_unknown_version,
-            FrameError::Forged => &mut self.frame_forged,
+            FrameError::Forged => &mut self.frame_tag_mismatch,
             FrameError::Malformed => &mut self.frame_malformed,
         };
         *counter += 1;
@@ -97,7 +97,7 @@
         let frames = self.frame_truncated
             + self.frame_oversized
             + self.frame_unknown_version
-            + self.frame_forged
+            + self.frame_tag_mismatch
             + self.frame_malformed;
         let records = self.record_signature + self.sequence_taken + self.snapshot_length;
         let copies = self.delta + self.copy_digest + self.malformed;
--- a/crates/woodladder-core/src/control/replica/event.rs
+++ b/crates/woodladder-core/src/control/replica/event.rs
@@ -5,14 +5,14 @@
 
 use crate::control::control_message::{ControlMessage, FrameError};
 use crate::control::membership::ListedMachine;
-use crate::control::replica::Installed;
+use crate::control::replica::InstalledRoll;
 use crate::control::store_operation::{StoreAnswer, StoreOperation, StoreRequestId};
 use crate::identifier::Sequence;
-use crate::packets::directory::Directory;
+use crate::packets::routing_table::RoutingTable;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum ReplicaEvent {
     /// The wake-up time came, or the process woke for another reason.
     Tick,
     /// A control message came.
@@ -33,7 +33,7 @@
         answer: StoreAnswer,
     },
     /// The machine list was read.
-    Machines(Vec<ListedMachine>),
+    MachineList(Vec<ListedMachine>),
     /// The data path saw a packet under this sequence.
     SequenceSeen(Sequence),
     /// The node begins a planned stop.
@@ -44,7 +44,7 @@
 
 /// Something to be done.
 #[derive(Clone, Debug)]
-pub enum Action {
+pub enum ReplicaAction {
     /// Send a control message.
     Send {
         /// Where to.
@@ -60,8 +60,8 @@
         operation: StoreOperation,
     },
     /// Put a roll in force.
-    Install(Arc<Installed>),
+    Install(Arc<InstalledRoll>),
     /// Use this directory from now on: the one of the roll in force, with the
     /// targets that take no new flows at the moment left out.
-    Refresh(Arc<Directory>),
+    ReplaceDirectory(Arc<RoutingTable>),
 }
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -166,7 +166,7 @@
         self.store_read
             .plan(delivered, stuck, store_spread, now, random);
         if self.store_read.is_due(now) {
-            let digest = self.record.statement.snapshot;
+            let digest = self.record.statement.snapshot_digest;
             actions.push(FetchAction::ReadStore(digest));
         }
         actions
@@ -324,7 +324,7 @@
     fn begin_delta(&mut self, length: u32) {
         let content = CopyContent::Delta {
             base: self.have.have,
-            result: self.record.statement.snapshot,
+            result: self.record.statement.snapshot_digest,
         };
         let shorter = length < self.record.statement.snapshot_length;
         let worthwhile = length > 0 && length <= MAXIMUM_DELTA_LENGTH && shorter;
@@ -343,6 +343,6 @@
 }
 
 fn snapshot_assembly(record: &RollRecord) -> CopyAssembly {
-    let content = CopyContent::Snapshot(record.statement.snapshot);
+    let content = CopyContent::Snapshot(record.statement.snapshot_digest);
     CopyAssembly::new(content, record.statement.snapshot_length)
 }
--- a/crates/woodladder-core/src/control/replica/install.rs
+++ b/crates/woodladder-core/src/control/replica/install.rs
@@ -8,7 +8,7 @@
 use crate::configuration::snapshot_delta::SnapshotDelta;
 use crate::control::replica::adoption::Rejection;
 use crate::control::replica::fetch::Fetch;
-use crate::control::replica::{Action, Installed, Replica};
+use crate::control::replica::{InstalledRoll, Replica, ReplicaAction};
 use crate::digest::Digest;
 
 const MAXIMUM_REMEMBERED: usize = 16;
@@ -24,7 +24,7 @@
     /// Puts a roll in force and offers it to others.
     pub(super) fn install(
         &mut self,
-        next: Arc<Installed>,
+        next: Arc<InstalledRoll>,
         delta: Option<SnapshotDelta>,
         way: Way,
         now: Instant,
@@ -33,9 +33,9 @@
             return;
         }
         self.remember_delta(&next, delta);
-        self.counters.adopted += 1;
+        self.counters.rolls_adopted += 1;
         if way == Way::Delta {
-            self.counters.adopted_by_delta += 1;
+            self.counters.rolls_adopted_by_delta += 1;
         }
         let first = self.installed.is_none();
         self.installed = Some(Arc::clone(&next));
@@ -47,16 +47,16 @@
         if first || self.vigilance.is_suspect(now) {
             self.gossip.round_soon(now);
         }
-        self.actions.push(Action::Install(next));
+        self.actions.push(ReplicaAction::Install(next));
         self.forget_removed_targets();
-        if self.marked_targets() > 0 {
+        if self.unavailable_target_count() > 0 {
             self.refresh(now);
         }
         self.spread();
         self.resume_deferred(now);
     }
 
-    fn remember_delta(&mut self, next: &Installed, delta: Option<SnapshotDelta>) {
+    fn remember_delta(&mut self, next: &InstalledRoll, delta: Option<SnapshotDelta>) {
         let Some(previous) = &self.installed else {
             self.history.begin(next.digest());
             return;
--- a/crates/woodladder-core/src/control/replica/installed.rs
+++ b/crates/woodladder-core/src/control/replica/installed.rs
@@ -6,22 +6,22 @@
 use crate::configuration::snapshot::Snapshot;
 use crate::digest::Digest;
 use crate::identifier::Sequence;
-use crate::packets::directory::Directory;
+use crate::packets::routing_table::RoutingTable;
 
 /// A roll that passed all checks, with its directory.
 #[derive(Clone, Debug)]
-pub struct Installed {
+pub struct InstalledRoll {
     /// The signed record.
     pub record: RollRecord,
     /// The snapshot that the record names.
     pub snapshot: Snapshot,
     /// The snapshot, laid out for looking up.
-    pub directory: Directory,
+    pub directory: RoutingTable,
 }
 
-impl Installed {
+impl InstalledRoll {
     pub(crate) fn new(record: RollRecord, snapshot: Snapshot) -> Arc<Self> {
-        let directory = Directory::new(record.sequence(), &snapshot);
+        let directory = RoutingTable::new(record.sequence(), &snapshot);
         Arc::new(Self {
             record,
             snapshot,
@@ -38,6 +38,6 @@
     /// Digest of the snapshot.
     #[must_use]
     pub fn digest(&self) -> Digest {
-        self.record.statement.snapshot
+        self.record.statement.snapshot_digest
     }
 }
--- a/crates/woodladder-core/src/control/replica/machine.rs
+++ b/crates/woodladder-core/src/control/replica/machine.rs
@@ -18,7 +18,9 @@
 use crate::control::replica::pace::Pace;
 use crate::control::replica::store_reader::StoreReader;
 use crate::control::replica::vigilance::Vigilance;
-use crate::control::replica::{Action, Event, Installed, ReplicaCounters, ReplicaSettings};
+use crate::control::replica::{
+    InstalledRoll, ReplicaAction, ReplicaCounters, ReplicaEvent, ReplicaSettings,
+};
 use crate::control::store_operation::StoreRequestId;
 use crate::digest::Digest;
 use crate::identifier::Sequence;
@@ -29,7 +31,7 @@
     pub(super) settings: ReplicaSettings,
     pub(super) random: ChaCha8Rng,
     pub(super) members: Membership,
-    pub(super) installed: Option<Arc<Installed>>,
+    pub(super) installed: Option<Arc<InstalledRoll>>,
     pub(super) history: History,
     pub(super) fetch: Option<Fetch>,
     /// A greater record whose fetch got stuck while a smaller one could be had.
@@ -46,7 +48,7 @@
     pub(super) unacceptable: Vec<Digest>,
     pub(super) leaving: bool,
     pub(super) counters: ReplicaCounters,
-    pub(super) actions: Vec<Action>,
+    pub(super) actions: Vec<ReplicaAction>,
 }
 
 impl Replica {
@@ -54,8 +56,11 @@
     #[must_use]
     pub fn new(settings: ReplicaSettings, random: ChaCha8Rng, now: Instant) -> Self {
         let tuning = settings.tuning;
-        let mut members =
-            Membership::new(settings.control, settings.locality, tuning.member_capacity);
+        let mut members = Membership::new(
+            settings.control_address,
+            settings.locality,
+            tuning.member_capacity,
+        );
         for seed in &settings.seeds {
             members.add_seed(*seed);
         }
@@ -84,35 +89,37 @@
     }
 
     /// Takes an event and returns what is to be done.
-    pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Action> {
+    pub fn handle(&mut self, event: ReplicaEvent, now: Instant) -> Vec<ReplicaAction> {
         if self.vigilance.called(now) {
             self.begin_suspicion(now);
         }
         match event {
-            Event::Tick => {}
-            Event::Message { from, message } => {
+            ReplicaEvent::Tick => {}
+            ReplicaEvent::Message { from, message } => {
                 self.counters.messages_received += 1;
                 self.handle_message(from, message, now);
             }
-            Event::BadFrame(error) => self.counters.rejections.count_frame(error),
-            Event::StoreAnswer { request, answer } => self.handle_store(request, answer, now),
-            Event::Machines(machines) => self.members.replace_list(&machines),
-            Event::SequenceSeen(sequence) => self.handle_sequence_seen(sequence, now),
-            Event::Leaving => {
+            ReplicaEvent::BadFrame(error) => self.counters.rejections.count_frame(error),
+            ReplicaEvent::StoreAnswer { request, answer } => {
+                self.handle_store(request, answer, now)
+            }
+            ReplicaEvent::MachineList(machines) => self.members.replace_list(&machines),
+            ReplicaEvent::SequenceSeen(sequence) => self.handle_sequence_seen(sequence, now),
+            ReplicaEvent::Leaving => {
                 self.leaving = true;
                 self.announce(Availability::Leaving, now);
                 self.gossip.round_soon(now);
             }
-            Event::TakesNewFlows(true) if !self.leaving => {
+            ReplicaEvent::TakesNewFlows(true) if !self.leaving => {
                 self.announce(Availability::Serving, now);
             }
-            Event::TakesNewFlows(_) => self.announce(Availability::Leaving, now),
+            ReplicaEvent::TakesNewFlows(_) => self.announce(Availability::Leaving, now),
         }
         self.run_due(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Event::Tick`] is to be handled at the latest.
+    /// When [`ReplicaEvent::Tick`] is to be handled at the latest.
     #[must_use]
     pub fn next_wakeup(&self) -> Instant {
         let fetching = self.fetch.is_some();
@@ -129,13 +136,13 @@
 
     /// The roll in force, if any.
     #[must_use]
-    pub fn installed(&self) -> Option<&Arc<Installed>> {
+    pub fn installed(&self) -> Option<&Arc<InstalledRoll>> {
         self.installed.as_ref()
     }
 
     /// Keeps `same` in place of its own copy of the roll in force, so that many
     /// replicas of one process hold it once. Ignored when it is another roll.
-    pub fn share_installed(&mut self, same: &Arc<Installed>) {
+    pub fn share_installed(&mut self, same: &Arc<InstalledRoll>) {
         let own = self.installed.as_ref();
         if own.is_some_and(|own| own.record == same.record) {
             self.installed = Some(Arc::clone(same));
@@ -209,7 +216,7 @@
 
     pub(super) fn send(&mut self, to: std::net::SocketAddr, message: ControlMessage) {
         self.counters.messages_sent += 1;
-        self.actions.push(Action::Send { to, message });
+        self.actions.push(ReplicaAction::Send { to, message });
     }
 
     pub(super) fn take_request_number(&mut self) -> StoreRequestId {
@@ -249,7 +256,7 @@
     }
 
     fn begin_suspicion(&mut self, now: Instant) {
-        self.counters.pauses += 1;
+        self.counters.pauses_detected += 1;
         let probe = self.gossip.next_probe();
         self.vigilance.suspect(probe, self.next_request, now);
         self.gossip.round_soon(now);
--- a/crates/woodladder-core/src/control/replica/mod.rs
+++ b/crates/woodladder-core/src/control/replica/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! | part | modules |
 //! | --- | --- |
-//! | interface | [`Replica`], [`ReplicaSettings`], [`Event`], [`Action`], [`Installed`] |
+//! | interface | [`Replica`], [`ReplicaSettings`], [`ReplicaEvent`], [`ReplicaAction`], [`InstalledRoll`] |
 //! | checks | `adoption`, `install` |
 //! | spreading | `gossip`, `history`, `copy_server` |
 //! | catching up | `catch_up`, `fetch`, `copy_assembly`, `store_access`, `store_reader`, `snapshot_read`, `pace` |
@@ -40,7 +40,7 @@
 pub use adoption::{MAXIMUM_SNAPSHOT_LENGTH, Rejection};
 pub use copy_server::CopyServer;
 pub use counters::{RejectionCounts, ReplicaCounters};
-pub use event::{Action, Event};
-pub use installed::Installed;
+pub use event::{ReplicaAction, ReplicaEvent};
+pub use installed::InstalledRoll;
 pub use machine::Replica;
 pub use settings::{LEASE_LENGTH, ReplicaSettings, ReplicaTuning};
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -62,7 +62,7 @@
 
     /// Takes note of a digest message from a node itself.
     pub(super) fn note_alive(&mut self, digest: &DigestMessage, now: Instant) {
-        let control = digest.sender.control;
+        let control = digest.sender.control_address;
         let probing = &mut self.availability.probing;
         probing.watches.alive(control);
         let Exchange::Answer(_) = digest.exchange else {
@@ -89,7 +89,7 @@
     ) {
         let requested = &mut self.availability.probing.requested;
         requested.retain(|known| known.until > now);
-        if requested.len() >= MAXIMUM_REQUESTS || request.control == self.settings.control {
+        if requested.len() >= MAXIMUM_REQUESTS || request.control == self.settings.control_address {
             return;
         }
         requested.push(Requested {
--- a/crates/woodladder-core/src/control/replica/settings.rs
+++ b/crates/woodladder-core/src/control/replica/settings.rs
@@ -22,9 +22,9 @@
     /// Where the node is.
     pub locality: Locality,
     /// Address that other nodes send control messages to.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Target that the node stands beside, when it is an agent.
-    pub served: Option<ServedTarget>,
+    pub served_target: Option<ServedTarget>,
     /// Addresses of other nodes from the settings file, if any.
     pub seeds: Vec<SocketAddr>,
     /// Operators whose signatures are accepted.
@@ -87,7 +87,7 @@
             node: self.node,
             role: self.role,
             locality: self.locality,
-            control: self.control,
+            control_address: self.control_address,
         }
     }
 }
--- a/crates/woodladder-core/src/control/replica/store_access.rs
+++ b/crates/woodladder-core/src/control/replica/store_access.rs
@@ -9,7 +9,7 @@
 use crate::control::control_message::OfferedDelta;
 use crate::control::replica::adoption::Rejection;
 use crate::control::replica::fetch::Fetch;
-use crate::control::replica::{Action, Replica};
+use crate::control::replica::{Replica, ReplicaAction};
 use crate::control::store_operation::{StoreAnswer, StoreKey, StoreOperation, StoreRequestId};
 use crate::digest::Digest;
 
@@ -49,7 +49,8 @@
         let due = self.store.due(known_nodes, now, &mut self.random, number);
         for (request, operation) in due {
             self.counters.store_reads += 1;
-            self.actions.push(Action::Store { request, operation });
+            self.actions
+                .push(ReplicaAction::Store { request, operation });
         }
     }
 
@@ -69,7 +70,8 @@
             key: StoreKey::Snapshot(digest),
             wait: None,
         };
-        self.actions.push(Action::Store { request, operation });
+        self.actions
+            .push(ReplicaAction::Store { request, operation });
     }
 
     /// Takes a value of the current entry. A value that was not awaited may be
--- a/crates/woodladder-core/src/control/roll_command/machine.rs
+++ b/crates/woodladder-core/src/control/roll_command/machine.rs
@@ -218,7 +218,7 @@
             Some(planned) if self.in_doubt => RollError::OutcomeUnknown {
                 sequence: planned.record().sequence(),
             },
-            _ if self.refused => RollError::OtherWon {
+            _ if self.refused => RollError::LostRace {
                 winner: None,
                 in_doubt: false,
             },
@@ -266,7 +266,7 @@
         };
         let summary = RollSummary::of(planned.record());
         self.actions.push(RollAction::Accepted(summary));
-        let time = self.request.tuning.rollout_time;
+        let time = self.request.tuning.rollout_timeout;
         let rollout = Rollout::new(planned, &self.request.nodes, time, now);
         let offers = rollout.offers(&mut self.random);
         self.send_all(offers);
--- a/crates/woodladder-core/src/control/roll_command/plan.rs
+++ b/crates/woodladder-core/src/control/roll_command/plan.rs
@@ -51,7 +51,7 @@
     /// Time that an answer of the key-value service may take.
     pub answer_time: Duration,
     /// Time to wait for the nodes after the roll was accepted.
-    pub rollout_time: Duration,
+    pub rollout_timeout: Duration,
 }
 
 /// A roll that is ready to be written.
@@ -68,7 +68,7 @@
             store_time: Duration::from_secs(20),
             confirm_time: Duration::from_secs(20),
             answer_time: Duration::from_secs(5),
-            rollout_time: Duration::from_secs(11),
+            rollout_timeout: Duration::from_secs(11),
         }
     }
 }
@@ -133,10 +133,10 @@
             sequence: last.next(),
             nonce,
             bundle_version: snapshot.bundle.version,
-            snapshot: Digest::of(&copy),
+            snapshot_digest: Digest::of(&copy),
             snapshot_length: u32::try_from(copy.len()).map_err(|_| RollError::TooLong)?,
             operator: self.operator.clone(),
-            rolled_at: self.rolled_at,
+            rolled_at_unix_seconds: self.rolled_at,
         };
         let delta = base.map(|base| SnapshotDelta::between(base, &snapshot));
         Ok(PlannedRoll {
@@ -170,7 +170,7 @@
     }
 
     pub(super) fn digest(&self) -> Digest {
-        self.stored.record.statement.snapshot
+        self.stored.record.statement.snapshot_digest
     }
 
     /// An offer to a node that has the snapshot `have`.
--- a/crates/woodladder-core/src/control/roll_command/stages.rs
+++ b/crates/woodladder-core/src/control/roll_command/stages.rs
@@ -91,7 +91,7 @@
         match read_stored(value, &self.request.trusted) {
             Ok(stored) => {
                 self.expected = *index;
-                let digest = stored.record.statement.snapshot;
+                let digest = stored.record.statement.snapshot_digest;
                 self.previous = Some(stored);
                 self.go_on(Stage::ReadSnapshot(digest), now);
             }
@@ -189,7 +189,7 @@
         let planned = self.planned.as_ref();
         let own = planned.map(|planned| planned.record().sequence());
         let overtaken = own.is_some_and(|own| record.sequence() > own);
-        self.fail(RollError::OtherWon {
+        self.fail(RollError::LostRace {
             winner: Some(RollSummary::of(record)),
             in_doubt: self.in_doubt && overtaken,
         });
--- a/crates/woodladder-core/src/control/roll_command/verdict.rs
+++ b/crates/woodladder-core/src/control/roll_command/verdict.rs
@@ -77,7 +77,7 @@
     /// to the current entry.
     StoreUnavailable,
     /// Another operator rolled first.
-    OtherWon {
+    LostRace {
         /// The roll in force, when it could be read.
         winner: Option<RollSummary>,
         /// Whether the own roll may have been in force before it.
@@ -99,7 +99,7 @@
             operator: statement.operator.clone(),
             sequence: statement.sequence,
             bundle_version: statement.bundle_version,
-            rolled_at: statement.rolled_at,
+            rolled_at: statement.rolled_at_unix_seconds,
         }
     }
 }
@@ -110,7 +110,7 @@
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(
             self,
-            Self::OutcomeUnknown { .. } | Self::OtherWon { in_doubt: true, .. }
+            Self::OutcomeUnknown { .. } | Self::LostRace { in_doubt: true, .. }
         )
     }
 }
@@ -154,7 +154,7 @@
             }
             Self::StoreUnavailable => formatter
                 .write_str("the key-value service could not be used in time; nothing was rolled"),
-            Self::OtherWon { winner, in_doubt } => fmt_other_won(formatter, winner, *in_doubt),
+            Self::LostRace { winner, in_doubt } => fmt_other_won(formatter, winner, *in_doubt),
             Self::OutcomeUnknown { sequence } => write!(
                 formatter,
                 "the roll was sent and may have taken effect as sequence {sequence}; \
--- a/crates/woodladder-core/src/control/store_operation.rs
+++ b/crates/woodladder-core/src/control/store_operation.rs
@@ -10,7 +10,7 @@
 /// Prefix of the keys of snapshots; the digest in hexadecimal follows.
 pub const SNAPSHOT_KEY_PREFIX: &str = "woodladder/bundles/";
 /// Longest value in bytes that nodes and operators accept from the service.
-pub const MAXIMUM_STORED_VALUE: usize = 8 * 1024 * 1024;
+pub const MAXIMUM_STORED_VALUE_LENGTH: usize = 8 * 1024 * 1024;
 
 /// Number of a request, unique within one state machine.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
--- a/crates/woodladder-core/src/flow/activation.rs
+++ b/crates/woodladder-core/src/flow/activation.rs
@@ -2,7 +2,7 @@
 //! machine's settings state.
 //!
 //! Each mechanism names its condition here, in terms that an operator can look up.
-//! Nodes log the outcome at each change ([`super::note::Note::MechanismsChanged`])
+//! Nodes log the outcome at each change ([`super::log_event::LogEvent::MechanismsChanged`])
 //! and show it in their metrics.
 
 use super::configuration::{Configuration, RouteTerms};
@@ -36,7 +36,11 @@
     /// processor, in thousandths of a core, and this link rate, in kilobits a second,
     /// if it is known.
     #[must_use]
-    pub fn of(configuration: &Configuration, capacity: u32, link_rate: Option<u32>) -> Self {
+    pub fn at_balancer(
+        configuration: &Configuration,
+        capacity: u32,
+        link_rate: Option<u32>,
+    ) -> Self {
         let has_short_timeout = configuration
             .routes
             .iter()
@@ -55,7 +59,7 @@
     pub fn at_agent(configuration: &Configuration, service: ServiceKey) -> Self {
         Self {
             orders_requests: shares_a_service(configuration, |other| other == service),
-            ..Self::of(configuration, 0, None)
+            ..Self::at_balancer(configuration, 0, None)
         }
     }
 }
--- a/crates/woodladder-core/src/flow/agent/admission/choosing.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/choosing.rs
@@ -12,7 +12,7 @@
 
 /// How much waits, by kind and importance.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct WaitingCounts {
+pub struct QueuedCounts {
     /// Openings of routes that matter more than another one of the service.
     pub urgent_openings: usize,
     /// Other openings.
@@ -23,7 +23,7 @@
     pub requests: usize,
 }
 
-impl WaitingCounts {
+impl QueuedCounts {
     /// All work of routes that matter more than another one of the service.
     #[must_use]
     pub fn urgent(&self) -> usize {
@@ -132,14 +132,14 @@
 
     /// What waits, by kind and importance.
     #[must_use]
-    pub fn waiting_counts(&self) -> WaitingCounts {
+    pub fn queued_counts(&self) -> QueuedCounts {
         let urgent_openings = self.queue.iter().filter(|it| it.is_urgent).count();
         let urgent_requests = self
             .held
             .iter()
             .filter(|(_, request)| request.terms.is_urgent)
             .count();
-        WaitingCounts {
+        QueuedCounts {
             urgent_openings,
             openings: self.queue.len() - urgent_openings,
             urgent_requests,
--- a/crates/woodladder-core/src/flow/agent/admission/holding.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/holding.rs
@@ -11,8 +11,8 @@
 use crate::flow::agent::flows::is_after;
 use crate::flow::agent::{Agent, AgentAction, FlowState};
 use crate::flow::identity::{FlowKey, NodeAddress};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::TargetState;
-use crate::flow::note::Note;
 use crate::flow::packet::{FlowPacket, PacketKind};
 
 /// Time for which a given-up request is remembered: longer than a caller's last pause
@@ -52,12 +52,12 @@
             return false;
         }
         let is_repeated = self.held.was_given_up(&packet.key);
-        self.counters.requests_held += u64::from(!is_repeated);
+        self.counters.requests_queued += u64::from(!is_repeated);
         self.count_queue();
-        self.notes.add(Note::RequestHeld {
+        self.notes.add(LogEvent::RequestQueued {
             key: packet.key,
             is_urgent,
-            urgent_waiting: self.waiting_counts().urgent() - usize::from(is_urgent),
+            urgent_waiting: self.queued_counts().urgent() - usize::from(is_urgent),
             load: self.load,
             expected: self.expected_of(&packet.key),
         });
@@ -67,12 +67,12 @@
     /// Whether a further packet of a flow whose request waits does so, too. What carries
     /// no bytes and ends nothing goes on, and so does what the target had before.
     fn waits_behind(&mut self, from: NodeAddress, packet: &FlowPacket, bytes: &[u8]) -> bool {
-        let is_ordered = packet.payload > 0 || packet.kind == PacketKind::Finish;
+        let is_ordered = packet.payload_length > 0 || packet.kind == PacketKind::Finish;
         if packet.kind == PacketKind::Reset || !is_ordered {
             return false;
         }
-        let end = packet.sequence.wrapping_add(packet.payload.into());
-        let was_delivered = self.flows.use_flow(&packet.key).is_some_and(|flow| {
+        let end = packet.sequence.wrapping_add(packet.payload_length.into());
+        let was_delivered = self.flows.touch(&packet.key).is_some_and(|flow| {
             !is_after(end, flow.caller_next) && packet.sequence != flow.caller_next
         });
         if was_delivered {
@@ -80,16 +80,16 @@
         }
         match self.held.add(from, packet, bytes) {
             Held::Waits => {}
-            Held::Copy => self.counters.held_copies += 1,
+            Held::Copy => self.counters.duplicate_packets_dropped += 1,
             // Its caller sends it again.
-            Held::Full => self.counters.dropped += 1,
+            Held::Full => self.counters.packets_dropped += 1,
         }
         true
     }
 
     fn begins_request(&self, packet: &FlowPacket) -> bool {
-        let end = packet.sequence.wrapping_add(packet.payload.into());
-        packet.payload > 0
+        let end = packet.sequence.wrapping_add(packet.payload_length.into());
+        packet.payload_length > 0
             && packet.kind != PacketKind::Reset
             && self.flows.peek(&packet.key).is_some_and(|flow| {
                 flow.state == FlowState::Open
@@ -117,7 +117,7 @@
             return;
         };
         self.count_queue();
-        self.notes.add(Note::WorkReleased {
+        self.notes.add(LogEvent::WorkReleased {
             key: *key,
             waited: now.since(request.held_at),
         });
@@ -134,7 +134,7 @@
     /// Hands over all that is held: the target takes or returns it as if it had come now.
     pub(crate) fn release_all(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
         for key in self.held.keys_by_age() {
-            self.counters.held_released += 1;
+            self.counters.requests_released_early += 1;
             self.release(&key, now, actions);
         }
     }
@@ -143,8 +143,8 @@
     pub(crate) fn drop_hopeless(&mut self, now: Instant) {
         self.held.forget_silent(GIVEN_UP_REMEMBERED, now);
         for (key, request) in self.held.give_up_hopeless(now) {
-            self.counters.held_hopeless += 1;
-            self.notes.add(Note::RequestGivenUp {
+            self.counters.requests_given_up += 1;
+            self.notes.add(LogEvent::RequestGivenUp {
                 key,
                 waited: now.since(request.held_at),
             });
--- a/crates/woodladder-core/src/flow/agent/admission/openings.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/openings.rs
@@ -11,10 +11,10 @@
 use crate::flow::agent::admission::choosing::NextWork;
 use crate::flow::agent::admission::queue::QueuedOpening;
 use crate::flow::agent::admission::service_times::EXCHANGE;
-use crate::flow::agent::{Agent, AgentAction, Delivery, FlowState, HeldFlow};
+use crate::flow::agent::{Agent, AgentAction, FlowState, ForwardDecision, HeldFlow};
 use crate::flow::identity::NodeAddress;
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::{ForwardHeader, OpeningTerms, PeerMessage, ReturnReason, TargetState};
-use crate::flow::note::Note;
 use crate::flow::packet::FlowPacket;
 use crate::flow::promises::DecidedOpening;
 
@@ -46,20 +46,21 @@
         packet: &FlowPacket,
         bytes: &[u8],
         now: Instant,
-    ) -> Delivery {
+    ) -> ForwardDecision {
         if self.queue.contains(&packet.key) {
-            return Delivery::Drop;
+            return ForwardDecision::Drop;
         }
-        if let Some(flow) = self.flows.use_flow(&packet.key)
+        if let Some(flow) = self.flows.touch(&packet.key)
             && flow.state != FlowState::Unconfirmed
             && packet.acknowledgement > 0
         {
             // A copy of an opening that the target has; it answers again.
             flow.balancer = from;
-            return Delivery::plain();
+            return ForwardDecision::plain();
         }
         if let Some(reason) = self.reason_to_decline(header, now) {
-            self.counters.held_excluded += u64::from(reason == ReturnReason::ZoneExcluded);
+            self.counters.openings_declined_excluded +=
+                u64::from(reason == ReturnReason::ZoneExcluded);
             return self.give_back(reason);
         }
         if self.queue.is_empty()
@@ -70,20 +71,20 @@
             if self.load.busy == 0 {
                 self.progress_at = now;
             }
-            self.promises.handed_over(&decided(terms), false);
+            self.promises.record_handover(&decided(terms), false);
             self.hand_over(from, header, packet, now);
-            return Delivery::plain();
+            return ForwardDecision::plain();
         }
-        if self.openings_left(now) == Some(0) && terms.believed_load.is_some() {
+        if self.openings_left(now) == Some(0) && terms.estimated_load.is_some() {
             self.load.openings_left = Some(0);
-            self.counters.held_cold += 1;
+            self.counters.openings_declined_cold += 1;
             return self.give_back(ReturnReason::WarmingUp);
         }
         if self.queue.is_full() || self.is_underestimated(terms) || self.is_stuck(now) {
             return self.give_back(ReturnReason::Saturated);
         }
         if self.comes_too_late(&packet.key, terms, now) {
-            self.counters.refused_hopeless += 1;
+            self.counters.openings_declined_late += 1;
             return self.give_back(ReturnReason::Saturated);
         }
         self.enqueue(from, header, terms, packet, bytes, now)
@@ -117,7 +118,7 @@
     fn is_underestimated(&self, terms: &OpeningTerms) -> bool {
         let margin = (self.target.capacity / 2).max(1);
         terms
-            .believed_load
+            .estimated_load
             .is_some_and(|believed| self.load.requests() > believed.saturating_add(margin))
     }
 
@@ -136,7 +137,7 @@
         packet: &FlowPacket,
         bytes: &[u8],
         now: Instant,
-    ) -> Delivery {
+    ) -> ForwardDecision {
         let age = Duration::from_millis(terms.age_ms.into());
         self.queue.push(QueuedOpening {
             balancer: from,
@@ -149,16 +150,16 @@
             is_urgent: terms.is_urgent,
             queued_at: now,
         });
-        self.counters.queued += 1;
+        self.counters.openings_queued += 1;
         self.count_queue();
-        self.notes.add(Note::OpeningQueued {
+        self.notes.add(LogEvent::OpeningQueued {
             key: packet.key,
             balancer: from,
             age,
             load: self.load,
             expected: self.expected_answer(),
         });
-        Delivery::Queued(PeerMessage::Queued {
+        ForwardDecision::Queued(PeerMessage::Queued {
             key: packet.key,
             load: self.load,
         })
@@ -185,13 +186,13 @@
         packet: &FlowPacket,
         now: Instant,
     ) {
-        self.counters.offered += 1;
+        self.counters.openings_offered += 1;
         self.replace_flow(packet, FlowState::Offered, from, now);
         self.load.opening += 1;
         self.warm_up.count(now);
         self.load.openings_left = self.openings_left(now);
         self.target.unanswered_since.get_or_insert(now);
-        self.notes.add(Note::FlowOffered {
+        self.notes.add(LogEvent::FlowOffered {
             key: packet.key,
             balancer: from,
             busy: self.load.busy,
@@ -201,7 +202,7 @@
 
     /// Hands over what waits while the target has room, and gives back the openings
     /// that it cannot take or that have waited too long. To be called after each event.
-    pub fn serve_queue(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
+    pub fn dispatch_queued(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
         if self.queue.is_empty() && self.held.is_empty() {
             return;
         }
@@ -230,7 +231,7 @@
     fn give_up_hopeless(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
         self.drop_hopeless(now);
         let expired = self.take_expired(now);
-        self.counters.expired += u64::try_from(expired.len()).unwrap_or(0);
+        self.counters.openings_expired += u64::try_from(expired.len()).unwrap_or(0);
         self.return_queued(expired, ReturnReason::Expired, now, actions);
     }
 
@@ -248,9 +249,9 @@
             .queue
             .has_urgent_in_time(|key| self.expected_of(key), now);
         self.promises
-            .handed_over(&opening.decided(now), urgent_waits);
+            .record_handover(&opening.decided(now), urgent_waits);
         self.hand_over(opening.balancer, &opening.header, &opening.packet, now);
-        self.notes.add(Note::WorkReleased {
+        self.notes.add(LogEvent::WorkReleased {
             key: opening.packet.key,
             waited: now.since(opening.queued_at),
         });
@@ -294,8 +295,8 @@
             let reason = self
                 .reason_to_decline(&opening.header, now)
                 .unwrap_or(usual_reason);
-            self.promises.given_up(&opening.decided(now));
-            self.counters.declined += 1;
+            self.promises.record_given_up(&opening.decided(now));
+            self.counters.openings_declined += 1;
             actions.push(AgentAction::Return {
                 to: opening.balancer,
                 message: self.returned(reason),
--- a/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
@@ -13,8 +13,8 @@
 
 use crate::clock::Instant;
 use crate::flow::agent::Agent;
-use crate::flow::note::Note;
-use crate::flow::warm_up_doubt::WarmUpDoubt;
+use crate::flow::cold_reason::ColdReason;
+use crate::flow::log_event::LogEvent;
 
 /// Span in which requests are counted: a second, and what packets from the agent
 /// to the target beside it may differ in their time under way.
@@ -76,16 +76,16 @@
 
 impl Agent {
     /// It is no longer known whether the target is cold.
-    pub(crate) fn doubt_warmth(&mut self, doubt: WarmUpDoubt, now: Instant) {
+    pub(crate) fn doubt_warmth(&mut self, reason: ColdReason, now: Instant) {
         self.warm_up.doubted_since = Some(now);
-        let wait = match doubt {
-            WarmUpDoubt::OutOfTouch => HEARTBEAT_UNDER_WAY,
-            WarmUpDoubt::ZoneTakenBack | WarmUpDoubt::Silent => Duration::ZERO,
+        let wait = match reason {
+            ColdReason::OutOfTouch => HEARTBEAT_UNDER_WAY,
+            ColdReason::ZoneTakenBack | ColdReason::Silent => Duration::ZERO,
         };
         self.warm_up.confirmed_from = Some(now + wait);
         if self.warm_up_limit().is_some() {
-            self.notes.add(Note::WarmthDoubted {
-                doubt,
+            self.notes.add(LogEvent::AssumedCold {
+                reason,
                 incarnation: self.target.incarnation,
             });
         }
--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -5,27 +5,27 @@
 
 /// What happens to a packet that a balancer sent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Delivery {
+pub enum ForwardDecision {
     /// It goes to the target, marked so that the target's return of it names
     /// the balancer.
     Deliver {
         /// What the balancer is told.
-        tell: Option<PeerMessage>,
+        reply: Option<PeerMessage>,
         /// Whether a request begins with it.
         begins_request: bool,
     },
     /// It waits in the agent's queue; the balancer is told.
     Queued(PeerMessage),
     /// It does not; the balancer is told.
-    Answer(PeerMessage, AnswerBody),
+    Reply(PeerMessage, ReplyBody),
     /// It does not, or waits in the agent's queue; nobody is told.
     Drop,
 }
 
-impl Delivery {
+impl ForwardDecision {
     pub(super) fn plain() -> Self {
         Self::Deliver {
-            tell: None,
+            reply: None,
             begins_request: false,
         }
     }
@@ -33,16 +33,16 @@
 
 /// What follows an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerBody {
+pub enum ReplyBody {
     /// The packet.
     Packet,
     /// Nothing.
-    Nothing,
+    Empty,
 }
 
 /// What happens to a packet of the target.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Departure {
+pub enum TargetPacketDecision {
     /// It goes to the caller, and a balancer may be told something.
     ToCaller(Option<(NodeAddress, PeerMessage)>),
     /// The target gave it back; a balancer is told.
@@ -52,7 +52,7 @@
         /// What it is told.
         message: PeerMessage,
         /// What follows.
-        body: AnswerBody,
+        body: ReplyBody,
     },
 }
 
@@ -85,7 +85,7 @@
         /// The opening.
         packet: Vec<u8>,
     },
-    /// Ask a node for a snapshot and pass it to [`Agent::snapshot`].
+    /// Ask a node for a snapshot and pass it to [`Agent::apply_snapshot`].
     FetchSnapshot {
         /// The node.
         from: NodeAddress,
@@ -98,43 +98,43 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AgentCounters {
     /// Packets from balancers.
-    pub packets: u64,
+    pub packets_received: u64,
     /// Openings handed to the target.
-    pub offered: u64,
+    pub openings_offered: u64,
     /// Openings given back to their balancer.
-    pub declined: u64,
+    pub openings_declined: u64,
     /// Openings that have waited in the agent's queue.
-    pub queued: u64,
+    pub openings_queued: u64,
     /// Openings given back because the target may be cold and has had its share.
-    pub held_cold: u64,
+    pub openings_declined_cold: u64,
     /// Openings given back because the target's zone is excluded.
-    pub held_excluded: u64,
+    pub openings_declined_excluded: u64,
     /// Openings that have waited there for too long.
-    pub expired: u64,
+    pub openings_expired: u64,
     /// Openings given back because they would have been answered too late.
-    pub refused_hopeless: u64,
+    pub openings_declined_late: u64,
     /// Requests of open flows that have waited.
-    pub requests_held: u64,
+    pub requests_queued: u64,
     /// Repetitions of packets that waited, dropped.
-    pub held_copies: u64,
+    pub duplicate_packets_dropped: u64,
     /// Requests of open flows dropped because their callers have left.
-    pub held_hopeless: u64,
+    pub requests_given_up: u64,
     /// Requests of open flows handed to a target that was not heard, stuck or replaced.
-    pub held_released: u64,
+    pub requests_released_early: u64,
     /// Packets of open flows handed to the target.
-    pub delivered: u64,
+    pub packets_delivered: u64,
     /// Searches that were denied.
-    pub denied: u64,
+    pub searches_denied: u64,
     /// Packets that the target gave back.
-    pub returned_by_target: u64,
+    pub packets_returned_by_target: u64,
     /// Packets of the target sent to callers.
-    pub to_callers: u64,
+    pub packets_sent_to_callers: u64,
     /// Requests that the target answered.
-    pub answered: u64,
+    pub requests_answered: u64,
     /// Requests that the target failed.
-    pub failed: u64,
+    pub requests_failed: u64,
     /// Packets dropped.
-    pub dropped: u64,
+    pub packets_dropped: u64,
     /// Heartbeats taken.
     pub heartbeats: u64,
     /// Heartbeats of starts that a later one has replaced.
@@ -144,5 +144,5 @@
     /// Deregistrations that may be of a former start.
     pub deregistrations_ignored: u64,
     /// Parts of lists of flows sent to balancers.
-    pub list_parts: u64,
+    pub flow_list_parts_sent: u64,
 }
--- a/crates/woodladder-core/src/flow/agent/flows.rs
+++ b/crates/woodladder-core/src/flow/agent/flows.rs
@@ -5,8 +5,8 @@
 use super::super::packet::{FlowPacket, PacketKind};
 use super::target::resting_work::RestingWork;
 use super::{
-    Agent, AnswerBody, Delivery, Departure, FailureRecord, FlowState, HeldFlow, WarmUpDoubt,
-    not_held,
+    Agent, ColdReason, FailureRecord, FlowState, ForwardDecision, HeldFlow, ReplyBody,
+    TargetPacketDecision, not_held,
 };
 use crate::clock::Instant;
 
@@ -17,20 +17,20 @@
         packet: &FlowPacket,
         bytes: &[u8],
         now: Instant,
-    ) -> Delivery {
-        if self.flows.use_flow(&packet.key).is_some() {
+    ) -> ForwardDecision {
+        if self.flows.touch(&packet.key).is_some() {
             if self.waits(from, packet, bytes, now) {
-                return Delivery::Drop;
+                return ForwardDecision::Drop;
             }
             let begins_request = self.count_delivery(from, packet, now);
-            return Delivery::Deliver {
-                tell: None,
+            return ForwardDecision::Deliver {
+                reply: None,
                 begins_request,
             };
         }
         if self.knows_all_flows(now) {
-            self.counters.denied += 1;
-            return Delivery::Answer(self.returned(ReturnReason::NotHeld), AnswerBody::Packet);
+            self.counters.searches_denied += 1;
+            return ForwardDecision::Reply(self.returned(ReturnReason::NotHeld), ReplyBody::Packet);
         }
         self.try_target(from, packet, now)
     }
@@ -44,8 +44,8 @@
         packet: &FlowPacket,
         now: Instant,
     ) -> bool {
-        self.counters.delivered += 1;
-        let Some(flow) = self.flows.use_flow(&packet.key) else {
+        self.counters.packets_delivered += 1;
+        let Some(flow) = self.flows.touch(&packet.key) else {
             return false;
         };
         flow.balancer = from;
@@ -56,11 +56,11 @@
             self.load.flows += 1;
             self.stop_expecting(&packet.key);
         }
-        let Some(flow) = self.flows.use_flow(&packet.key) else {
+        let Some(flow) = self.flows.touch(&packet.key) else {
             return false;
         };
-        let end = packet.sequence.wrapping_add(packet.payload.into());
-        let is_new = packet.payload > 0 && is_after(end, flow.caller_next);
+        let end = packet.sequence.wrapping_add(packet.payload_length.into());
+        let is_new = packet.payload_length > 0 && is_after(end, flow.caller_next);
         let begins_request = is_new && flow.busy_since.is_none();
         if begins_request {
             flow.request_start = flow.caller_next;
@@ -89,22 +89,22 @@
             PacketKind::Finish => self.close_flow(&packet.key),
             _ => {}
         }
-        is_head && packet.payload > 0
+        is_head && packet.payload_length > 0
     }
 
     /// Decides about a packet that the target sent. `returned_to` is the
     /// balancer that the packet names when the target gave it back.
-    pub fn departing(
+    pub fn handle_target_packet(
         &mut self,
         packet: &FlowPacket,
         returned_to: Option<NodeAddress>,
         now: Instant,
-    ) -> Departure {
+    ) -> TargetPacketDecision {
         self.target.sent_at = Some(now);
         self.target.unanswered_since = None;
         if self.target.state == TargetState::Unresponsive {
             self.set_state(TargetState::Ready);
-            self.doubt_warmth(WarmUpDoubt::Silent, now);
+            self.doubt_warmth(ColdReason::Silent, now);
         }
         match returned_to {
             Some(balancer) => self.given_back(packet, balancer),
@@ -112,15 +112,15 @@
         }
     }
 
-    fn given_back(&mut self, packet: &FlowPacket, balancer: NodeAddress) -> Departure {
-        self.counters.returned_by_target += 1;
+    fn given_back(&mut self, packet: &FlowPacket, balancer: NodeAddress) -> TargetPacketDecision {
+        self.counters.packets_returned_by_target += 1;
         let state = self.flows.peek(&packet.key).map(|flow| flow.state);
         self.forget_flow(&packet.key);
         if packet.kind != PacketKind::Open && state == Some(FlowState::Unconfirmed) {
-            return Departure::Returned {
+            return TargetPacketDecision::Returned {
                 to: balancer,
                 message: not_held(packet.key),
-                body: AnswerBody::Nothing,
+                body: ReplyBody::Empty,
             };
         }
         let reason = if packet.kind == PacketKind::Open {
@@ -128,27 +128,27 @@
         } else {
             ReturnReason::NotHeld
         };
-        Departure::Returned {
+        TargetPacketDecision::Returned {
             to: balancer,
             message: self.returned(reason),
-            body: AnswerBody::Packet,
+            body: ReplyBody::Packet,
         }
     }
 
-    fn send_to_caller(&mut self, packet: &FlowPacket, now: Instant) -> Departure {
-        self.counters.to_callers += 1;
+    fn send_to_caller(&mut self, packet: &FlowPacket, now: Instant) -> TargetPacketDecision {
+        self.counters.packets_sent_to_callers += 1;
         if packet.kind == PacketKind::Reset {
             if self.take_awaited(&packet.key) {
                 self.count_outcome(false, now);
             }
             self.forget_flow(&packet.key);
-            return Departure::ToCaller(None);
+            return TargetPacketDecision::ToCaller(None);
         }
-        if self.flows.use_flow(&packet.key).is_none() {
+        if self.flows.touch(&packet.key).is_none() {
             self.learn_flow(packet, now);
         }
-        let Some(flow) = self.flows.use_flow(&packet.key) else {
-            return Departure::ToCaller(None);
+        let Some(flow) = self.flows.touch(&packet.key) else {
+            return TargetPacketDecision::ToCaller(None);
         };
         let balancer = flow.balancer;
         let message = match (packet.kind, flow.state) {
@@ -170,14 +170,14 @@
             }
             _ => None,
         };
-        if packet.payload > 0 {
+        if packet.payload_length > 0 {
             self.answered(&packet.key, now);
         }
         if packet.kind == PacketKind::Finish {
             self.end_request(&packet.key);
             self.close_flow(&packet.key);
         }
-        Departure::ToCaller(message.map(|message| (balancer, message)))
+        TargetPacketDecision::ToCaller(message.map(|message| (balancer, message)))
     }
 
     /// A flow that the target holds and the agent did not know: it was opened
@@ -204,7 +204,7 @@
     /// One end closes its side: the flow is no longer open, and stays in the
     /// table for its last packets.
     fn close_flow(&mut self, key: &FlowKey) {
-        if let Some(flow) = self.flows.use_flow(key)
+        if let Some(flow) = self.flows.touch(key)
             && flow.state == FlowState::Open
         {
             flow.state = FlowState::Closing;
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -20,18 +20,18 @@
 use super::activation::ActiveMechanisms;
 use super::configuration::{Configuration, RouteTable};
 use super::excluded_zones::ExcludedZones;
+use super::flow_table::FlowTable;
 use super::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey, ZoneKey};
+use super::log_event::{LogEvent, LogEventBuffer};
 use super::message::{
     ForwardHeader, ForwardPurpose, PeerMessage, ReturnReason, Snapshot, SnapshotRequest,
     TargetLoad, TargetState,
 };
-use super::note::{Note, Notes};
 use super::packet::FlowPacket;
 use super::peers::BalancerPeers;
 use super::promises::{BrokenPromises, PromiseWatch};
 use super::store_session::ListNeed;
-use super::succession::Succession;
-use super::table::FlowTable;
+use super::target_restart::RestartDetector;
 use admission::queue::AdmissionQueue;
 use admission::warm_up::WarmUp;
 use reporting::flow_statements::FlowStatements;
@@ -41,8 +41,8 @@
 
 use crate::clock::Instant;
 
-pub use super::warm_up_doubt::WarmUpDoubt;
-pub use admission::choosing::WaitingCounts;
+pub use super::cold_reason::ColdReason;
+pub use admission::choosing::QueuedCounts;
 pub use admission::held_requests::{
     HELD_BYTES, HELD_FLOWS, HELD_PACKETS, Held, HeldPacket, HeldRequest, HeldRequests, HeldTerms,
 };
@@ -50,7 +50,7 @@
 pub use admission::queue::{CAPACITY as QUEUE_CAPACITY, LONGEST_WAIT};
 pub use admission::service_times::ServiceTimes;
 pub use admission::warm_up::WarmUpBounds;
-pub use decision::{AgentAction, AgentCounters, AnswerBody, Delivery, Departure};
+pub use decision::{AgentAction, AgentCounters, ForwardDecision, ReplyBody, TargetPacketDecision};
 pub use reporting::flow_statements;
 pub use target::failure_record::{AnswerKind, Suspicion};
 pub use target::heartbeat::{Heartbeat, HeartbeatError};
@@ -116,13 +116,13 @@
 /// Whether anything listens at the target's address, before its first
 /// heartbeat.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Presence {
+pub enum ListenState {
     /// It was not asked yet.
-    NotAsked,
+    Unknown,
     /// Something listens.
     Listening,
     /// Nothing listens.
-    Absent,
+    NotListening,
 }
 
 /// A start of the target that a later one has replaced.
@@ -142,7 +142,7 @@
     /// When it began, by what it says, in milliseconds of Unix time.
     born_ms: Option<u64>,
     replaced: Vec<ReplacedStart>,
-    succession: Succession,
+    succession: RestartDetector,
     /// Whether it has said that it is gone.
     is_deregistered: bool,
     first_beat_at: Option<Instant>,
@@ -154,7 +154,7 @@
     former_beat_at: Option<Instant>,
     sent_at: Option<Instant>,
     unanswered_since: Option<Instant>,
-    presence: Presence,
+    presence: ListenState,
     /// Whether the target began while the agent ran, so that the agent has seen each of
     /// its flows.
     began_later: bool,
@@ -201,7 +201,7 @@
     report_due: bool,
     fetch: Option<(NodeAddress, Instant)>,
     ticked_at: Option<Instant>,
-    notes: Notes,
+    notes: LogEventBuffer,
     counters: AgentCounters,
     promises: PromiseWatch,
 }
@@ -240,7 +240,7 @@
             report_due: false,
             fetch: None,
             ticked_at: None,
-            notes: Notes::default(),
+            notes: LogEventBuffer::default(),
             counters: AgentCounters::default(),
             promises: PromiseWatch::default(),
         }
@@ -266,7 +266,7 @@
 
     /// Configuration that the agent knows.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.routes.version()
     }
 
@@ -306,12 +306,12 @@
     }
 
     /// Notes for the log and how many were left out.
-    pub fn take_notes(&mut self) -> (Vec<Note>, u64) {
+    pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
         self.notes.take()
     }
 
     /// Takes what another node knows.
-    pub fn snapshot(&mut self, from: NodeAddress, snapshot: Snapshot, now: Instant) {
+    pub fn apply_snapshot(&mut self, from: NodeAddress, snapshot: Snapshot, now: Instant) {
         if self.fetch.is_some_and(|(asked, _)| asked == from) {
             self.fetch = None;
         }
@@ -325,7 +325,7 @@
     }
 
     /// A request for a snapshot failed.
-    pub fn snapshot_failed(&mut self, from: NodeAddress) {
+    pub fn handle_snapshot_failure(&mut self, from: NodeAddress) {
         if self.fetch.is_some_and(|(asked, _)| asked == from) {
             self.fetch = None;
         }
@@ -334,7 +334,7 @@
     /// What this node tells others that ask for a snapshot.
     #[must_use]
     pub fn answer_snapshot(&self, request: &SnapshotRequest) -> Snapshot {
-        let balancers = self.balancers.confirmed().collect();
+        let balancers = self.balancers.confirmed_by_hello().collect();
         let agents = vec![self.options.address];
         Snapshot::for_request(
             request,
@@ -347,7 +347,7 @@
     }
 
     /// Begins a planned stop: no new flow, forwards on.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.is_stopping = true;
         self.set_state(TargetState::Leaving);
     }
@@ -359,7 +359,7 @@
         }
         self.version_known_at = now;
         self.newer_heard_at = None;
-        self.notes.add(Note::ConfigurationAdopted {
+        self.notes.add(LogEvent::ConfigurationAdopted {
             version: self.routes.version(),
             former,
             routes: self.routes.current().map_or(0, |it| it.routes.len()),
@@ -374,7 +374,7 @@
         };
         let next = ActiveMechanisms::at_agent(configuration, self.options.service);
         if std::mem::replace(&mut self.mechanisms, next) != next {
-            self.notes.add(Note::MechanismsChanged { active: next });
+            self.notes.add(LogEvent::MechanismsChanged { active: next });
         }
     }
 
@@ -385,7 +385,7 @@
         }
         self.target.state = state;
         self.report_due = true;
-        self.notes.add(Note::TargetState {
+        self.notes.add(LogEvent::TargetState {
             former,
             state,
             incarnation: self.target.incarnation,
@@ -394,15 +394,15 @@
 
     /// Decides about a packet that a balancer sent; `bytes` are the packet as
     /// it came.
-    pub fn forwarded(
+    pub fn handle_forwarded_packet(
         &mut self,
         from: NodeAddress,
         header: &ForwardHeader,
         packet: &FlowPacket,
         bytes: &[u8],
         now: Instant,
-    ) -> Delivery {
-        self.counters.packets += 1;
+    ) -> ForwardDecision {
+        self.counters.packets_received += 1;
         self.name_balancer(from, now);
         if header.service != self.options.service {
             return self.give_back(ReturnReason::WrongService);
@@ -414,9 +414,9 @@
         }
     }
 
-    fn give_back(&mut self, reason: ReturnReason) -> Delivery {
-        self.counters.declined += 1;
-        Delivery::Answer(self.returned(reason), AnswerBody::Packet)
+    fn give_back(&mut self, reason: ReturnReason) -> ForwardDecision {
+        self.counters.openings_declined += 1;
+        ForwardDecision::Reply(self.returned(reason), ReplyBody::Packet)
     }
 
     fn returned(&self, reason: ReturnReason) -> PeerMessage {
@@ -437,7 +437,7 @@
             name: None,
             born_ms: None,
             replaced: Vec::new(),
-            succession: Succession::default(),
+            succession: RestartDetector::default(),
             is_deregistered: false,
             first_beat_at: None,
             sequence: 0,
@@ -447,7 +447,7 @@
             former_beat_at: None,
             sent_at: None,
             unanswered_since: None,
-            presence: Presence::NotAsked,
+            presence: ListenState::Unknown,
             began_later: false,
         }
     }
--- a/crates/woodladder-core/src/flow/agent/reporting/announcements.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/announcements.rs
@@ -5,12 +5,12 @@
 use crate::clock::Instant;
 use crate::flow::agent::reporting::flow_statements::TOLD_FROM_AGE;
 use crate::flow::agent::reporting::report_schedule::DueReport;
-use crate::flow::agent::{Agent, AgentAction, FlowState, WarmUpDoubt};
-use crate::flow::balancer::OWN_ZONE_FIRST_FOR;
+use crate::flow::agent::{Agent, AgentAction, ColdReason, FlowState};
+use crate::flow::balancer::OTHER_ZONE_FETCH_DELAY;
 use crate::flow::held_flows::FlowFingerprint;
 use crate::flow::identity::NodeAddress;
-use crate::flow::message::{BalancerGreeting, PeerMessage, SnapshotRequest, TargetReport};
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
+use crate::flow::message::{BalancerHello, PeerMessage, SnapshotRequest, TargetReport};
 
 /// Time after which a request for a snapshot counts as lost.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
@@ -25,7 +25,7 @@
 
 impl Agent {
     /// Takes a message of a balancer in.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         from: NodeAddress,
         message: &PeerMessage,
@@ -33,7 +33,7 @@
         actions: &mut Vec<AgentAction>,
     ) {
         match message {
-            PeerMessage::Greeting(greeting) => self.greeted(from, greeting, now, actions),
+            PeerMessage::Hello(greeting) => self.greeted(from, greeting, now, actions),
             PeerMessage::Locate { keys } => self.locate(from, keys, None, now, actions),
             PeerMessage::LocateRecorded { incarnation, keys } => {
                 self.locate(from, keys, Some(*incarnation), now, actions);
@@ -44,14 +44,14 @@
                 self.report_where_due(now, actions);
             }
             PeerMessage::ListFlows => self.list_flows(from, now, actions),
-            _ => self.counters.dropped += 1,
+            _ => self.counters.packets_dropped += 1,
         }
     }
 
     /// Sends a balancer the list of flows that it has asked for.
     fn list_flows(&mut self, to: NodeAddress, now: Instant, actions: &mut Vec<AgentAction>) {
         for part in self.statements.list(now) {
-            self.counters.list_parts += 1;
+            self.counters.flow_list_parts_sent += 1;
             let message = PeerMessage::FlowList(part);
             actions.push(AgentAction::Send { to, message });
         }
@@ -72,7 +72,7 @@
     }
 
     /// Takes the balancers that the store or the settings name.
-    pub fn listed(&mut self, balancers: &[NodeAddress], now: Instant) {
+    pub fn add_listed_balancers(&mut self, balancers: &[NodeAddress], now: Instant) {
         for balancer in balancers {
             self.name_balancer(*balancer, now);
         }
@@ -80,7 +80,7 @@
 
     /// Remembers a balancer; a new one is sent a report with the next tick.
     pub(crate) fn name_balancer(&mut self, balancer: NodeAddress, now: Instant) {
-        if balancer != self.options.address && self.balancers.named(balancer, now) {
+        if balancer != self.options.address && self.balancers.learn_address(balancer, now) {
             self.reports.add(balancer, now);
         }
     }
@@ -88,26 +88,26 @@
     fn greeted(
         &mut self,
         from: NodeAddress,
-        greeting: &BalancerGreeting,
+        greeting: &BalancerHello,
         now: Instant,
         actions: &mut Vec<AgentAction>,
     ) {
-        if greeting.leaving {
+        if greeting.is_leaving {
             // It forwards on for a while and needs reports for that, and does not
             // greet again.
             self.balancers
-                .heard(from, greeting.version, Duration::ZERO, now);
+                .record_hello(from, greeting.version, Duration::ZERO, now);
             return;
         }
-        let greets_within = Duration::from_millis(greeting.next_within_ms.into());
+        let greets_within = Duration::from_millis(greeting.next_hello_within_ms.into());
         self.adopt_zones(&greeting.excluded_zones, from, now);
         let is_new = self
             .balancers
-            .heard(from, greeting.version, greets_within, now);
+            .record_hello(from, greeting.version, greets_within, now);
         if is_new {
-            self.notes.add(Note::BalancerFound { balancer: from });
+            self.notes.add(LogEvent::BalancerFound { balancer: from });
         }
-        if is_new || greeting.asks_for_report {
+        if is_new || greeting.requests_report {
             self.statements.forget_balancer(from);
             self.reports.due_now(from, now);
             self.report_where_due(now, actions);
@@ -124,7 +124,7 @@
     fn learn_version(
         &mut self,
         from: NodeAddress,
-        greeting: &BalancerGreeting,
+        greeting: &BalancerHello,
         now: Instant,
         actions: &mut Vec<AgentAction>,
     ) {
@@ -132,7 +132,7 @@
             return;
         }
         let heard_at = *self.newer_heard_at.get_or_insert(now);
-        let has_waited = now.since(heard_at) >= OWN_ZONE_FIRST_FOR;
+        let has_waited = now.since(heard_at) >= OTHER_ZONE_FETCH_DELAY;
         let knows_nothing = self.routes.version() == 0;
         let is_near = greeting.zone == self.options.zone;
         let is_pending = self
@@ -151,9 +151,9 @@
 
     /// Tells the balancers, as part of a planned stop, that the target has
     /// ended. Not to be called while the target lives: its flows are reset.
-    pub fn say_farewell(&self, actions: &mut Vec<AgentAction>) {
+    pub fn announce_target_end(&self, actions: &mut Vec<AgentAction>) {
         for to in self.balancers.addresses() {
-            let message = PeerMessage::Farewell;
+            let message = PeerMessage::TargetEnded;
             actions.push(AgentAction::Send { to, message });
         }
     }
@@ -174,23 +174,23 @@
         let pause = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
         if pause >= STALL {
-            self.balancers.forgive_silence(now);
+            self.balancers.restart_silence_timers(now);
             self.target.unanswered_since = None;
-            self.doubt_warmth(WarmUpDoubt::OutOfTouch, now);
-            self.notes.add(Note::Stalled { duration: pause });
+            self.doubt_warmth(ColdReason::OutOfTouch, now);
+            self.notes.add(LogEvent::Stalled { duration: pause });
         }
         self.flows.tick(now);
         self.watch_target(now);
         self.watch_outcomes(now);
         for balancer in self.balancers.tick(now) {
-            self.notes.add(Note::BalancerLost { balancer });
+            self.notes.add(LogEvent::BalancerLost { balancer });
         }
         let balancers = &self.balancers;
         self.reports.retain(|balancer| balancers.knows(balancer));
         self.statements
             .retain_balancers(|balancer| balancers.knows(balancer));
         self.count_doubtful(now);
-        self.serve_queue(now, actions);
+        self.dispatch_queued(now, actions);
         if std::mem::take(&mut self.report_due) {
             self.reports.all_due(now);
         }
@@ -234,14 +234,14 @@
             sequence: self.report_sequence,
             service: self.options.service,
             incarnation: self.target.incarnation,
-            born_ms: self.target.born_ms,
-            former_heard_ms: self.target.former_beat_at.map_or(0, |at| {
+            started_at_ms: self.target.born_ms,
+            previous_heartbeat_age_ms: self.target.former_beat_at.map_or(0, |at| {
                 u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX)
             }),
             knows_all_flows: self.knows_all_flows(now),
             zone: self.options.zone,
             state: self.target.state,
-            capacity: self.target.capacity,
+            slots: self.target.capacity,
             warm_up_ms: u32::try_from(warm_up.as_millis()).unwrap_or(u32::MAX),
             load: self.load,
             version: self.routes.version(),
--- a/crates/woodladder-core/src/flow/agent/reporting/exclusion.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/exclusion.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::flow::agent::{Agent, WarmUpDoubt};
+use crate::flow::agent::{Agent, ColdReason};
 use crate::flow::excluded_zones::ExcludedZones;
 use crate::flow::identity::NodeAddress;
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 
 /// Time without word of the excluded zones after which the zone may have been
 /// excluded and taken back unheard: longer than the rounds in which even one
@@ -27,14 +27,14 @@
         let formerly = self.excluded_zones.zones.len();
         let differs = self.excluded_zones.adopt(zones);
         if was_excluded && !self.is_excluded() {
-            self.doubt_warmth(WarmUpDoubt::ZoneTakenBack, now);
+            self.doubt_warmth(ColdReason::ZoneTakenBack, now);
         } else if was_out_of_touch {
-            self.doubt_warmth(WarmUpDoubt::OutOfTouch, now);
+            self.doubt_warmth(ColdReason::OutOfTouch, now);
         }
         if !differs {
             return;
         }
-        self.notes.add(Note::ZonesExcluded {
+        self.notes.add(LogEvent::ZonesExcluded {
             excluded: self.excluded_zones.zones.len(),
             formerly,
             own_is_excluded: self.is_excluded(),
--- a/crates/woodladder-core/src/flow/agent/reporting/flow_statements.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/flow_statements.rs
@@ -10,8 +10,8 @@
 
 use crate::clock::Instant;
 use crate::flow::held_flows::{
-    FlowFingerprint, FlowListPart, FlowStatement, MOST_FINGERPRINTS, MOST_TOLD_FLOWS,
-    StatementCoverage,
+    AnnouncementCoverage, FlowAnnouncement, FlowFingerprint, FlowListPart, MAXIMUM_ANNOUNCED_FLOWS,
+    MAXIMUM_FINGERPRINTS,
 };
 use crate::flow::identity::NodeAddress;
 
@@ -81,8 +81,8 @@
     /// Takes in which flows have been open for [`TOLD_FROM_AGE`].
     pub fn look(&mut self, flows: impl Iterator<Item = FlowFingerprint>, now: Instant) {
         self.looked_at = Some(now);
-        let next: FxHashSet<FlowFingerprint> = flows.take(MOST_TOLD_FLOWS + 1).collect();
-        self.has_too_many = next.len() > MOST_TOLD_FLOWS;
+        let next: FxHashSet<FlowFingerprint> = flows.take(MAXIMUM_ANNOUNCED_FLOWS + 1).collect();
+        self.has_too_many = next.len() > MAXIMUM_ANNOUNCED_FLOWS;
         let next = if self.has_too_many {
             FxHashSet::default()
         } else {
@@ -118,7 +118,7 @@
     }
 
     /// What the next report to a balancer states.
-    pub fn statement_for(&mut self, balancer: NodeAddress) -> FlowStatement {
+    pub fn statement_for(&mut self, balancer: NodeAddress) -> FlowAnnouncement {
         let last = self.last;
         let told = self.told.get(&balancer).copied();
         let before = told.map_or(last, |told| told.latest);
@@ -130,13 +130,13 @@
             },
         );
         if self.has_too_many {
-            return self.statement(StatementCoverage::Nothing, last, Vec::new(), Vec::new());
+            return self.statement(AnnouncementCoverage::Nothing, last, Vec::new(), Vec::new());
         }
         let Some(told) = told else {
             return self.first_statement();
         };
         let wanted = last.wrapping_sub(told.before) as usize;
-        let stated = wanted.min(self.changes.len()).min(MOST_FINGERPRINTS);
+        let stated = wanted.min(self.changes.len()).min(MAXIMUM_FINGERPRINTS);
         let mut latest: FxHashMap<FlowFingerprint, bool> = FxHashMap::default();
         for change in self.changes.iter().skip(self.changes.len() - stated) {
             latest.insert(change.flow, change.is_open);
@@ -151,17 +151,22 @@
             flows
         };
         let first = last.wrapping_sub(u32::try_from(stated).unwrap_or(0));
-        self.statement(StatementCoverage::Changes, first, with(true), with(false))
+        self.statement(
+            AnnouncementCoverage::Changes,
+            first,
+            with(true),
+            with(false),
+        )
     }
 
     /// A balancer that was told nothing gets the whole list where it fits.
-    fn first_statement(&self) -> FlowStatement {
-        if self.open.len() > MOST_FINGERPRINTS {
-            let changes = StatementCoverage::Changes;
+    fn first_statement(&self) -> FlowAnnouncement {
+        if self.open.len() > MAXIMUM_FINGERPRINTS {
+            let changes = AnnouncementCoverage::Changes;
             return self.statement(changes, self.last, Vec::new(), Vec::new());
         }
         self.statement(
-            StatementCoverage::Complete,
+            AnnouncementCoverage::Complete,
             self.last,
             self.sorted(),
             Vec::new(),
@@ -170,15 +175,15 @@
 
     fn statement(
         &self,
-        coverage: StatementCoverage,
-        first: u32,
+        coverage: AnnouncementCoverage,
+        base_change: u32,
         open: Vec<FlowFingerprint>,
         closed: Vec<FlowFingerprint>,
-    ) -> FlowStatement {
-        FlowStatement {
+    ) -> FlowAnnouncement {
+        FlowAnnouncement {
             coverage,
-            first,
-            last: self.last,
+            base_change,
+            last_change: self.last,
             open,
             closed,
         }
@@ -194,7 +199,7 @@
     /// flows, or other balancers have just been sent as much as may be sent. It asks
     /// again then.
     pub fn list(&mut self, now: Instant) -> Vec<FlowListPart> {
-        let parts = self.open.len().div_ceil(MOST_FINGERPRINTS).max(1);
+        let parts = self.open.len().div_ceil(MAXIMUM_FINGERPRINTS).max(1);
         self.refill(now);
         let cost = parts as f64;
         if self.has_too_many || self.list_parts_left < cost {
@@ -204,13 +209,13 @@
         let flows = self.sorted();
         let part_of = |part: usize| FlowListPart {
             epoch: self.epoch,
-            last: self.last,
-            part: u8::try_from(part).unwrap_or(u8::MAX),
-            parts: u8::try_from(parts).unwrap_or(u8::MAX),
+            last_change: self.last,
+            part_index: u8::try_from(part).unwrap_or(u8::MAX),
+            part_count: u8::try_from(parts).unwrap_or(u8::MAX),
             open: flows
                 .iter()
-                .skip(part * MOST_FINGERPRINTS)
-                .take(MOST_FINGERPRINTS)
+                .skip(part * MAXIMUM_FINGERPRINTS)
+                .take(MAXIMUM_FINGERPRINTS)
                 .copied()
                 .collect(),
         };
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -3,7 +3,9 @@
 use super::super::identity::{FlowKey, Incarnation, NodeAddress};
 use super::super::message::{MAXIMUM_KEYS, PeerMessage, TargetState};
 use super::super::packet::{FlowPacket, PacketKind};
-use super::{Agent, AgentAction, AnswerBody, Delivery, FlowState, HeldFlow, Presence, not_held};
+use super::{
+    Agent, AgentAction, FlowState, ForwardDecision, HeldFlow, ListenState, ReplyBody, not_held,
+};
 use crate::clock::Instant;
 
 impl Agent {
@@ -13,10 +15,10 @@
         packet: &FlowPacket,
         bytes: &[u8],
         now: Instant,
-    ) -> Delivery {
-        if let Some(flow) = self.flows.use_flow(&packet.key) {
+    ) -> ForwardDecision {
+        if let Some(flow) = self.flows.touch(&packet.key) {
             match flow.state {
-                FlowState::Unconfirmed => return Delivery::plain(),
+                FlowState::Unconfirmed => return ForwardDecision::plain(),
                 FlowState::Offered | FlowState::Accepted => {
                     return self.try_target(from, packet, now);
                 }
@@ -24,22 +26,22 @@
             }
             if self.waits(from, packet, bytes, now) {
                 let located = self.located(&packet.key);
-                return located.map_or(Delivery::Drop, Delivery::Queued);
+                return located.map_or(ForwardDecision::Drop, ForwardDecision::Queued);
             }
             let begins_request = self.count_delivery(from, packet, now);
-            let tell = self.located(&packet.key);
-            return Delivery::Deliver {
-                tell,
+            let reply = self.located(&packet.key);
+            return ForwardDecision::Deliver {
+                reply,
                 begins_request,
             };
         }
         let knows_all = self.knows_all_flows(now);
         if !knows_all && !self.has_heard_target() {
-            return Delivery::Drop;
+            return ForwardDecision::Drop;
         }
         if knows_all {
-            self.counters.denied += 1;
-            return Delivery::Answer(not_held(packet.key), AnswerBody::Nothing);
+            self.counters.searches_denied += 1;
+            return ForwardDecision::Reply(not_held(packet.key), ReplyBody::Empty);
         }
         self.try_target(from, packet, now)
     }
@@ -53,7 +55,7 @@
         Some(PeerMessage::Located {
             key: *key,
             incarnation: self.target.incarnation,
-            heartbeat: self.load.heartbeat,
+            heartbeat: self.load.last_heartbeat,
         })
     }
 
@@ -80,7 +82,7 @@
             }
         }
         if !denied.is_empty() {
-            self.counters.denied += 1;
+            self.counters.searches_denied += 1;
             let message = match recorded {
                 Some(incarnation) => PeerMessage::RecordedNotHeld {
                     incarnation,
@@ -101,7 +103,9 @@
     /// flow that another target holds.
     pub(super) fn has_heard_target(&self) -> bool {
         let has_beaten = self.target.state != TargetState::Unknown;
-        has_beaten || self.target.sent_at.is_some() || self.target.presence == Presence::Listening
+        has_beaten
+            || self.target.sent_at.is_some()
+            || self.target.presence == ListenState::Listening
     }
 
     /// Whether every open flow of the target is in the table: the agent has
@@ -128,9 +132,9 @@
         from: NodeAddress,
         packet: &FlowPacket,
         now: Instant,
-    ) -> Delivery {
+    ) -> ForwardDecision {
         if packet.kind == PacketKind::Open {
-            return Delivery::Drop;
+            return ForwardDecision::Drop;
         }
         let flow = HeldFlow {
             state: FlowState::Unconfirmed,
@@ -139,12 +143,12 @@
             balancer: from,
             since: now,
             busy_since: None,
-            caller_next: packet.sequence.wrapping_add(packet.payload.into()),
+            caller_next: packet.sequence.wrapping_add(packet.payload_length.into()),
             request_start: 0,
             awaits_outcome: false,
         };
         self.forget_flow(&packet.key);
         self.flows.insert(packet.key, flow, now);
-        Delivery::plain()
+        ForwardDecision::plain()
     }
 }
--- a/crates/woodladder-core/src/flow/agent/target/failure_record.rs
+++ b/crates/woodladder-core/src/flow/agent/target/failure_record.rs
@@ -37,7 +37,7 @@
     /// The target failed.
     Failure,
     /// The target did not run the request.
-    TurnedAway,
+    Rejected,
 }
 
 /// Whether a target has become or ceased to be suspect.
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::flow::agent::{Agent, Presence, ReplacedStart, Target};
+use crate::flow::agent::{Agent, ListenState, ReplacedStart, Target};
 use crate::flow::identity::{Incarnation, ServiceKey};
 use crate::flow::message::TargetState;
-use crate::flow::succession::TargetStart;
+use crate::flow::target_restart::TargetStart;
 
 /// Earlier incarnations that are told apart from a new one.
 const REMEMBERED_INCARNATIONS: usize = 16;
@@ -28,17 +28,17 @@
     /// Incarnation that sends it.
     pub incarnation: Incarnation,
     /// The incarnation by its name alone; the same for all starts under one name.
-    pub name: Incarnation,
+    pub instance: Incarnation,
     /// When it began, in milliseconds of Unix time, where it says so.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Service of the target.
     pub service: ServiceKey,
     /// Whether it says that it leaves.
     pub leaving: bool,
     /// Requests that it works on at the same time.
-    pub capacity: u16,
+    pub slots: u16,
     /// How much longer it is slow from its start.
-    pub warm_up: Duration,
+    pub warm_up_remaining: Duration,
     /// Grows with each heartbeat of one incarnation.
     pub sequence: u64,
 }
@@ -73,13 +73,17 @@
     ///
     /// # Errors
     /// [`HeartbeatError`] when it is not taken; nothing has changed.
-    pub fn heartbeat(&mut self, beat: &Heartbeat, now: Instant) -> Result<(), HeartbeatError> {
+    pub fn handle_heartbeat(
+        &mut self,
+        beat: &Heartbeat,
+        now: Instant,
+    ) -> Result<(), HeartbeatError> {
         let taken = self.take_heartbeat(beat, now);
         match taken {
-            Ok(()) => self.promises.leaving_taken(beat.incarnation, now),
+            Ok(()) => self.promises.record_leaving_accepted(beat.incarnation, now),
             // One that was replaced has ended and waits for nothing.
             Err(HeartbeatError::Replaced) => {}
-            Err(_) if beat.leaving => self.promises.leaving_not_taken(beat.incarnation, now),
+            Err(_) if beat.leaving => self.promises.record_leaving_rejected(beat.incarnation, now),
             Err(_) => {}
         }
         taken
@@ -107,11 +111,11 @@
         self.target.succession.confirm_known();
         self.target.first_beat_at.get_or_insert(now);
         self.target.sequence = beat.sequence;
-        self.load.heartbeat = beat.sequence;
+        self.load.last_heartbeat = beat.sequence;
         self.target.beat_at = Some(now);
         self.target.unanswered_since = None;
-        self.target.capacity = beat.capacity;
-        self.target.warm_at = now + beat.warm_up;
+        self.target.capacity = beat.slots;
+        self.target.warm_at = now + beat.warm_up_remaining;
         self.warm_up.told(now);
         let state = match (beat.leaving, self.target.state) {
             (true, _) | (_, TargetState::Leaving) => TargetState::Leaving,
@@ -125,7 +129,7 @@
     /// may be its name alone. When a start of that name was replaced here and the
     /// present one has not said that it leaves, the former one's message may be late:
     /// nothing changes.
-    pub fn deregister(&mut self, incarnation: Incarnation) {
+    pub fn handle_deregistration(&mut self, incarnation: Incarnation) {
         let target = &mut self.target;
         let says_start = target.incarnation == Some(incarnation);
         let says_name = target.name == Some(incarnation);
@@ -148,8 +152,8 @@
         let former = self.target.clone();
         self.target = Target::unknown(now);
         self.target.incarnation = Some(beat.incarnation);
-        self.target.name = Some(beat.name);
-        self.target.born_ms = beat.born_ms;
+        self.target.name = Some(beat.instance);
+        self.target.born_ms = beat.started_unix_ms;
         self.target.began_later =
             former.began_later || former.has_lived_here(beat) || beat.sequence <= FIRST_SEQUENCE;
         self.target.replaced = former.replaced;
@@ -179,16 +183,16 @@
     /// Whether it should be asked if the target listens: before the first sign
     /// of it.
     #[must_use]
-    pub fn asks_for_presence(&self) -> bool {
+    pub fn needs_listen_probe(&self) -> bool {
         let was_heard = self.target.state != TargetState::Unknown || self.target.sent_at.is_some();
-        !was_heard && self.target.presence != Presence::Listening
+        !was_heard && self.target.presence != ListenState::Listening
     }
 
     /// Takes in whether the target listens. One that does not yet will begin
     /// while the agent runs, so the agent sees each of its flows.
-    pub fn presence(&mut self, presence: Presence) {
+    pub fn record_listen_state(&mut self, presence: ListenState) {
         self.target.presence = presence;
-        self.target.began_later |= presence == Presence::Absent;
+        self.target.began_later |= presence == ListenState::NotListening;
     }
 
     /// Notices a target that answers no opening.
@@ -225,13 +229,14 @@
         }
         let known = TargetStart {
             incarnation,
-            born_ms: self.born_ms,
+            started_at_ms: self.born_ms,
         };
         let next = TargetStart {
             incarnation: beat.incarnation,
-            born_ms: beat.born_ms,
+            started_at_ms: beat.started_unix_ms,
         };
-        self.succession.follows(&known, &next, beat.sequence, now)
+        self.succession
+            .supersedes(&known, &next, beat.sequence, now)
     }
 
     /// Whether it was alive while the agent ran, so that one that follows it began
@@ -239,6 +244,6 @@
     fn has_lived_here(&self, next: &Heartbeat) -> bool {
         let span = self.first_beat_at.zip(self.beat_at);
         let was_heard_twice = span.is_some_and(|(first, last)| last.since(first) >= ALIVE_BETWEEN);
-        self.incarnation.is_some() && (next.born_ms.is_none() || was_heard_twice)
+        self.incarnation.is_some() && (next.started_unix_ms.is_none() || was_heard_twice)
     }
 }
--- a/crates/woodladder-core/src/flow/agent/target/load.rs
+++ b/crates/woodladder-core/src/flow/agent/target/load.rs
@@ -6,7 +6,7 @@
 use crate::flow::agent::target::resting_work::RestingFlows;
 use crate::flow::agent::{Agent, FlowState};
 use crate::flow::identity::FlowKey;
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 
 /// A new sample counts for one part in this many of the mean service time.
 const MEAN_DIVISOR: u32 = 8;
@@ -17,7 +17,7 @@
 
 impl Agent {
     pub(crate) fn answered(&mut self, key: &FlowKey, now: Instant) {
-        let Some(flow) = self.flows.use_flow(key) else {
+        let Some(flow) = self.flows.touch(key) else {
             return;
         };
         let Some(since) = flow.busy_since.take() else {
@@ -28,14 +28,14 @@
         self.progress_at = now;
         self.count_resting_work(key, service_time);
         self.load.busy = self.load.busy.saturating_sub(1);
-        self.counters.answered += 1;
+        self.counters.requests_answered += 1;
         let sample = u32::try_from(service_time.as_micros()).unwrap_or(u32::MAX);
         let mean = self.load.service_time_us;
         self.load.service_time_us = match mean {
             0 => sample,
             _ => mean - mean / MEAN_DIVISOR + sample / MEAN_DIVISOR,
         };
-        self.notes.add(Note::RequestAnswered {
+        self.notes.add(LogEvent::RequestAnswered {
             key: *key,
             service_time,
         });
@@ -43,7 +43,7 @@
 
     /// The target closes its side, so it answers no request any more.
     pub(crate) fn end_request(&mut self, key: &FlowKey) {
-        if let Some(flow) = self.flows.use_flow(key)
+        if let Some(flow) = self.flows.touch(key)
             && flow.busy_since.take().is_some()
         {
             self.load.busy = self.load.busy.saturating_sub(1);
@@ -52,7 +52,7 @@
 
     /// A flow no longer counts as an opening that will become a request.
     pub(crate) fn stop_expecting(&mut self, key: &FlowKey) {
-        if let Some(flow) = self.flows.use_flow(key)
+        if let Some(flow) = self.flows.touch(key)
             && flow.is_expected
         {
             flow.is_expected = false;
@@ -81,7 +81,7 @@
             }
         }
         self.resting_work.count(&resting, now);
-        self.load.resting_work = self.resting_work.expected();
+        self.load.idle_flow_work_millislots = self.resting_work.expected();
         self.load.busy = busy;
         self.load.opening = opening;
         self.load.flows = flows;
--- a/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
+++ b/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
@@ -5,7 +5,7 @@
 use crate::clock::Instant;
 use crate::flow::agent::{Agent, AnswerKind, Suspicion};
 use crate::flow::identity::FlowKey;
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 
 /// Service times after which a request that its caller gives up counts as a
 /// failure of the target.
@@ -15,8 +15,8 @@
 
 impl Agent {
     /// Takes in how the answer of a flow's request begins. To be called before
-    /// [`Self::departing`] is given the packet.
-    pub fn answer_begins(&mut self, key: &FlowKey, kind: AnswerKind, now: Instant) {
+    /// [`Self::handle_target_packet`] is given the packet.
+    pub fn record_answer_start(&mut self, key: &FlowKey, kind: AnswerKind, now: Instant) {
         if !self.take_awaited(key) {
             return;
         }
@@ -24,10 +24,10 @@
             AnswerKind::Success => self.count_outcome(true, now),
             AnswerKind::Failure => self.count_outcome(false, now),
             // With no more requests than slots, a target has no cause to.
-            AnswerKind::TurnedAway if self.load.busy <= self.target.capacity => {
+            AnswerKind::Rejected if self.load.busy <= self.target.capacity => {
                 self.count_outcome(false, now);
             }
-            AnswerKind::TurnedAway => {}
+            AnswerKind::Rejected => {}
         }
     }
 
@@ -35,14 +35,14 @@
     /// more.
     pub(crate) fn take_awaited(&mut self, key: &FlowKey) -> bool {
         self.flows
-            .use_flow(key)
+            .touch(key)
             .is_some_and(|flow| std::mem::take(&mut flow.awaits_outcome))
     }
 
     pub(crate) fn count_outcome(&mut self, succeeded: bool, now: Instant) {
         self.failures.count(succeeded, now);
         self.load.failed_percent = self.failures.failed_percent();
-        self.counters.failed += u64::from(!succeeded);
+        self.counters.requests_failed += u64::from(!succeeded);
     }
 
     /// The caller gave a request up; when it has waited for far longer than
@@ -61,7 +61,7 @@
         let suspicion = self.failures.tick(now);
         self.load.failed_percent = self.failures.failed_percent();
         if let Some(suspicion) = suspicion {
-            self.notes.add(Note::TargetSuspicion {
+            self.notes.add(LogEvent::TargetSuspicion {
                 is_suspect: suspicion == Suspicion::Begun,
                 failed_percent: self.load.failed_percent,
                 incarnation: self.target.incarnation,
--- a/crates/woodladder-core/src/flow/agent/target/resting_work.rs
+++ b/crates/woodladder-core/src/flow/agent/target/resting_work.rs
@@ -128,7 +128,7 @@
     /// Counts an answered request for the work of flows at rest. While more requests
     /// than slots are at work, each takes a part of a slot only.
     pub(crate) fn count_resting_work(&mut self, key: &FlowKey, service_time: Duration) {
-        let Some(flow) = self.flows.use_flow(key) else {
+        let Some(flow) = self.flows.touch(key) else {
             return;
         };
         if std::mem::replace(&mut flow.has_answered, true) {
--- a/crates/woodladder-core/src/flow/agent_record.rs
+++ b/crates/woodladder-core/src/flow/agent_record.rs
@@ -4,8 +4,8 @@
 
 use super::identity::{Incarnation, NodeAddress, ServiceKey, ZoneKey};
 use super::message::{TargetLoad, TargetReport, TargetState};
-use super::pace::silence_limit;
-use super::succession::{Succession, TargetStart};
+use super::message_timing::liveness_timeout;
+use super::target_restart::{RestartDetector, TargetStart};
 use crate::clock::Instant;
 
 /// Reports that may be missing before an agent counts as silent.
@@ -44,7 +44,7 @@
     /// Whether the target takes flows.
     pub state: TargetState,
     /// Requests that the target works on at the same time.
-    pub capacity: u16,
+    pub slots: u16,
     /// Whether the agent has said that it knows each open flow of its target.
     pub knows_all_flows: bool,
     /// Last stated load.
@@ -54,12 +54,12 @@
     /// Incarnation that the flows known here belong to.
     pub incarnation: Option<Incarnation>,
     /// When that incarnation began by what it says, in milliseconds of Unix time.
-    pub(super) born_ms: Option<u64>,
-    pub(super) succession: Succession,
+    pub(super) started_at_ms: Option<u64>,
+    pub(super) succession: RestartDetector,
     /// The agent's start before the present one.
     pub(super) former_epoch: Option<u64>,
     /// Number of its last heartbeat that was reported.
-    pub heartbeat: u64,
+    pub last_heartbeat: u64,
     /// When the agent was last heard.
     pub heard_at: Instant,
     /// When the load was stated.
@@ -67,7 +67,7 @@
     /// Flows sent there since its load was last stated.
     pub sent_since: u32,
     /// Openings in a row that it has not answered.
-    pub unanswered: u32,
+    pub unanswered_openings: u32,
     /// When the target stops being slow from its start.
     pub warm_at: Instant,
     pub(super) epoch: u64,
@@ -86,21 +86,23 @@
     /// Whether the agent may be sent new flows as far as its reports tell.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
-        let limit = silence_limit(self.interval, MISSED_REPORTS, MINIMUM_SILENCE);
-        let owes_answer = self.owes_answer_for(now) >= SILENT_WHEN_ASKED;
-        now.since(self.heard_at) < limit && self.unanswered < SUSPECT_UNANSWERED && !owes_answer
+        let limit = liveness_timeout(self.interval, MISSED_REPORTS, MINIMUM_SILENCE);
+        let owes_answer = self.unanswered_for(now) >= SILENT_WHEN_ASKED;
+        now.since(self.heard_at) < limit
+            && self.unanswered_openings < SUSPECT_UNANSWERED
+            && !owes_answer
     }
 
     /// Time since the agent was asked something that it has not answered; zero
     /// when it owes no answer.
     #[must_use]
-    pub fn owes_answer_for(&self, now: Instant) -> Duration {
+    pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.asked_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
     pub(super) fn heard(&mut self, now: Instant) {
         self.heard_at = now;
-        self.unanswered = 0;
+        self.unanswered_openings = 0;
         self.asked_at = None;
     }
 
@@ -118,31 +120,31 @@
             self.succession.confirm_known();
             return None;
         }
-        let is_weighed = report.epoch == self.epoch && !self.succession.is_open();
+        let is_weighed = report.epoch == self.epoch && !self.succession.is_undecided();
         if let (Some(incarnation), false) = (known, is_weighed) {
-            let born_ms = self.born_ms;
+            let started_at_ms = self.started_at_ms;
             let known = TargetStart {
                 incarnation,
-                born_ms,
+                started_at_ms,
             };
             let next = TargetStart {
                 incarnation: next,
-                born_ms: report.born_ms,
+                started_at_ms: report.started_at_ms,
             };
             let sequence = report.sequence;
-            if !self.succession.follows(&known, &next, sequence, now) {
+            if !self.succession.supersedes(&known, &next, sequence, now) {
                 return None;
             }
         }
         self.incarnation = Some(next);
-        self.born_ms = report.born_ms;
+        self.started_at_ms = report.started_at_ms;
         known
     }
 
     /// Requests that the target holds or has queued, with those that were sent
     /// there since its load was stated.
     #[must_use]
-    pub fn believed_load(&self) -> u16 {
+    pub fn estimated_load(&self) -> u16 {
         let sent_since = u16::try_from(self.sent_since).unwrap_or(u16::MAX);
         self.load.requests().saturating_add(sent_since)
     }
@@ -159,7 +161,7 @@
 
     /// Whether the agent's flows count as lost.
     #[must_use]
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_marked_lost(&self) -> bool {
         self.counted_lost
     }
 
@@ -173,11 +175,11 @@
             && self.incarnation.is_none()
             && self.knows_all_flows
             && self.load.flows == 0;
-        had_no_target && self.owes_answer_for(now) >= GONE_WITHOUT_TARGET_AFTER
+        had_no_target && self.unanswered_for(now) >= GONE_WITHOUT_TARGET_AFTER
     }
 
     pub(super) fn is_lost(&self, now: Instant) -> bool {
-        let limit = silence_limit(
+        let limit = liveness_timeout(
             self.interval,
             MISSED_REPORTS_OF_LOST,
             MINIMUM_SILENCE_OF_LOST,
@@ -186,7 +188,7 @@
     }
 
     pub(super) fn is_forgotten(&self, now: Instant) -> bool {
-        let limit = silence_limit(self.interval, MISSED_REPORTS_OF_FORGOTTEN, FORGET_AFTER);
+        let limit = liveness_timeout(self.interval, MISSED_REPORTS_OF_FORGOTTEN, FORGET_AFTER);
         now.since(self.heard_at) >= limit
     }
 
--- a/crates/woodladder-core/src/flow/balancer/decision.rs
+++ b/crates/woodladder-core/src/flow/balancer/decision.rs
@@ -16,10 +16,10 @@
     /// Zone of the machine.
     pub zone: ZoneKey,
     /// Processor that it may use, in thousandths of a core.
-    pub capacity: u32,
+    pub cpu_millicores: u32,
     /// Rate of its machine's link in each direction, in kilobits a second; `None`
     /// when it is not known.
-    pub link_rate: Option<u32>,
+    pub link_rate_kbps: Option<u32>,
     /// Most flows in the table.
     pub flow_capacity: usize,
     /// Least time that a flow at rest stays in the table.
@@ -29,8 +29,8 @@
 impl BalancerOptions {
     /// Processor that it can use for forwarding, in thousandths of a core.
     #[must_use]
-    pub fn usable_capacity(&self) -> u32 {
-        usable_capacity(self.capacity, self.link_rate)
+    pub fn usable_cpu_millicores(&self) -> u32 {
+        usable_capacity(self.cpu_millicores, self.link_rate_kbps)
     }
 }
 
@@ -62,7 +62,7 @@
     },
     /// Reset a flow towards its caller.
     Reset(CallerReset),
-    /// Ask a node for a snapshot and pass it to [`Balancer::snapshot`].
+    /// Ask a node for a snapshot and pass it to [`Balancer::handle_snapshot`].
     FetchSnapshot {
         /// The node.
         from: NodeAddress,
@@ -75,17 +75,17 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct BalancerCounters {
     /// Packets from callers.
-    pub packets: u64,
+    pub caller_packets: u64,
     /// Openings sent to a target for the first time.
-    pub opened: u64,
+    pub flows_opened: u64,
     /// Openings sent to a further target.
-    pub reopened: u64,
+    pub flows_reopened: u64,
     /// Packets of flows that were in the table.
-    pub established: u64,
+    pub established_packets: u64,
     /// Packets of flows that were searched for.
-    pub searched: u64,
+    pub searched_packets: u64,
     /// Packets that agents gave back.
-    pub returned: u64,
+    pub returned_packets: u64,
     /// Resets without a route.
     pub reset_no_route: u64,
     /// Resets without a target.
@@ -97,29 +97,29 @@
     /// Resets because the target that held the flow, as was recorded, does not.
     pub reset_holder_denied: u64,
     /// Packets handed to larger balancers.
-    pub relayed: u64,
+    pub relayed_packets: u64,
     /// Packets that smaller balancers have handed on.
-    pub taken_over: u64,
+    pub relayed_packets_received: u64,
     /// Agents asked whether they live.
-    pub probes: u64,
+    pub agent_probes: u64,
     /// Packets of searches handed to agents that could not tell without one.
     pub search_packets: u64,
     /// Openings that had to wait because the link was shared by enough flows.
-    pub put_off_for_link: u64,
+    pub openings_deferred_for_link: u64,
     /// Openings refused because their turn on the link came too late.
-    pub refused_for_link: u64,
+    pub openings_refused_for_link: u64,
     /// Packets dropped.
-    pub dropped: u64,
+    pub dropped_packets: u64,
     /// Searches that began with agents that tell the flow.
-    pub searched_by_list: u64,
+    pub searches_by_list: u64,
     /// Flows found at an agent that had told them.
-    pub located_by_list: u64,
+    pub flows_located_by_list: u64,
     /// Flows found by questions to all agents.
-    pub located_by_question: u64,
+    pub flows_located_by_query: u64,
     /// Questions about unknown flows sent to agents.
-    pub questions: u64,
+    pub search_queries: u64,
     /// Questions about one flow that were put off to spare the processor.
-    pub questions_put_off: u64,
+    pub search_queries_deferred: u64,
     /// Lists of flows asked for.
-    pub lists_asked: u64,
+    pub flow_lists_requested: u64,
 }
--- a/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
@@ -15,11 +15,11 @@
     /// Records written.
     pub writes: u64,
     /// Flows in the last one.
-    pub flows: u64,
+    pub last_record_flows: u64,
     /// Bytes of the last one.
-    pub bytes: u64,
+    pub last_record_bytes: u64,
     /// Age of the record that was read at the start, in milliseconds.
-    pub age_ms: u64,
+    pub restored_record_age_ms: u64,
 }
 
 /// The record that is kept and the one that was read.
--- a/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
@@ -9,7 +9,7 @@
 use crate::flow::flow_record::record::MAXIMUM_FLOWS;
 use crate::flow::flow_record::{FlowRecord, RecordError, RecordNeed, RecordStep, write_period};
 use crate::flow::identity::{Incarnation, NodeAddress};
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 use crate::flow::store_session::{NextCall, StoreCall, StoreReply};
 
 /// Heartbeats of its target after which a flow is recorded. The first may have been under
@@ -21,7 +21,7 @@
 const LONGEST_AGE: Duration = Duration::from_secs(60);
 
 impl Balancer {
-    /// The next call for the record; its reply goes to [`Self::record_reply`].
+    /// The next call for the record; its reply goes to [`Self::handle_record_reply`].
     /// `time_of_day` is in milliseconds since 1970.
     pub fn next_record_call(&mut self, time_of_day: u64, now: Instant) -> NextCall {
         let need = self.record_need(now);
@@ -34,7 +34,7 @@
     }
 
     /// Takes the reply to a call for the record in.
-    pub fn record_reply(
+    pub fn handle_record_reply(
         &mut self,
         reply: StoreReply,
         time_of_day: u64,
@@ -49,13 +49,13 @@
         };
         match self.check_record(&bytes, time_of_day) {
             Ok(record) => self.take_record(&record, time_of_day, now, actions),
-            Err(error) => self.notes.add(Note::FlowRecordRefused { error }),
+            Err(error) => self.notes.add(LogEvent::FlowRecordRefused { error }),
         }
     }
 
     /// The balancers that decide about flows, this one included.
     fn deciding_balancers(&self, now: Instant) -> usize {
-        let own = self.options.capacity;
+        let own = self.options.cpu_millicores;
         let others: Vec<u32> = self.peers.capacities(now).collect();
         let largest = others.iter().copied().max().unwrap_or(0).max(own);
         let decides = |capacity: &&u32| capacity.saturating_mul(LARGER_BY) > largest;
@@ -78,7 +78,7 @@
         let kind = |need: RecordNeed| matches!(need, RecordNeed::Write(_));
         let is_new = kind(former) != kind(need) || former == RecordNeed::Nothing;
         if is_new && former != need {
-            self.notes.add(Note::FlowRecording {
+            self.notes.add(LogEvent::FlowRecording {
                 need,
                 balancers: self.deciding_balancers(now),
             });
@@ -93,8 +93,8 @@
             return NextCall::At(now);
         };
         let bytes = record.encode();
-        self.records.counters.flows = record.len().try_into().unwrap_or(u64::MAX);
-        self.records.counters.bytes = bytes.len().try_into().unwrap_or(u64::MAX);
+        self.records.counters.last_record_flows = record.len().try_into().unwrap_or(u64::MAX);
+        self.records.counters.last_record_bytes = bytes.len().try_into().unwrap_or(u64::MAX);
         NextCall::Now(StoreCall::WriteFlowRecord { revision, bytes })
     }
 
@@ -145,7 +145,7 @@
         };
         let record = self.directory.agent(*agent)?;
         let is_present = record.incarnation == Some(*incarnation);
-        let is_confirmed = record.heartbeat >= heartbeat.saturating_add(CONFIRMED_BY);
+        let is_confirmed = record.last_heartbeat >= heartbeat.saturating_add(CONFIRMED_BY);
         (is_present && is_confirmed && !entry.finished).then_some((*agent, *incarnation))
     }
 
--- a/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
@@ -7,8 +7,8 @@
 use crate::flow::balancer::{Balancer, BalancerAction, FlowEntry, Stage};
 use crate::flow::flow_record::{AgentKnowledge, FlowRecord, RestoredFlow};
 use crate::flow::identity::{FlowKey, Incarnation, NodeAddress};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::{MAXIMUM_KEYS, PeerMessage, TargetReport};
-use crate::flow::note::Note;
 use crate::flow::packet::{FlowPacket, ResetReason};
 
 /// Flows asked for between two ticks. Each may be answered by a reset, of some 30
@@ -24,9 +24,9 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         let age_ms = time_of_day.saturating_sub(record.written_at_ms);
-        self.records.counters.age_ms = age_ms;
-        self.records.restorer.take(record, now);
-        self.notes.add(Note::FlowRecordRead {
+        self.records.counters.restored_record_age_ms = age_ms;
+        self.records.restorer.load(record, now);
+        self.notes.add(LogEvent::FlowRecordRead {
             flows: record.len(),
             age: Duration::from_millis(age_ms),
         });
@@ -36,7 +36,9 @@
                 knows_all_flows: false,
                 incarnation: agent.incarnation,
             };
-            self.records.restorer.heard(agent.address, knowledge);
+            self.records
+                .restorer
+                .update_agent_knowledge(agent.address, knowledge);
         }
         self.probe_recorded_agents(now, actions);
         self.ask_recorded_flows(now, actions);
@@ -46,7 +48,7 @@
     /// which may be the last to start.
     fn probe_recorded_agents(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         for to in self.records.restorer.agents_to_probe(now) {
-            self.counters.probes += 1;
+            self.counters.agent_probes += 1;
             let message = PeerMessage::Probe;
             actions.push(BalancerAction::Send { to, message });
         }
@@ -65,14 +67,16 @@
                 knows_all_flows: report.knows_all_flows,
                 incarnation: report.incarnation,
             };
-            self.records.restorer.heard(agent, knowledge);
+            self.records
+                .restorer
+                .update_agent_knowledge(agent, knowledge);
             self.ask_recorded_flows(now, actions);
         }
     }
 
     fn ask_recorded_flows(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         let left = ASKED_A_TICK.saturating_sub(self.records.asked_this_tick);
-        for question in self.records.restorer.due(left, now) {
+        for question in self.records.restorer.take_due_queries(left, now) {
             self.records.asked_this_tick += question.keys.len();
             for batch in question.keys.chunks(MAXIMUM_KEYS) {
                 let message = PeerMessage::LocateRecorded {
@@ -96,7 +100,7 @@
         self.records.asked_this_tick = 0;
         if self.records.restorer.tick(now) {
             let totals = self.records.restorer.totals();
-            self.notes.add(Note::FlowRecordRestored { totals });
+            self.notes.add(LogEvent::FlowRecordRestored { totals });
         }
         if !self.records.restorer.is_empty() {
             self.probe_recorded_agents(now, actions);
@@ -132,10 +136,10 @@
             return false;
         };
         if self.is_newer_than_record(&key, &flow) {
-            self.records.restorer.superseded(&key);
+            self.records.restorer.mark_superseded(&key);
             return false;
         }
-        let is_proven = self.records.restorer.denied(from, &key).is_some();
+        let is_proven = self.records.restorer.handle_denial(from, &key).is_some();
         if is_proven {
             self.reset_restored(key, &flow, actions);
         }
@@ -173,7 +177,7 @@
         actions: &mut Vec<BalancerAction>,
     ) -> usize {
         let mut count = 0;
-        for (key, flow) in self.records.restorer.ended(agent) {
+        for (key, flow) in self.records.restorer.remove_ended_target(agent) {
             if !self.is_newer_than_record(&key, &flow) {
                 self.reset_restored(key, &flow, actions);
                 count += 1;
@@ -184,7 +188,7 @@
 
     /// An agent says that its target holds a flow: it is there without a search.
     pub(crate) fn recorded_located(&mut self, agent: NodeAddress, key: FlowKey, now: Instant) {
-        if let Some(flow) = self.records.restorer.located(agent, &key) {
+        if let Some(flow) = self.records.restorer.handle_located(agent, &key) {
             self.place_restored(key, flow, now);
         }
     }
@@ -198,7 +202,7 @@
         now: Instant,
     ) {
         for key in keys {
-            if let Some(flow) = self.records.restorer.undecided(agent, key) {
+            if let Some(flow) = self.records.restorer.mark_undecided(agent, key) {
                 self.place_restored(*key, flow, now);
             }
         }
@@ -214,11 +218,11 @@
         let key = packet.key;
         let flow = self.records.restorer.flow(&key)?;
         if !flow.may_have_reached(packet.acknowledgement) {
-            self.records.restorer.superseded(&key);
+            self.records.restorer.mark_superseded(&key);
             return None;
         }
         let record = self.directory.agent(flow.agent)?;
-        if record.is_given_up() {
+        if record.is_marked_lost() {
             return None;
         }
         self.place_restored(key, flow, now);
@@ -249,6 +253,6 @@
 
     /// A caller opens a flow anew: what is recorded of an earlier one is over.
     pub(crate) fn recorded_superseded(&mut self, key: &FlowKey) {
-        self.records.restorer.superseded(key);
+        self.records.restorer.mark_superseded(key);
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
@@ -22,7 +22,7 @@
         bytes: &[u8],
         now: Instant,
     ) -> Routing {
-        let Some(entry) = self.flows.use_flow(&packet.key) else {
+        let Some(entry) = self.flows.touch(&packet.key) else {
             return self.search_unknown(packet, bytes, now);
         };
         let is_repeated = entry.is_repeated(packet);
@@ -33,10 +33,10 @@
         match &entry.stage {
             Stage::Held { agent, .. } => {
                 let agent = *agent;
-                self.counters.established += 1;
+                self.counters.established_packets += 1;
                 if is_repeated {
                     // The target may be slow, or its machine may be gone.
-                    self.directory.doubt(agent, now);
+                    self.directory.start_probing(agent, now);
                 }
                 Routing::One {
                     to: agent,
@@ -98,13 +98,13 @@
     /// Whether the caller has sent this packet's data before, because nobody has
     /// acknowledged it.
     fn is_repeated(&mut self, packet: &FlowPacket) -> bool {
-        let end = packet.sequence.wrapping_add(packet.payload.into());
+        let end = packet.sequence.wrapping_add(packet.payload_length.into());
         let ahead = end.wrapping_sub(self.caller_next);
         let is_new = ahead != 0 && ahead < u32::MAX / 2;
         if is_new {
             self.caller_next = end;
         }
-        packet.payload > 0 && !is_new
+        packet.payload_length > 0 && !is_new
     }
 
     /// The caller has answered an acceptance, and with that has chosen the
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -6,13 +6,13 @@
 use crate::clock::Instant;
 use crate::flow::balancer::forwarding::routing::{DropReason, Routing};
 use crate::flow::balancer::{Balancer, BalancerAction, FlowEntry};
+use crate::flow::flow_table::FlowTable;
 use crate::flow::identity::FlowKey;
 use crate::flow::link::LinkBudget;
 use crate::flow::link::bulk_admission::{BulkDecision, ReleasedOpening};
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 use crate::flow::packet::FlowPacket;
 use crate::flow::promises::DecidedOpening;
-use crate::flow::table::FlowTable;
 
 impl Balancer {
     /// What the machine's link bears; `None` where it does not bind.
@@ -22,31 +22,31 @@
     }
 
     /// Counts a datagram that has come over the link.
-    pub fn datagram_arrived(&mut self, length: usize, now: Instant) {
+    pub fn count_received_datagram(&mut self, length: usize, now: Instant) {
         if let Some(link) = &mut self.link {
-            link.arrived(length, now);
+            link.record_received(length, now);
         }
     }
 
     /// Counts a datagram that has left over the link.
-    pub fn datagram_left(&mut self, length: usize, now: Instant) {
+    pub fn count_sent_datagram(&mut self, length: usize, now: Instant) {
         if let Some(link) = &mut self.link {
-            link.left(length, now);
+            link.record_sent(length, now);
         }
     }
 
     /// Whether openings wait for the link.
     #[must_use]
-    pub fn holds_openings(&self) -> bool {
+    pub fn has_openings_waiting_for_link(&self) -> bool {
         self.paced_link()
             .is_some_and(|link| link.openings_waiting() > 0)
     }
 
     /// Whether openings that waited for the link may go on.
     #[must_use]
-    pub fn may_release_openings(&self) -> bool {
+    pub fn can_release_openings(&self) -> bool {
         self.paced_link()
-            .is_some_and(LinkBudget::has_room_for_waiting)
+            .is_some_and(LinkBudget::can_release_waiting)
     }
 
     /// What becomes of a packet because of the link; `None` when it goes on.
@@ -60,13 +60,13 @@
         let terms = self.routes.route(packet.key.service)?.terms;
         let link = self.link.as_mut()?;
         let waited_before = link.openings_waiting();
-        match link.caller_packet(packet, bytes, terms, now) {
-            BulkDecision::Go => None,
+        match link.admit_caller_packet(packet, bytes, terms, now) {
+            BulkDecision::Admit => None,
             BulkDecision::Wait => {
-                let (under_way, waiting) = (link.flows_under_way(), link.openings_waiting());
+                let (under_way, waiting) = (link.active_bulk_flows(), link.openings_waiting());
                 if waiting > waited_before {
-                    self.counters.put_off_for_link += 1;
-                    self.notes.add(Note::OpeningPutOff {
+                    self.counters.openings_deferred_for_link += 1;
+                    self.notes.add(LogEvent::OpeningDeferredForLink {
                         key: packet.key,
                         under_way,
                         waiting,
@@ -93,21 +93,21 @@
         };
         // Their flows were opened by other copies of the openings.
         link.forget_waiting(|key| is_open(&self.flows, key));
-        for opening in link.release(now) {
-            let routing = if opening.goes {
+        for opening in link.release_waiting(now) {
+            let routing = if opening.is_admitted {
                 self.relay_or_route(&opening.packet, &opening.bytes, now)
             } else {
                 self.ended_untried(&opening, now);
-                self.refuse_for_link(&opening.packet, opening.since, now)
+                self.refuse_for_link(&opening.packet, opening.queued_at, now)
             };
             self.carry_out(routing, &opening.bytes, actions);
         }
     }
 
     fn ended_untried(&mut self, opening: &ReleasedOpening, now: Instant) {
-        self.promises.held_to_the_end();
+        self.promises.record_held_untried();
         if let Some(route) = self.routes.route(opening.packet.key.service) {
-            self.promises.given_up(&DecidedOpening {
+            self.promises.record_given_up(&DecidedOpening {
                 age: now.since(opening.first_sent),
                 timeout: Duration::from_millis(route.terms.timeout_ms.into()),
                 is_urgent: false,
@@ -116,8 +116,8 @@
     }
 
     fn refuse_for_link(&mut self, packet: &FlowPacket, since: Instant, now: Instant) -> Routing {
-        self.counters.refused_for_link += 1;
-        self.notes.add(Note::OpeningRefusedForLink {
+        self.counters.openings_refused_for_link += 1;
+        self.notes.add(LogEvent::OpeningRefusedForLink {
             key: packet.key,
             waited: now.since(since),
         });
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -3,14 +3,14 @@
 use crate::clock::Instant;
 use crate::flow::balancer::forwarding::routing::{DropReason, Routing};
 use crate::flow::balancer::{Balancer, BalancerAction, FlowEntry, Stage};
-use crate::flow::directory::Directory;
+use crate::flow::directory::AgentDirectory;
 use crate::flow::identity::{FlowKey, NodeAddress, ServiceKey};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::{
     ForwardHeader, ForwardPurpose, OpeningTerms, ReturnReason, TargetState,
 };
-use crate::flow::note::Note;
 use crate::flow::packet::{FlowPacket, ResetReason};
-use crate::flow::selection::{Choice, Chosen};
+use crate::flow::selection::{SelectedTarget, TargetSelector};
 
 /// Targets that one opening is offered to before it waits.
 const MAXIMUM_TRIES: usize = 4;
@@ -42,11 +42,11 @@
             let reset = self.reset(packet.key, 0, ResetReason::NoRoute, 0);
             return Routing::Reset(reset);
         };
-        let Some(service) = self.shares.next(route) else {
+        let Some(service) = self.shares.next_service(route) else {
             let reset = self.reset(packet.key, 0, ResetReason::NoRoute, 0);
             return Routing::Reset(reset);
         };
-        self.traffic.flow(packet.key.service);
+        self.traffic.count_flow(packet.key.service);
         let entry = FlowEntry {
             service,
             acknowledged: 0,
@@ -61,13 +61,13 @@
             },
         };
         self.flows.insert(packet.key, entry, now);
-        self.promises.opened(&packet.key);
+        self.promises.record_opening(&packet.key);
         self.offer_or_wait(packet, bytes, now)
     }
 
     /// A copy is a sign that the first choice gave no answer.
     fn route_copy(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Option<Routing> {
-        let entry = self.flows.use_flow(&packet.key)?;
+        let entry = self.flows.touch(&packet.key)?;
         let service = entry.service;
         let repeat = match &mut entry.stage {
             Stage::Opening {
@@ -109,9 +109,9 @@
 
     fn mark_unanswered(&mut self, agent: NodeAddress, now: Instant) {
         if let Some(record) = self.directory.agent_mut(agent) {
-            record.unanswered += 1;
+            record.unanswered_openings += 1;
         }
-        self.directory.doubt(agent, now);
+        self.directory.start_probing(agent, now);
     }
 
     fn offer_or_wait(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
@@ -127,7 +127,7 @@
             return None;
         };
         let (service, since, tries) = (entry.service, *since, tried.len());
-        let choice = Choice {
+        let choice = TargetSelector {
             directory: &self.directory,
             excluded_zones: &self.excluded_zones,
             zone: self.options.zone,
@@ -136,10 +136,10 @@
             tried,
             bytes_per_flow: self.traffic.bytes_per_flow(packet.key.service),
         };
-        let chosen = choice.best(now)?;
+        let chosen = choice.select(now)?;
         let mut terms = self.terms_of(packet, service, since, now);
-        let may_ask_elsewhere = chosen.others > 0 && tries < TRIES_BY_LOAD;
-        terms.believed_load = may_ask_elsewhere.then_some(chosen.believed_load);
+        let may_ask_elsewhere = chosen.other_candidates > 0 && tries < TRIES_BY_LOAD;
+        terms.estimated_load = may_ask_elsewhere.then_some(chosen.estimated_load);
         self.sent_to(packet, &chosen, tries, now);
         Some(Routing::One {
             to: chosen.agent,
@@ -161,18 +161,24 @@
             aim_ms: terms.aim_ms,
             timeout_ms: terms.timeout_ms,
             is_urgent,
-            believed_load: None,
+            estimated_load: None,
         }
     }
 
-    fn sent_to(&mut self, packet: &FlowPacket, chosen: &Chosen, tried: usize, now: Instant) {
+    fn sent_to(
+        &mut self,
+        packet: &FlowPacket,
+        chosen: &SelectedTarget,
+        tried: usize,
+        now: Instant,
+    ) {
         let key = packet.key;
         let mut load_age = std::time::Duration::ZERO;
         if let Some(record) = self.directory.agent_mut(chosen.agent) {
             record.sent_since += 1;
             load_age = now.since(record.load_at);
         }
-        if let Some(entry) = self.flows.use_flow(&key)
+        if let Some(entry) = self.flows.touch(&key)
             && let Stage::Opening {
                 awaited, is_queued, ..
             } = &mut entry.stage
@@ -181,11 +187,11 @@
             *is_queued = false;
         }
         if tried == 0 {
-            self.counters.opened += 1;
+            self.counters.flows_opened += 1;
         } else {
-            self.counters.reopened += 1;
+            self.counters.flows_reopened += 1;
         }
-        self.notes.add(Note::FlowSent {
+        self.notes.add(LogEvent::FlowSent {
             key,
             agent: chosen.agent,
             copy: packet.acknowledgement,
@@ -214,7 +220,7 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        let Some(entry) = self.flows.use_flow(&packet.key) else {
+        let Some(entry) = self.flows.touch(&packet.key) else {
             return;
         };
         let Stage::Opening {
@@ -234,7 +240,7 @@
         let is_exhausted = tried.len() >= MAXIMUM_TRIES;
         let routing = match reason {
             ReturnReason::Expired => {
-                self.promises.held_to_the_end();
+                self.promises.record_held_untried();
                 self.refuse(packet)
             }
             ReturnReason::StaleVersion => self.reopen_under_new_version(packet, bytes, now),
@@ -271,7 +277,7 @@
                 Stage::Held { .. } | Stage::Searching(_) => true,
             };
             let has_free_target = self.has_free_target(entry.service);
-            self.promises.refused(was_accepted, has_free_target);
+            self.promises.record_refusal(was_accepted, has_free_target);
         }
         Routing::Reset(self.reset(packet.key, 0, ResetReason::NoTarget, 0))
     }
@@ -285,13 +291,13 @@
             record.state == TargetState::Ready
                 && record.is_live(now)
                 && !self.excluded_zones.excludes(record.zone)
-                && record.believed_load() < record.capacity
+                && record.estimated_load() < record.slots
         })
     }
 
     /// An agent says that an opening waits in its queue.
     pub(crate) fn opening_queued(&mut self, from: NodeAddress, key: &FlowKey) {
-        if let Some(entry) = self.flows.use_flow(key)
+        if let Some(entry) = self.flows.touch(key)
             && let Stage::Opening {
                 awaited, is_queued, ..
             } = &mut entry.stage
@@ -333,7 +339,7 @@
     }
 }
 
-fn is_live(directory: &Directory, agent: NodeAddress, now: Instant) -> bool {
+fn is_live(directory: &AgentDirectory, agent: NodeAddress, now: Instant) -> bool {
     directory
         .agent(agent)
         .is_some_and(|record| record.is_live(now))
--- a/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
@@ -21,10 +21,13 @@
     /// the own zone, or those of all zones when there is none. Empty when the
     /// own balancer decides itself.
     pub(crate) fn choose_relay_receivers(&mut self, now: Instant) {
-        let least = self.options.usable_capacity().saturating_mul(LARGER_BY);
-        let near = self.zone_members.able_from(least, now);
+        let least = self
+            .options
+            .usable_cpu_millicores()
+            .saturating_mul(LARGER_BY);
+        let near = self.zone_members.serving_with_at_least(least, now);
         self.relay_receivers = if near.is_empty() {
-            self.peers.able_from(least, now)
+            self.peers.serving_with_at_least(least, now)
         } else {
             near
         };
@@ -33,7 +36,7 @@
     /// Whether balancers of this usable processor, in thousandths of a core, hand their
     /// packets to one of the own size.
     pub(crate) fn is_much_larger_than(&self, capacity: u32) -> bool {
-        capacity <= self.options.usable_capacity() / LARGER_BY
+        capacity <= self.options.usable_cpu_millicores() / LARGER_BY
     }
 
     /// Finds the balancers of the zone that hand packets to this one and must
@@ -41,7 +44,7 @@
     pub(crate) fn find_relaying_members(&mut self) {
         self.relaying_members = self
             .zone_members
-            .known_up_to(self.options.usable_capacity() / LARGER_BY);
+            .with_capacity_at_most(self.options.usable_cpu_millicores() / LARGER_BY);
     }
 
     /// The larger balancer that takes this flow; `None` when the own balancer
@@ -55,7 +58,7 @@
 
     /// Hands a packet on and forgets all flows: the larger balancers hold them.
     pub(crate) fn relay(&mut self, to: NodeAddress) -> Routing {
-        self.counters.relayed += 1;
+        self.counters.relayed_packets += 1;
         if !self.flows.is_empty() {
             self.flows.retain(|_, _| false);
             self.searching.clear();
--- a/crates/woodladder-core/src/flow/balancer/forwarding/waiting.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/waiting.rs
@@ -10,7 +10,7 @@
 use crate::clock::Instant;
 use crate::flow::balancer::forwarding::routing::{DropReason, Routing};
 use crate::flow::balancer::{Balancer, BalancerAction, Stage};
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 use crate::flow::packet::FlowPacket;
 use crate::flow::promises::DecidedOpening;
 
@@ -28,12 +28,12 @@
 impl Balancer {
     /// Openings that wait for a target.
     #[must_use]
-    pub fn waiting_count(&self) -> usize {
+    pub fn waiting_opening_count(&self) -> usize {
         self.waiting.len()
     }
 
     pub(crate) fn wait_for_target(&mut self, packet: &FlowPacket, bytes: &[u8]) -> Routing {
-        let Some(entry) = self.flows.use_flow(&packet.key) else {
+        let Some(entry) = self.flows.touch(&packet.key) else {
             return Routing::Drop(DropReason::Ended);
         };
         let service = entry.service;
@@ -44,7 +44,7 @@
         if self.is_wholly_excluded(service) {
             return self.refuse(packet);
         }
-        self.notes.add(Note::FlowWithoutTarget {
+        self.notes.add(LogEvent::FlowWithoutTarget {
             key: packet.key,
             copy: packet.acknowledgement,
             known: self.directory.agents_of(service).len(),
@@ -70,9 +70,9 @@
             };
             let age = now.since(since);
             if self.is_vain(&opening.packet, age) {
-                self.promises.held_to_the_end();
+                self.promises.record_held_untried();
                 if let Some(decided) = self.decided(&opening.packet, age) {
-                    self.promises.given_up(&decided);
+                    self.promises.record_given_up(&decided);
                 }
                 let routing = self.refuse(&opening.packet);
                 self.carry_out(routing, &opening.bytes, actions);
--- a/crates/woodladder-core/src/flow/balancer/membership/agent_census.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/agent_census.rs
@@ -72,7 +72,7 @@
         if self.has_complete_snapshot || self.was_complete || is_over {
             return;
         }
-        let peers: Vec<NodeAddress> = self.peers.confirmed().collect();
+        let peers: Vec<NodeAddress> = self.peers.confirmed_by_hello().collect();
         if peers.is_empty() {
             return;
         }
@@ -123,7 +123,7 @@
 
     /// Agents that this balancer can afford to greet between two ticks.
     pub(crate) fn agents_greeted_a_tick(&self) -> u32 {
-        (self.options.capacity / PROCESSOR_PER_GREETING).max(LEAST_GREETED_A_TICK)
+        (self.options.cpu_millicores / PROCESSOR_PER_GREETING).max(LEAST_GREETED_A_TICK)
     }
 
     /// Greets as many of the named agents as may be greeted before the next tick. A
@@ -164,8 +164,8 @@
 
     /// Asks the agents that owe an answer.
     pub(crate) fn ask_doubted_agents(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        for to in self.directory.take_doubted(now) {
-            self.counters.probes += 1;
+        for to in self.directory.take_due_probes(now) {
+            self.counters.agent_probes += 1;
             let message = PeerMessage::Probe;
             actions.push(BalancerAction::Send { to, message });
         }
@@ -193,7 +193,7 @@
             return;
         }
         self.listen_anew(now);
-        let peer = self.peers.confirmed().find(|peer| *peer != from);
+        let peer = self.peers.confirmed_by_hello().find(|peer| *peer != from);
         if let Some(peer) = peer {
             self.fetch_from(peer, true, now, actions);
         }
--- a/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
@@ -18,7 +18,7 @@
 const FIRST_OF_ZONE: usize = 3;
 /// Time that a node which hears of a new configuration in another zone leaves to
 /// those of its own. A change has seconds to come into force.
-pub const OWN_ZONE_FIRST_FOR: Duration = Duration::from_millis(400);
+pub const OTHER_ZONE_FETCH_DELAY: Duration = Duration::from_millis(400);
 
 impl Balancer {
     /// Another node of a zone knows a version; a greater one is fetched.
@@ -34,7 +34,7 @@
             return;
         }
         let heard_at = *self.newer_heard_at.get_or_insert(now);
-        let has_waited = now.since(heard_at) >= OWN_ZONE_FIRST_FOR;
+        let has_waited = now.since(heard_at) >= OTHER_ZONE_FETCH_DELAY;
         let knows_nothing = self.routes.version() == 0;
         let is_near = zone == self.options.zone;
         if is_near || knows_nothing || has_waited || self.is_first_of_zone(now) {
@@ -47,7 +47,7 @@
     fn is_first_of_zone(&self, now: Instant) -> bool {
         let own = address_hash(self.options.address);
         let before = |member: &NodeAddress| address_hash(*member) > own;
-        self.zone_members.heard(now).filter(before).count() < FIRST_OF_ZONE
+        self.zone_members.heard_recently(now).filter(before).count() < FIRST_OF_ZONE
     }
 
     /// Tells the nodes of the zone that a configuration was adopted: the first
@@ -55,13 +55,13 @@
     pub(crate) fn tell_zone(&self, now: Instant, actions: &mut Vec<BalancerAction>) {
         let version = self.routes.version();
         if self.is_first_of_zone(now) {
-            for peer in self.peers.behind(version) {
+            for peer in self.peers.with_older_configuration(version) {
                 if self.zone_members.capacity_of(peer).is_some() {
                     self.greet(peer, now, actions);
                 }
             }
         }
-        let members: Vec<NodeAddress> = self.zone_members.heard(now).collect();
+        let members: Vec<NodeAddress> = self.zone_members.heard_recently(now).collect();
         for record in self.directory.agents() {
             let is_near = record.zone == self.options.zone;
             if is_near && record.version < version && self.tells(record.address, &members) {
--- a/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
@@ -4,11 +4,11 @@
 use crate::flow::balancer::Balancer;
 use crate::flow::excluded_zones::ExcludedZones;
 use crate::flow::identity::{NodeAddress, ServiceKey};
-use crate::flow::note::Note;
+use crate::flow::log_event::LogEvent;
 
 impl Balancer {
     /// Takes the excluded zones that the store gave.
-    pub fn store_excludes(&mut self, zones: &ExcludedZones) {
+    pub fn adopt_store_exclusions(&mut self, zones: &ExcludedZones) {
         self.adopt_zones(zones, None);
     }
 
@@ -27,7 +27,7 @@
         // every node at once, because only a few balancers watch.
         self.greeted_peers_at = Instant::ORIGIN;
         self.tells_zones |= from.is_none();
-        self.notes.add(Note::ZonesExcluded {
+        self.notes.add(LogEvent::ZonesExcluded {
             excluded: self.excluded_zones.zones.len(),
             formerly,
             own_is_excluded: self.excluded_zones.excludes(self.options.zone),
--- a/crates/woodladder-core/src/flow/balancer/membership/greeting_periods.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/greeting_periods.rs
@@ -2,7 +2,7 @@
 //!
 //! Every kind has a bounded rate, so the time between two greetings to one
 //! receiver follows from how many receivers there are; each greeting states it
-//! ([`crate::flow::pace`]). At 304 balancers and 682 agents a balancer of an eighth
+//! ([`crate::flow::message_timing`]). At 304 balancers and 682 agents a balancer of an eighth
 //! of a core sends some 80 greetings a second; when each agent was greeted every
 //! ten seconds and each zone member every half second it sent some 220.
 
@@ -10,7 +10,7 @@
 
 use crate::flow::balancer::Balancer;
 use crate::flow::identity::{NodeAddress, address_hash};
-use crate::flow::pace::round_time;
+use crate::flow::message_timing::round_time;
 
 /// Reports of all agents to a small balancer are at least this far apart, which
 /// bounds what they cost it: about a hundredth of an eighth of a core.
@@ -61,7 +61,7 @@
     fn report_spacing(&self) -> Duration {
         if !self.relay_receivers.is_empty() {
             RELAYING_REPORT_SPACING
-        } else if self.options.capacity >= LARGE {
+        } else if self.options.cpu_millicores >= LARGE {
             LARGE_REPORT_SPACING
         } else {
             REPORT_SPACING
--- a/crates/woodladder-core/src/flow/balancer/membership/greetings.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/greetings.rs
@@ -7,10 +7,10 @@
 use crate::flow::balancer::membership::greeting_periods::{GREETED_PEERS, PEER_GREETING_INTERVAL};
 use crate::flow::balancer::{Balancer, BalancerAction};
 use crate::flow::identity::NodeAddress;
-use crate::flow::message::{BalancerGreeting, MAXIMUM_NAMED_BALANCERS, PeerMessage, TargetReport};
-use crate::flow::note::Note;
-use crate::flow::pace::milliseconds;
-use crate::flow::zone_members::Member;
+use crate::flow::log_event::LogEvent;
+use crate::flow::message::{BalancerHello, MAXIMUM_NAMED_BALANCERS, PeerMessage, TargetReport};
+use crate::flow::message_timing::milliseconds;
+use crate::flow::zone_members::ZoneMember;
 
 /// An agent that reports this many times as often as asked is greeted at once.
 const MUCH_TOO_OFTEN: u32 = 2;
@@ -19,23 +19,25 @@
     pub(crate) fn greeted(
         &mut self,
         from: NodeAddress,
-        greeting: &BalancerGreeting,
+        greeting: &BalancerHello,
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
         if from == self.options.address {
             return;
         }
-        if greeting.leaving {
+        if greeting.is_leaving {
             self.member_greeted(from, greeting, now);
             self.peers.remove(from);
             return;
         }
-        let greets_within = Duration::from_millis(greeting.next_within_ms.into());
-        let is_new = self.peers.heard(from, greeting.version, greets_within, now);
+        let greets_within = Duration::from_millis(greeting.next_hello_within_ms.into());
+        let is_new = self
+            .peers
+            .record_hello(from, greeting.version, greets_within, now);
         self.member_greeted(from, greeting, now);
         if is_new {
-            self.notes.add(Note::BalancerFound { balancer: from });
+            self.notes.add(LogEvent::BalancerFound { balancer: from });
             self.greet(from, now, actions);
             self.ask_found_balancer(from, now, actions);
         }
@@ -43,7 +45,7 @@
             // It has just started and can do with what this one knows.
             self.greet(from, now, actions);
         }
-        if !greeting.hears_agents {
+        if !greeting.has_agent_contact {
             self.peer_without_agents = Some(now);
         }
         for balancer in &greeting.balancers {
@@ -57,19 +59,20 @@
     pub(crate) fn member_greeted(
         &mut self,
         from: NodeAddress,
-        greeting: &BalancerGreeting,
+        greeting: &BalancerHello,
         now: Instant,
     ) {
-        let member = Member {
-            capacity: greeting.capacity,
-            link_rate: greeting.link_rate,
-            is_able: greeting.is_able && !greeting.leaving,
+        let member = ZoneMember {
+            cpu_millicores: greeting.cpu_millicores,
+            link_rate_kbps: greeting.link_rate_kbps,
+            can_serve: greeting.can_serve && !greeting.is_leaving,
         };
         if greeting.zone == self.options.zone {
-            let greets_within = Duration::from_millis(greeting.next_within_ms.into());
-            self.zone_members.greeted(from, member, greets_within, now);
+            let greets_within = Duration::from_millis(greeting.next_hello_within_ms.into());
+            self.zone_members
+                .record_hello(from, member, greets_within, now);
         }
-        self.peers.stated(from, member);
+        self.peers.set_member(from, member);
     }
 
     pub(crate) fn name_peer(
@@ -78,30 +81,30 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        if balancer != self.options.address && self.peers.named(balancer, now) {
+        if balancer != self.options.address && self.peers.learn_address(balancer, now) {
             self.greet(balancer, now, actions);
         }
     }
 
     pub(crate) fn greet(&self, to: NodeAddress, now: Instant, actions: &mut Vec<BalancerAction>) {
-        let message = PeerMessage::Greeting(self.greeting(to, now));
+        let message = PeerMessage::Hello(self.greeting(to, now));
         actions.push(BalancerAction::Send { to, message });
     }
 
-    fn greeting(&self, to: NodeAddress, now: Instant) -> BalancerGreeting {
-        BalancerGreeting {
+    fn greeting(&self, to: NodeAddress, now: Instant) -> BalancerHello {
+        BalancerHello {
             version: self.routes.version(),
             report_interval_ms: milliseconds(self.report_interval()),
-            asks_for_report: self.named_agents.contains_key(&to),
-            next_within_ms: milliseconds(self.greeting_period(to)),
-            confirmed_ago_ms: self.confirmed_ago(now).map(milliseconds),
+            requests_report: self.named_agents.contains_key(&to),
+            next_hello_within_ms: milliseconds(self.greeting_period(to)),
+            confirmed_ago_ms: self.confirmation_age(now).map(milliseconds),
             excluded_zones: self.excluded_zones.clone(),
-            leaving: self.leaving,
-            hears_agents: self.hears_agents(now),
+            is_leaving: self.leaving,
+            has_agent_contact: self.hears_agents(now),
             zone: self.options.zone,
-            capacity: self.options.capacity,
-            link_rate: self.options.link_rate,
-            is_able: self.able(now).is_ok(),
+            cpu_millicores: self.options.cpu_millicores,
+            link_rate_kbps: self.options.link_rate_kbps,
+            can_serve: self.able(now).is_ok(),
             balancers: self.named_in_greetings.clone(),
         }
     }
@@ -137,7 +140,7 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         let again_at = now + self.next_greeting_after(agent);
-        self.directory.greeted(agent, again_at);
+        self.directory.set_next_hello(agent, again_at);
         self.greet(agent, now, actions);
     }
 
@@ -147,7 +150,7 @@
             self.greet_everyone(now, actions);
         }
         let most = usize::try_from(self.agents_greeted_a_tick()).unwrap_or(usize::MAX);
-        for agent in self.directory.due_for_greeting(most, now) {
+        for agent in self.directory.due_for_hello(most, now) {
             self.greet_agent(agent, now, actions);
         }
     }
@@ -184,16 +187,16 @@
         let round = self.peer_round();
         self.named_in_greetings = self
             .peers
-            .some_from(round * MAXIMUM_NAMED_BALANCERS, MAXIMUM_NAMED_BALANCERS);
+            .take_cyclic(round * MAXIMUM_NAMED_BALANCERS, MAXIMUM_NAMED_BALANCERS);
         let members = self.greeted_members();
         let mut due: BTreeSet<NodeAddress> = self
             .zone_members
-            .some_from(round * members, members)
+            .take_cyclic(round * members, members)
             .into_iter()
             .collect();
-        due.extend(self.peers.some_from(round * GREETED_PEERS, GREETED_PEERS));
+        due.extend(self.peers.take_cyclic(round * GREETED_PEERS, GREETED_PEERS));
         if std::mem::take(&mut self.tells_all) {
-            due.extend(self.peers.behind(self.routes.version()));
+            due.extend(self.peers.with_older_configuration(self.routes.version()));
         }
         for peer in due {
             self.greet(peer, now, actions);
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -54,12 +54,12 @@
     ///
     /// # Errors
     /// [`NotReadyReason`] when it is not.
-    pub fn ready(&self, now: Instant) -> Result<(), NotReadyReason> {
+    pub fn check_ready(&self, now: Instant) -> Result<(), NotReadyReason> {
         self.able(now)?;
-        let capacity = self.options.usable_capacity();
+        let capacity = self.options.usable_cpu_millicores();
         if self
             .zone_members
-            .stands_by(self.options.address, capacity, now)
+            .should_stand_by(self.options.address, capacity, now)
         {
             return Err(NotReadyReason::Standby);
         }
--- a/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
@@ -13,7 +13,7 @@
 
 impl Balancer {
     /// Takes what another node knows.
-    pub fn snapshot(
+    pub fn handle_snapshot(
         &mut self,
         from: NodeAddress,
         snapshot: Snapshot,
@@ -40,7 +40,7 @@
     }
 
     /// A request for a snapshot failed.
-    pub fn snapshot_failed(&mut self, from: NodeAddress) {
+    pub fn handle_snapshot_failure(&mut self, from: NodeAddress) {
         if self.fetch.is_some_and(|(asked, _)| asked == from) {
             self.fetch = None;
         }
@@ -48,13 +48,13 @@
 
     /// What this node tells others that ask for a snapshot.
     #[must_use]
-    pub fn answer_snapshot(&self, request: &SnapshotRequest) -> Snapshot {
+    pub fn answer_snapshot_request(&self, request: &SnapshotRequest) -> Snapshot {
         let mut balancers: Vec<NodeAddress> = self.peers.addresses().collect();
         balancers.push(self.options.address);
         let agents = self
             .directory
             .agents()
-            .filter(|record| !record.is_given_up())
+            .filter(|record| !record.is_marked_lost())
             .map(|record| record.address);
         Snapshot::for_request(
             request,
--- a/crates/woodladder-core/src/flow/balancer/messages.rs
+++ b/crates/woodladder-core/src/flow/balancer/messages.rs
@@ -4,8 +4,8 @@
 
 use super::super::directory::DirectoryChange;
 use super::super::identity::NodeAddress;
+use super::super::log_event::LogEvent;
 use super::super::message::{PeerMessage, ReturnReason, TargetReport};
-use super::super::note::Note;
 use super::super::packet::{FlowPacket, PacketKind};
 use super::{Acceptance, Balancer, BalancerAction, STALL, Stage};
 use crate::clock::Instant;
@@ -22,7 +22,7 @@
 impl Balancer {
     /// Takes a message in. `packet` is the packet behind it as the shell read
     /// it, with its bytes.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         from: NodeAddress,
         message: PeerMessage,
@@ -30,14 +30,14 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.directory.heard(from, now);
+        self.directory.record_contact(from, now);
         match message {
             PeerMessage::Report(report) => self.reported(from, &report, now, actions),
             PeerMessage::ReportWithFlows { report, flows } => {
                 self.reported(from, &report, now, actions);
-                self.flow_index.stated(from, report.epoch, &flows);
+                self.flow_index.apply_statement(from, report.epoch, &flows);
             }
-            PeerMessage::FlowList(part) => self.flow_index.list_part(from, part),
+            PeerMessage::FlowList(part) => self.flow_index.add_list_part(from, part),
             PeerMessage::Returned {
                 reason,
                 load,
@@ -45,7 +45,7 @@
                 excluded_zones,
             } => {
                 self.adopt_zones(&excluded_zones, Some(from));
-                self.directory.loaded(from, load, now);
+                self.directory.update_load(from, load, now);
                 if let Some(zone) = self.directory.agent(from).map(|record| record.zone) {
                     self.learn_version(from, zone, version, now, actions);
                 }
@@ -64,17 +64,17 @@
                 incarnation,
                 load,
             } => {
-                self.directory.loaded(from, load, now);
+                self.directory.update_load(from, load, now);
                 let acceptance = Acceptance {
                     agent: from,
                     sequence,
                     incarnation,
-                    heartbeat: load.heartbeat,
+                    heartbeat: load.last_heartbeat,
                 };
                 self.accepted(key, acceptance);
             }
             PeerMessage::Queued { key, load } => {
-                self.directory.loaded(from, load, now);
+                self.directory.update_load(from, load, now);
                 self.opening_queued(from, &key);
             }
             PeerMessage::Located {
@@ -86,18 +86,18 @@
             }
             PeerMessage::Relay => {
                 if let Some((packet, bytes)) = packet {
-                    self.counters.taken_over += 1;
+                    self.counters.relayed_packets_received += 1;
                     self.relayed(packet, bytes, now, actions);
                 }
             }
-            PeerMessage::Farewell => self.agent_ended(from, actions),
-            PeerMessage::Greeting(greeting) => self.greeted(from, &greeting, now, actions),
+            PeerMessage::TargetEnded => self.agent_ended(from, actions),
+            PeerMessage::Hello(greeting) => self.greeted(from, &greeting, now, actions),
             PeerMessage::Forward(_)
             | PeerMessage::Locate { .. }
             | PeerMessage::LocateRecorded { .. }
             | PeerMessage::Probe
             | PeerMessage::ListFlows => {
-                self.counters.dropped += 1;
+                self.counters.dropped_packets += 1;
             }
         }
     }
@@ -111,7 +111,7 @@
     ) {
         self.notice_return(from, now, actions);
         let mut changes = Vec::new();
-        self.directory.report(from, report, now, &mut changes);
+        self.directory.apply_report(from, report, now, &mut changes);
         self.last_agent_heard = Some(now);
         let is_found = changes.contains(&DirectoryChange::Found(from));
         self.apply(changes, now, actions);
@@ -124,11 +124,11 @@
 
     fn agent_ended(&mut self, agent: NodeAddress, actions: &mut Vec<BalancerAction>) {
         self.named_agents.remove(&agent);
-        self.flow_index.forget(agent);
+        self.flow_index.remove_agent(agent);
         if self.directory.remove(agent) {
             let flows = self.reset_flows_of(agent, None, actions)
                 + self.recorded_agent_ended(agent, actions);
-            self.notes.add(Note::AgentStopped { agent, flows });
+            self.notes.add(LogEvent::AgentStopped { agent, flows });
         }
     }
 
@@ -141,8 +141,8 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.counters.returned += 1;
-        self.notes.add(Note::PacketReturned {
+        self.counters.returned_packets += 1;
+        self.notes.add(LogEvent::PacketReturned {
             key: packet.key,
             agent: from,
             reason,
@@ -158,7 +158,7 @@
     }
 
     fn accepted(&mut self, key: super::FlowKey, acceptance: Acceptance) {
-        let Some(entry) = self.flows.use_flow(&key) else {
+        let Some(entry) = self.flows.touch(&key) else {
             return;
         };
         match &mut entry.stage {
@@ -186,10 +186,10 @@
     #[must_use]
     pub fn tick_interval(&self) -> Duration {
         let is_waited_for = !self.waiting.is_empty()
-            || self.holds_openings()
+            || self.has_openings_waiting_for_link()
             || !self.searching.is_empty()
             || !self.named_agents.is_empty()
-            || self.directory.doubts_any();
+            || self.directory.is_probing_any();
         match (self.unasked.is_empty(), is_waited_for) {
             (false, _) => GATHERING_TICK,
             (true, true) => SHORT_TICK,
@@ -208,7 +208,7 @@
         self.choose_relay_receivers(now);
         self.find_relaying_members();
         for balancer in self.peers.tick(now) {
-            self.notes.add(Note::BalancerLost { balancer });
+            self.notes.add(LogEvent::BalancerLost { balancer });
         }
         self.seek_complete_snapshot(now, actions);
         self.greet_named_agents(now, actions);
@@ -228,11 +228,11 @@
         let pause = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
         if pause >= STALL {
-            self.directory.forgive_silence(now);
-            self.peers.forgive_silence(now);
-            self.zone_members.forgive_silence(now);
+            self.directory.restart_silence_timers(now);
+            self.peers.restart_silence_timers(now);
+            self.zone_members.restart_silence_timers(now);
             self.listen_anew(now);
-            self.notes.add(Note::Stalled { duration: pause });
+            self.notes.add(LogEvent::Stalled { duration: pause });
         }
     }
 
@@ -246,10 +246,10 @@
             match change {
                 DirectoryChange::Found(agent) => {
                     self.agent_found_at = now;
-                    self.notes.add(Note::AgentFound { agent });
+                    self.notes.add(LogEvent::AgentFound { agent });
                     let named = self.named_agents.remove(&agent);
                     match named.and_then(|named| named.greet_again_at) {
-                        Some(again_at) => self.directory.greeted(agent, again_at),
+                        Some(again_at) => self.directory.set_next_hello(agent, again_at),
                         None => self.greet_agent(agent, now, actions),
                     }
                 }
@@ -259,7 +259,7 @@
                     last_heard,
                 } => {
                     let flows = self.reset_flows_of(agent, Some((ended, last_heard)), actions);
-                    self.notes.add(Note::TargetReplaced {
+                    self.notes.add(LogEvent::TargetReplaced {
                         agent,
                         ended,
                         flows,
@@ -270,16 +270,16 @@
                     let silence =
                         record.map_or(Duration::ZERO, |record| now.since(record.heard_at));
                     let unanswered_for =
-                        record.map_or(Duration::ZERO, |record| record.owes_answer_for(now));
+                        record.map_or(Duration::ZERO, |record| record.unanswered_for(now));
                     let flows = self.reset_flows_of(agent, None, actions);
-                    self.notes.add(Note::AgentLost {
+                    self.notes.add(LogEvent::AgentLost {
                         agent,
                         silence,
                         unanswered_for,
                         flows,
                     });
                 }
-                DirectoryChange::Forgotten(agent) => self.flow_index.forget(agent),
+                DirectoryChange::Forgotten(agent) => self.flow_index.remove_agent(agent),
             }
         }
     }
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -20,28 +20,28 @@
 
 use super::activation::ActiveMechanisms;
 use super::configuration::{Configuration, RouteTable};
-use super::directory::Directory;
+use super::directory::AgentDirectory;
 use super::excluded_zones::ExcludedZones;
+use super::flow_table::FlowTable;
 use super::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey};
 use super::link::LinkBudget;
-use super::note::{Note, Notes};
+use super::log_event::{LogEvent, LogEventBuffer};
 use super::packet::{CallerReset, FlowPacket, PacketKind, ResetReason};
-use super::parts::PartShares;
 use super::peers::BalancerPeers;
 use super::promises::{BrokenPromises, PromiseWatch};
 use super::route_traffic::RouteTraffic;
-use super::table::FlowTable;
+use super::weighted_round_robin::WeightedRoundRobin;
 use super::zone_members::ZoneMembers;
 use crate::clock::Instant;
 
 pub use decision::{BalancerAction, BalancerCounters, BalancerOptions};
 pub use flow_records::FlowRecordCounters;
 pub use forwarding::routing::{DropReason, Routing};
-pub use membership::dissemination::OWN_ZONE_FIRST_FOR;
+pub use membership::dissemination::OTHER_ZONE_FETCH_DELAY;
 pub use membership::readiness::NotReadyReason;
 pub use search::flow_index::FlowIndex;
 pub use search::work_budget::WorkBudget;
-pub use search::{FIRST_ASKED, SEARCHES_A_TICK};
+pub use search::{SEARCH_FANOUT, SEARCHES_A_TICK};
 pub use store_duty::{REGISTERED, WATCHERS};
 
 /// Most agents that are all asked about one flow: questions and answers of more take
@@ -105,9 +105,9 @@
     options: BalancerOptions,
     routes: RouteTable,
     mechanisms: ActiveMechanisms,
-    shares: PartShares,
+    shares: WeightedRoundRobin,
     traffic: RouteTraffic,
-    directory: Directory,
+    directory: AgentDirectory,
     peers: BalancerPeers,
     zone_members: ZoneMembers,
     /// What the machine's link bears, when its rate is known.
@@ -117,7 +117,7 @@
     /// Smaller balancers of the zone that hand their packets to this one.
     relaying_members: Vec<NodeAddress>,
     flows: FlowTable<FlowEntry>,
-    notes: Notes,
+    notes: LogEventBuffer,
     counters: BalancerCounters,
     promises: PromiseWatch,
     leaving: bool,
@@ -197,16 +197,16 @@
             options,
             routes: RouteTable::default(),
             mechanisms: ActiveMechanisms::default(),
-            shares: PartShares::default(),
+            shares: WeightedRoundRobin::default(),
             traffic: RouteTraffic::default(),
-            directory: Directory::default(),
+            directory: AgentDirectory::default(),
             peers: BalancerPeers::default(),
             zone_members: ZoneMembers::default(),
-            link: options.link_rate.map(LinkBudget::new),
+            link: options.link_rate_kbps.map(LinkBudget::new),
             relay_receivers: Vec::new(),
             relaying_members: Vec::new(),
             flows: FlowTable::new(options.flow_capacity, options.flow_retention),
-            notes: Notes::default(),
+            notes: LogEventBuffer::default(),
             counters: BalancerCounters::default(),
             promises: PromiseWatch::default(),
             leaving: false,
@@ -238,9 +238,12 @@
             named_agents_greeted: 0,
             searching: Vec::new(),
             flow_index: search::flow_index::FlowIndex::default(),
-            questions: search::work_budget::WorkBudget::of_questions(options.capacity, now),
-            packet_bytes: search::work_budget::WorkBudget::of_packet_bytes(options.link_rate, now),
-            list_bytes: search::work_budget::WorkBudget::of_list_bytes(options.link_rate, now),
+            questions: search::work_budget::WorkBudget::for_queries(options.cpu_millicores, now),
+            packet_bytes: search::work_budget::WorkBudget::of_packet_bytes(
+                options.link_rate_kbps,
+                now,
+            ),
+            list_bytes: search::work_budget::WorkBudget::of_list_bytes(options.link_rate_kbps, now),
             unasked: Vec::new(),
             searches_begun: 0,
             searches_counted_at: Instant::ORIGIN,
@@ -271,7 +274,7 @@
 
     /// Known targets.
     #[must_use]
-    pub fn directory(&self) -> &Directory {
+    pub fn directory(&self) -> &AgentDirectory {
         &self.directory
     }
 
@@ -294,28 +297,28 @@
     }
 
     /// Notes for the log and how many were left out.
-    pub fn take_notes(&mut self) -> (Vec<Note>, u64) {
+    pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
         self.notes.take()
     }
 
     /// Takes a configuration that the store gave.
-    pub fn configuration(&mut self, configuration: Arc<Configuration>) {
+    pub fn adopt_store_configuration(&mut self, configuration: Arc<Configuration>) {
         self.adopt(configuration, None);
     }
 
     /// Takes the balancers that the settings name.
-    pub fn seeded(
+    pub fn add_seed_balancers(
         &mut self,
         seeds: &[NodeAddress],
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
         self.has_seeds = !seeds.is_empty();
-        self.listed(seeds, now, actions);
+        self.add_listed_balancers(seeds, now, actions);
     }
 
     /// Takes the balancers that the store lists.
-    pub fn listed(
+    pub fn add_listed_balancers(
         &mut self,
         balancers: &[NodeAddress],
         now: Instant,
@@ -348,7 +351,7 @@
         self.traffic
             .retain(|address| routes.route(address).is_some());
         if let Some(link) = &mut self.link {
-            link.retain(|address| routes.route(address).is_some());
+            link.retain_routes(|address| routes.route(address).is_some());
         }
         // The others are told with the next tick, and all at once when the
         // store gave it.
@@ -357,7 +360,7 @@
         self.tells_zone = true;
         self.newer_heard_at = None;
         self.confirmation_adopted();
-        self.notes.add(Note::ConfigurationAdopted {
+        self.notes.add(LogEvent::ConfigurationAdopted {
             version: self.routes.version(),
             former,
             routes: self.routes.current().map_or(0, |it| it.routes.len()),
@@ -371,9 +374,13 @@
             return;
         };
         let options = &self.options;
-        let next = ActiveMechanisms::of(configuration, options.capacity, options.link_rate);
+        let next = ActiveMechanisms::at_balancer(
+            configuration,
+            options.cpu_millicores,
+            options.link_rate_kbps,
+        );
         if std::mem::replace(&mut self.mechanisms, next) != next {
-            self.notes.add(Note::MechanismsChanged { active: next });
+            self.notes.add(LogEvent::MechanismsChanged { active: next });
         }
     }
 
@@ -398,9 +405,9 @@
         );
         if counts_as_gone {
             let now = self.ticked_at.unwrap_or(self.started_at);
-            self.promises.reset_as_gone(key, now);
+            self.promises.record_reset(key, now);
         }
-        self.notes.add(Note::FlowReset {
+        self.notes.add(LogEvent::FlowReset {
             key,
             reason,
             denied,
@@ -415,8 +422,13 @@
     }
 
     /// Decides about a packet of a caller; `bytes` are the packet as it came.
-    pub fn caller_packet(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
-        self.counters.packets += 1;
+    pub fn route_caller_packet(
+        &mut self,
+        packet: &FlowPacket,
+        bytes: &[u8],
+        now: Instant,
+    ) -> Routing {
+        self.counters.caller_packets += 1;
         match self.hold_for_link(packet, bytes, now) {
             Some(routing) => routing,
             None => self.relay_or_route(packet, bytes, now),
@@ -432,7 +444,7 @@
 
     fn route(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
         let own_address = self.options.address.ip();
-        self.traffic.bytes(packet.key.service, bytes.len());
+        self.traffic.count_bytes(packet.key.service, bytes.len());
         let routing = match packet.kind {
             _ if packet.key.caller.ip() == own_address => Routing::Drop(DropReason::Forged),
             PacketKind::Open => {
@@ -443,7 +455,7 @@
             _ => self.route_established(packet, bytes, now),
         };
         if matches!(routing, Routing::Drop(_)) {
-            self.counters.dropped += 1;
+            self.counters.dropped_packets += 1;
         }
         routing
     }
--- a/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
@@ -8,7 +8,9 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::clock::Instant;
-use crate::flow::held_flows::{FlowFingerprint, FlowListPart, FlowStatement, StatementCoverage};
+use crate::flow::held_flows::{
+    AnnouncementCoverage, FlowAnnouncement, FlowFingerprint, FlowListPart,
+};
 use crate::flow::identity::NodeAddress;
 
 /// Most entries, some 40 bytes each. Agents whose flows do not fit are asked like
@@ -76,39 +78,44 @@
     }
 
     /// Takes in what a report of an agent's start `epoch` states.
-    pub fn stated(&mut self, agent: NodeAddress, epoch: u64, statement: &FlowStatement) {
+    pub fn apply_statement(
+        &mut self,
+        agent: NodeAddress,
+        epoch: u64,
+        statement: &FlowAnnouncement,
+    ) {
         self.begin_epoch(agent, epoch);
         let known = self.agents.entry(agent).or_default();
-        known.has_too_many = statement.coverage == StatementCoverage::Nothing;
+        known.has_too_many = statement.coverage == AnnouncementCoverage::Nothing;
         match statement.coverage {
-            StatementCoverage::Nothing => {
+            AnnouncementCoverage::Nothing => {
                 known.complete_to = None;
                 self.replace(agent, &FxHashSet::default());
             }
-            StatementCoverage::Complete => {
+            AnnouncementCoverage::Complete => {
                 let is_late = known
                     .complete_to
-                    .is_some_and(|to| is_after(to, statement.last));
+                    .is_some_and(|to| is_after(to, statement.last_change));
                 if !is_late {
-                    known.complete_to = Some(statement.last);
+                    known.complete_to = Some(statement.last_change);
                     let flows = statement.open.iter().copied().collect();
                     self.replace(agent, &flows);
                 }
             }
-            StatementCoverage::Changes => self.changed(agent, statement),
+            AnnouncementCoverage::Changes => self.changed(agent, statement),
         }
     }
 
-    fn changed(&mut self, agent: NodeAddress, statement: &FlowStatement) {
+    fn changed(&mut self, agent: NodeAddress, statement: &FlowAnnouncement) {
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
         };
         if let Some(to) = known.complete_to {
-            if !is_after(statement.last, to) {
+            if !is_after(statement.last_change, to) {
                 return;
             }
-            let is_gap = is_after(statement.first, to);
-            known.complete_to = (!is_gap).then_some(statement.last);
+            let is_gap = is_after(statement.base_change, to);
+            known.complete_to = (!is_gap).then_some(statement.last_change);
         }
         for flow in &statement.closed {
             self.remove(agent, *flow);
@@ -119,26 +126,28 @@
     }
 
     /// Takes in a part of a list that was asked for.
-    pub fn list_part(&mut self, agent: NodeAddress, part: FlowListPart) {
+    pub fn add_list_part(&mut self, agent: NodeAddress, part: FlowListPart) {
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
         };
-        let is_late = known.complete_to.is_some_and(|to| is_after(to, part.last));
+        let is_late = known
+            .complete_to
+            .is_some_and(|to| is_after(to, part.last_change));
         if known.epoch != part.epoch || is_late {
             return;
         }
         let pending = match known.pending.take() {
-            Some(pending) if pending.last == part.last => pending,
+            Some(pending) if pending.last == part.last_change => pending,
             _ => PendingList {
-                last: part.last,
+                last: part.last_change,
                 parts: FxHashSet::default(),
                 flows: FxHashSet::default(),
             },
         };
         let pending = known.pending.insert(pending);
-        pending.parts.insert(part.part);
+        pending.parts.insert(part.part_index);
         pending.flows.extend(part.open);
-        if pending.parts.len() < usize::from(part.parts) {
+        if pending.parts.len() < usize::from(part.part_count) {
             return;
         }
         if let Some(list) = known.pending.take() {
@@ -149,7 +158,7 @@
 
     /// At most `count` agents of those given that are to be asked for their list, which
     /// counts as asking them.
-    pub fn take_incomplete(
+    pub fn take_agents_to_list(
         &mut self,
         agents: impl Iterator<Item = NodeAddress>,
         count: usize,
@@ -176,7 +185,7 @@
     }
 
     /// An agent is gone.
-    pub fn forget(&mut self, agent: NodeAddress) {
+    pub fn remove_agent(&mut self, agent: NodeAddress) {
         self.replace(agent, &FxHashSet::default());
         self.agents.remove(&agent);
     }
@@ -187,7 +196,7 @@
             .get(&agent)
             .is_some_and(|known| known.epoch != epoch)
         {
-            self.forget(agent);
+            self.remove_agent(agent);
         }
         self.agents.entry(agent).or_default().epoch = epoch;
     }
--- a/crates/woodladder-core/src/flow/balancer/search/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/mod.rs
@@ -1,7 +1,7 @@
 //! The search for the target that holds a flow.
 //!
 //! The packet goes at once to the first targets of the flow's route, at most
-//! [`FIRST_ASKED`] of them, and each further packet to the first of those that
+//! [`SEARCH_FANOUT`] of them, and each further packet to the first of those that
 //! have not denied. All others are asked by queries, and get the packet when they
 //! cannot tell without one. Where agents tell which flows they hold, a search begins
 //! with those: [`named_holders`]. How a search ends is in [`crate::flow::balancer::search::outcome`].
@@ -20,13 +20,13 @@
 use crate::flow::balancer::search::named_holders::NAMED_ANSWER_WITHIN;
 use crate::flow::balancer::{Balancer, FlowEntry, Stage};
 use crate::flow::identity::{FlowKey, NodeAddress, ServiceKey};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::{ForwardHeader, ForwardPurpose};
-use crate::flow::note::Note;
 use crate::flow::packet::{FlowPacket, PacketKind};
 use crate::flow::selection::first_candidates;
 
 /// Targets that a packet of an unknown flow goes to.
-pub const FIRST_ASKED: usize = 24;
+pub const SEARCH_FANOUT: usize = 24;
 /// Age after which a search counts as over, and a packet begins it anew: longer
 /// than the pauses between a caller's repetitions, so that what was denied still
 /// counts when the next one comes.
@@ -139,7 +139,7 @@
         let entry = FlowEntry {
             service,
             acknowledged: packet.acknowledgement,
-            caller_next: packet.sequence.wrapping_add(packet.payload.into()),
+            caller_next: packet.sequence.wrapping_add(packet.payload_length.into()),
             finished: packet.kind == PacketKind::Finish,
             stage: Stage::Searching(Search::new(bytes, now)),
         };
@@ -160,7 +160,7 @@
     }
 
     fn become_searching(&mut self, key: &FlowKey, search: Search) {
-        if let Some(entry) = self.flows.use_flow(key) {
+        if let Some(entry) = self.flows.touch(key) {
             entry.stage = Stage::Searching(search);
         }
     }
@@ -197,13 +197,13 @@
             return self.begin_search(key);
         }
         search.packet = bytes.to_vec();
-        self.counters.searched += 1;
+        self.counters.searched_packets += 1;
         self.ask_open(key)
     }
 
     pub(crate) fn begin_search(&mut self, key: FlowKey) -> Routing {
         self.searching.push(key);
-        self.counters.searched += 1;
+        self.counters.searched_packets += 1;
         let routing = self.ask_open(key);
         let first_asked: Vec<NodeAddress> = match &routing {
             Routing::Several(receivers) => receivers.iter().map(|(agent, _)| *agent).collect(),
@@ -211,19 +211,19 @@
         };
         let asked = first_asked.len();
         let is_by_list = self.locates_flows();
-        self.counters.searched_by_list += u64::from(is_by_list && asked > 0);
+        self.counters.searches_by_list += u64::from(is_by_list && asked > 0);
         if let Some(search) = self.search_of(&key) {
             search.first_asked = first_asked;
             if is_by_list {
                 search.first_answer_within = NAMED_ANSWER_WITHIN;
             }
         }
-        self.notes.add(Note::SearchStarted { key, asked });
+        self.notes.add(LogEvent::SearchStarted { key, asked });
         routing
     }
 
     pub(crate) fn search_of(&mut self, key: &FlowKey) -> Option<&mut Search> {
-        match &mut self.flows.use_flow(key)?.stage {
+        match &mut self.flows.touch(key)?.stage {
             Stage::Searching(search) => Some(search),
             _ => None,
         }
@@ -246,7 +246,8 @@
         for service in self.likely_services(key) {
             let header = self.header(service, purpose);
             let is_left_out = |agent: NodeAddress| denied.contains(&agent);
-            let agents = first_candidates(&self.directory, service, &key, is_left_out, FIRST_ASKED);
+            let agents =
+                first_candidates(&self.directory, service, &key, is_left_out, SEARCH_FANOUT);
             receivers.extend(agents.into_iter().map(|agent| (agent, header)));
         }
         if receivers.is_empty() {
--- a/crates/woodladder-core/src/flow/balancer/search/named_holders.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/named_holders.rs
@@ -68,7 +68,7 @@
             .iter()
             .filter(|agent| !denied.contains(agent))
             .filter_map(|agent| self.directory.agent(*agent))
-            .filter(|record| !record.is_given_up() && services.contains(&record.service))
+            .filter(|record| !record.is_marked_lost() && services.contains(&record.service))
             .map(|record| (record.address, record.service))
             .collect()
     }
@@ -134,7 +134,7 @@
 
     /// Whether another flow may be asked about.
     pub(crate) fn may_ask_about_another(&mut self, now: Instant) -> bool {
-        self.questions.has_left(now) && self.packet_bytes.has_left(now)
+        self.questions.has_remaining(now) && self.packet_bytes.has_remaining(now)
     }
 
     /// Hands the packet of a search to those agents that cannot tell without one, and
@@ -157,7 +157,7 @@
             let service = undecided.get(&agent).copied();
             match service.filter(|service| has_packet && services.contains(service)) {
                 Some(service) => {
-                    self.directory.doubt(agent, now);
+                    self.directory.start_probing(agent, now);
                     self.give_packet(agent, service, key, now, actions);
                 }
                 None => others.push(agent),
@@ -168,22 +168,25 @@
 
     /// Asks agents for the lists of their flows of which something is missing here.
     pub(crate) fn ask_for_lists(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        if !self.locates_flows() || !self.list_bytes.has_left(now) {
+        if !self.locates_flows() || !self.list_bytes.has_remaining(now) {
             return;
         }
         let agents = self
             .directory
             .agents()
-            .filter(|record| !record.is_given_up())
+            .filter(|record| !record.is_marked_lost())
             .map(|record| record.address);
-        for to in self.flow_index.take_incomplete(agents, LISTS_A_TICK, now) {
+        for to in self
+            .flow_index
+            .take_agents_to_list(agents, LISTS_A_TICK, now)
+        {
             let flows = self
                 .directory
                 .agent(to)
                 .map_or(0, |record| record.load.flows);
             let bytes = flows.saturating_mul(FINGERPRINT_BYTES) + LIST_HEADER;
             self.list_bytes.spend(bytes);
-            self.counters.lists_asked += 1;
+            self.counters.flow_lists_requested += 1;
             let message = PeerMessage::ListFlows;
             actions.push(BalancerAction::Send { to, message });
         }
--- a/crates/woodladder-core/src/flow/balancer/search/outcome.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/outcome.rs
@@ -14,8 +14,8 @@
 use crate::clock::Instant;
 use crate::flow::balancer::{Balancer, BalancerAction, Stage};
 use crate::flow::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::ForwardPurpose;
-use crate::flow::note::Note;
 use crate::flow::packet::{FlowPacket, ResetReason};
 
 /// Packets handed to agents that cannot tell without one, between two ticks. The
@@ -29,7 +29,7 @@
         let locates = self.locates_flows();
         self.directory
             .agents()
-            .filter(|record| !record.is_given_up())
+            .filter(|record| !record.is_marked_lost())
             .filter(|record| !(locates && record.is_gone_without_target(now)))
             .map(|record| record.address)
             .collect()
@@ -66,7 +66,7 @@
             }
             if self.search_when_holder_denies(from, key, &[], now) {
                 self.searching.push(*key);
-                self.notes.add(Note::SearchStarted {
+                self.notes.add(LogEvent::SearchStarted {
                     key: *key,
                     asked: 0,
                 });
@@ -178,7 +178,8 @@
             }
             let count = search.denied.len();
             let waited = now.since(search.started_at);
-            self.notes.add(Note::AbsenceProved { key: *key, waited });
+            self.notes
+                .add(LogEvent::AbsenceProved { key: *key, waited });
             if let Some(entry) = self.flows.remove(key) {
                 let sequence = entry.acknowledged;
                 let reset = self.reset(*key, sequence, ResetReason::HeldNowhere, count);
@@ -197,7 +198,7 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.promises.is_held(&key, now);
+        self.promises.record_held(&key, now);
         let Some(record) = self.directory.agent(agent) else {
             return;
         };
@@ -215,13 +216,13 @@
                 self.hand_kept(agent, service, &key, actions);
             }
             let counter = if was_named {
-                &mut self.counters.located_by_list
+                &mut self.counters.flows_located_by_list
             } else {
-                &mut self.counters.located_by_question
+                &mut self.counters.flows_located_by_query
             };
             *counter += 1;
         }
-        if let Some(entry) = self.flows.use_flow(&key) {
+        if let Some(entry) = self.flows.touch(&key) {
             entry.service = service;
             entry.stage = Stage::Held {
                 agent,
@@ -229,7 +230,7 @@
                 heartbeat,
                 since: now,
             };
-            self.notes.add(Note::FlowLocated {
+            self.notes.add(LogEvent::FlowLocated {
                 key,
                 agent,
                 waited,
--- a/crates/woodladder-core/src/flow/balancer/search/rounds.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/rounds.rs
@@ -6,8 +6,8 @@
 use crate::clock::Instant;
 use crate::flow::balancer::{Balancer, BalancerAction};
 use crate::flow::identity::{FlowKey, NodeAddress};
+use crate::flow::log_event::LogEvent;
 use crate::flow::message::{MAXIMUM_KEYS, PeerMessage};
-use crate::flow::note::Note;
 
 /// Time between two queries for one flow.
 const QUERY_INTERVAL: Duration = Duration::from_millis(120);
@@ -67,7 +67,7 @@
             let holders = holders.get_or_insert_with(|| self.possible_holders(now));
             let mut open = holders.iter().filter(|agent| !denied.contains(agent));
             let awaited = open.next().copied();
-            self.notes.add(Note::SearchWaits {
+            self.notes.add(LogEvent::SearchWaits {
                 key: *key,
                 waited,
                 open: awaited.map_or(0, |_| 1 + open.count()),
@@ -104,7 +104,7 @@
                 continue;
             }
             if is_bounded && !self.may_ask_about_another(now) {
-                self.counters.questions_put_off += 1;
+                self.counters.search_queries_deferred += 1;
                 continue;
             }
             let Some(search) = self.search_of(key) else {
@@ -121,9 +121,9 @@
             }
         }
         for (to, keys) in queries {
-            self.directory.doubt(to, now);
+            self.directory.start_probing(to, now);
             for batch in keys.chunks(MAXIMUM_KEYS) {
-                self.counters.questions += 1;
+                self.counters.search_queries += 1;
                 self.questions.spend(1);
                 let message = PeerMessage::Locate {
                     keys: batch.to_vec(),
--- a/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
@@ -34,7 +34,7 @@
 impl WorkBudget {
     /// Questions that a processor bears, given in thousandths of a core.
     #[must_use]
-    pub fn of_questions(capacity: u32, now: Instant) -> Self {
+    pub fn for_queries(capacity: u32, now: Instant) -> Self {
         let share = f64::from(capacity) * MICROSECONDS_A_THOUSANDTH * PART_FOR_QUESTIONS;
         Self::of_rate(share / QUESTION_TAKES_US, now)
     }
@@ -63,7 +63,7 @@
     }
 
     /// Whether more may be done now.
-    pub fn has_left(&mut self, now: Instant) -> bool {
+    pub fn has_remaining(&mut self, now: Instant) -> bool {
         let passed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
         let most = self.a_second * BURST.as_secs_f64();
--- a/crates/woodladder-core/src/flow/balancer/store_duty.rs
+++ b/crates/woodladder-core/src/flow/balancer/store_duty.rs
@@ -17,8 +17,8 @@
 use std::time::Duration;
 
 use super::super::identity::address_hash;
-use super::super::message::BalancerGreeting;
-use super::super::note::Note;
+use super::super::log_event::LogEvent;
+use super::super::message::BalancerHello;
 use super::super::store_session::ListNeed;
 use super::Balancer;
 use crate::clock::Instant;
@@ -57,13 +57,13 @@
 
 impl Balancer {
     /// The store has confirmed the newest configuration to this balancer.
-    pub fn store_confirmed(&mut self, now: Instant) {
+    pub fn record_store_confirmation(&mut self, now: Instant) {
         self.confirmed_at = Some(now);
     }
 
     /// Takes in how old another balancer's knowledge is. Of a later version than the
     /// own one it counts only once that version is adopted here.
-    pub(super) fn confirmation_heard(&mut self, greeting: &BalancerGreeting, now: Instant) {
+    pub(super) fn confirmation_heard(&mut self, greeting: &BalancerHello, now: Instant) {
         let Some(age) = greeting.confirmed_ago_ms else {
             return;
         };
@@ -94,41 +94,41 @@
     /// Time since the store confirmed the configuration, here or elsewhere;
     /// `None` when it never has.
     #[must_use]
-    pub fn confirmed_ago(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at.map(|at| now.since(at))
     }
 
     /// How long this balancer should let each watch of the configuration wait;
     /// `None` when it should not call the store.
     #[must_use]
-    pub fn store_watch(&self, now: Instant) -> Option<Duration> {
+    pub fn store_watch_wait(&self, now: Instant) -> Option<Duration> {
         let others_before = self.store_rank(now);
         let surplus = (others_before + 1).saturating_sub(WATCHERS);
         let delay = take_over_delay(surplus);
-        let is_due = match self.confirmed_ago(now) {
+        let is_due = match self.confirmation_age(now) {
             None => self.seeds_had_their_time(delay, now),
             Some(age) => surplus == 0 || age >= TAKE_OVER_AT + delay,
         };
-        let all_watch = self.peers.counted(now).count() < WATCHERS;
+        let all_watch = self.peers.heard_recently(now).count() < WATCHERS;
         let wait = if all_watch { USUAL_WAIT } else { SHORT_WAIT };
         is_due.then_some(wait)
     }
 
     /// Notes that the balancer begins to watch, or ceases to.
     pub(super) fn note_store_duty(&mut self, now: Instant) {
-        let watches = self.store_watch(now).is_some();
+        let watches = self.store_watch_wait(now).is_some();
         if std::mem::replace(&mut self.watched, watches) != watches {
-            self.notes.add(Note::StoreDuty {
+            self.notes.add(LogEvent::StoreWatchChanged {
                 watches,
                 others_before: self.store_rank(now),
-                confirmed_ago: self.confirmed_ago(now),
+                confirmed_ago: self.confirmation_age(now),
             });
         }
     }
 
     /// Whether this balancer should be entered in the store's list.
     #[must_use]
-    pub fn registers(&self, now: Instant) -> bool {
+    pub fn should_register(&self, now: Instant) -> bool {
         now.since(self.started_at) >= REGISTERS_AFTER && self.store_rank(now) < REGISTERED
     }
 
@@ -159,7 +159,7 @@
     fn store_rank(&self, now: Instant) -> usize {
         let own = Reverse(address_hash(self.options.address));
         self.peers
-            .counted(now)
+            .heard_recently(now)
             .filter(|peer| Reverse(address_hash(*peer)) < own)
             .count()
     }
--- a/crates/woodladder-core/src/flow/warm_up_doubt.rs
+++ b/crates/woodladder-core/src/flow/cold_reason.rs
@@ -2,7 +2,7 @@
 
 /// Why it is not known whether the target is cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WarmUpDoubt {
+pub enum ColdReason {
     /// Its zone was excluded until now.
     ZoneTakenBack,
     /// It was silent, so it may have started again.
