--- a/crates/woodladder-core/src/flow/directory.rs
+++ b/crates/woodladder-core/src/flow/directory.rs
@@ -15,7 +15,7 @@
 use super::agent_record::AgentRecord;
 use super::identity::{Incarnation, NodeAddress, ServiceKey};
 use super::message::{TargetLoad, TargetReport};
-use super::succession::Succession;
+use super::target_restart::RestartDetector;
 use crate::clock::Instant;
 
 /// Time without an answer to repeated questions after which the flows of an
@@ -51,12 +51,12 @@
 
 /// All known agents.
 #[derive(Clone, Debug, Default)]
-pub struct Directory {
+pub struct AgentDirectory {
     agents: FxHashMap<NodeAddress, AgentRecord>,
     services: FxHashMap<ServiceKey, Vec<NodeAddress>>,
 }
 
-impl Directory {
+impl AgentDirectory {
     /// Agents known.
     #[must_use]
     pub fn len(&self) -> usize {
@@ -101,7 +101,7 @@
     }
 
     /// Takes a report in; a late one changes nothing.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         address: NodeAddress,
         report: &TargetReport,
@@ -135,7 +135,7 @@
             changes.push(DirectoryChange::Found(address));
         }
         if let Some(ended) = record.take_incarnation(report, now) {
-            let since = Duration::from_millis(report.former_heard_ms.into());
+            let since = Duration::from_millis(report.previous_heartbeat_age_ms.into());
             let last_heard = now.since_origin().saturating_sub(since);
             changes.push(DirectoryChange::Replaced {
                 agent: address,
@@ -146,12 +146,12 @@
         if record.epoch != report.epoch {
             record.former_epoch = Some(record.epoch);
         }
-        record.heartbeat = report.load.heartbeat;
+        record.last_heartbeat = report.load.last_heartbeat;
         record.epoch = report.epoch;
         record.sequence = report.sequence;
         record.state = report.state;
         record.knows_all_flows = report.knows_all_flows;
-        record.capacity = report.capacity;
+        record.slots = report.slots;
         record.version = report.version;
         record.interval = Duration::from_millis(report.interval_ms.into());
         record.warm_at = now + Duration::from_millis(report.warm_up_ms.into());
@@ -160,7 +160,7 @@
     }
 
     /// Takes in the load that an agent stated with an answer.
-    pub fn loaded(&mut self, address: NodeAddress, load: TargetLoad, now: Instant) {
+    pub fn update_load(&mut self, address: NodeAddress, load: TargetLoad, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
             record.heard(now);
             record.take_load(load, now);
@@ -168,14 +168,14 @@
     }
 
     /// An agent has sent anything: it lives.
-    pub fn heard(&mut self, address: NodeAddress, now: Instant) {
+    pub fn record_contact(&mut self, address: NodeAddress, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
             record.heard(now);
         }
     }
 
     /// A greeting has promised an agent another one by this time.
-    pub fn greeted(&mut self, address: NodeAddress, greet_again_at: Instant) {
+    pub fn set_next_hello(&mut self, address: NodeAddress, greet_again_at: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
             record.greet_again_at = greet_again_at;
         }
@@ -183,7 +183,7 @@
 
     /// At most `count` agents that are to be greeted again now.
     #[must_use]
-    pub fn due_for_greeting(&self, count: usize, now: Instant) -> Vec<NodeAddress> {
+    pub fn due_for_hello(&self, count: usize, now: Instant) -> Vec<NodeAddress> {
         self.agents
             .values()
             .filter(|record| record.greet_again_at <= now)
@@ -194,7 +194,7 @@
 
     /// There is reason to doubt that an agent lives: it is asked until it has
     /// answered, and its silence counts from now on.
-    pub fn doubt(&mut self, address: NodeAddress, now: Instant) {
+    pub fn start_probing(&mut self, address: NodeAddress, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address)
             && record.asked_at.is_none()
         {
@@ -205,14 +205,14 @@
 
     /// Whether some agent owes an answer.
     #[must_use]
-    pub fn doubts_any(&self) -> bool {
+    pub fn is_probing_any(&self) -> bool {
         self.agents
             .values()
             .any(|record| record.asked_at.is_some() && !record.counted_lost)
     }
 
     /// Agents that are to be asked again now, which counts as asking them.
-    pub fn take_doubted(&mut self, now: Instant) -> Vec<NodeAddress> {
+    pub fn take_due_probes(&mut self, now: Instant) -> Vec<NodeAddress> {
         let mut doubted = Vec::new();
         for record in self.agents.values_mut() {
             let is_due = now.since(record.asked_again_at) >= QUESTION_INTERVAL;
@@ -226,7 +226,7 @@
 
     /// Counts the silence of all agents from now on, because the balancer
     /// itself has not listened.
-    pub fn forgive_silence(&mut self, now: Instant) {
+    pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.agents.values_mut() {
             record.heard(now);
         }
@@ -239,7 +239,7 @@
         let hears_others = heard_at.is_some_and(|at| now.since(at) < HEARS_OTHERS_WITHIN);
         for record in self.agents.values_mut() {
             let is_silent = heard_another && record.is_lost(now);
-            let is_mute = hears_others && record.owes_answer_for(now) >= LOST_WHEN_ASKED;
+            let is_mute = hears_others && record.unanswered_for(now) >= LOST_WHEN_ASKED;
             if !record.counted_lost && (is_silent || is_mute) {
                 record.counted_lost = true;
                 changes.push(DirectoryChange::Lost(record.address));
@@ -271,18 +271,18 @@
                 zone: report.zone,
                 state: report.state,
                 knows_all_flows: report.knows_all_flows,
-                capacity: report.capacity,
+                slots: report.slots,
                 load: report.load,
                 version: report.version,
                 incarnation: None,
-                born_ms: None,
-                succession: Succession::default(),
+                started_at_ms: None,
+                succession: RestartDetector::default(),
                 former_epoch: None,
-                heartbeat: 0,
+                last_heartbeat: 0,
                 heard_at: now,
                 load_at: now,
                 sent_since: 0,
-                unanswered: 0,
+                unanswered_openings: 0,
                 warm_at: now,
                 epoch: report.epoch,
                 sequence: 0,
--- a/crates/woodladder-core/src/flow/flow_record/mod.rs
+++ b/crates/woodladder-core/src/flow/flow_record/mod.rs
@@ -15,5 +15,5 @@
 pub mod session;
 
 pub use record::{FlowRecord, HolderFlows, RecordError, RecordedFlow};
-pub use restorer::{AgentKnowledge, RecordQuestion, RecordRestorer, RestoreTotals, RestoredFlow};
+pub use restorer::{AgentKnowledge, RecordQuery, RecordRestorer, RestoreTotals, RestoredFlow};
 pub use session::{RecordNeed, RecordSession, RecordStep, write_period};
--- a/crates/woodladder-core/src/flow/flow_record/restorer.rs
+++ b/crates/woodladder-core/src/flow/flow_record/restorer.rs
@@ -89,7 +89,7 @@
 
 /// One question to an agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RecordQuestion {
+pub struct RecordQuery {
     /// The agent.
     pub agent: NodeAddress,
     /// The incarnation that held the flows.
@@ -112,7 +112,7 @@
 
 impl RecordRestorer {
     /// Takes a record in.
-    pub fn take(&mut self, record: &FlowRecord, now: Instant) {
+    pub fn load(&mut self, record: &FlowRecord, now: Instant) {
         self.taken_at = Some(now);
         for group in &record.holders {
             for flow in &group.flows {
@@ -156,7 +156,7 @@
 
     /// An agent was heard. One that knows more than before is asked again for what it
     /// could not tell.
-    pub fn heard(&mut self, agent: NodeAddress, knowledge: AgentKnowledge) {
+    pub fn update_agent_knowledge(&mut self, agent: NodeAddress, knowledge: AgentKnowledge) {
         if !self.awaits(agent) {
             return;
         }
@@ -188,7 +188,7 @@
 
     /// At most `most` flows that are to be asked for now, by agent, which counts as
     /// asking.
-    pub fn due(&mut self, most: usize, now: Instant) -> Vec<RecordQuestion> {
+    pub fn take_due_queries(&mut self, most: usize, now: Instant) -> Vec<RecordQuery> {
         let mut left = most;
         let mut questions = Vec::new();
         for (agent, keys) in &self.by_agent {
@@ -210,7 +210,7 @@
                     left -= 1;
                 }
             }
-            questions.extend(asked.into_iter().map(|(incarnation, keys)| RecordQuestion {
+            questions.extend(asked.into_iter().map(|(incarnation, keys)| RecordQuery {
                 agent: *agent,
                 incarnation: Incarnation(incarnation),
                 keys,
@@ -236,7 +236,7 @@
 
     /// An agent denies a flow. Returns the flow when that proves that it is gone.
     /// Only an agent that was asked in this life of the balancer counts.
-    pub fn denied(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
+    pub fn handle_denial(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
         let flow = self.held_by(agent, key)?;
         flow.asked_at?;
         self.remove(key);
@@ -245,7 +245,7 @@
     }
 
     /// An agent holds a flow. Returns the flow when the record has named it there.
-    pub fn located(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
+    pub fn handle_located(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
         let flow = self.held_by(agent, key)?;
         self.remove(key);
         self.totals.held += 1;
@@ -254,21 +254,21 @@
 
     /// An agent says that only its target can tell: it is not asked again before it
     /// begins to know.
-    pub fn undecided(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
+    pub fn mark_undecided(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
         let flow = self.flows.get_mut(key).filter(|flow| flow.agent == agent)?;
         flow.is_undecided = true;
         Some(*flow)
     }
 
     /// The balancer has seen more of a flow than the record tells.
-    pub fn superseded(&mut self, key: &FlowKey) {
+    pub fn mark_superseded(&mut self, key: &FlowKey) {
         if self.remove(key) {
             self.totals.superseded += 1;
         }
     }
 
     /// The target of an agent has ended with all its flows; returns them.
-    pub fn ended(&mut self, agent: NodeAddress) -> Vec<(FlowKey, RestoredFlow)> {
+    pub fn remove_ended_target(&mut self, agent: NodeAddress) -> Vec<(FlowKey, RestoredFlow)> {
         let keys = self.by_agent.remove(&agent).unwrap_or_default();
         let ended: Vec<(FlowKey, RestoredFlow)> = keys
             .into_iter()
--- a/crates/woodladder-core/src/flow/table.rs
+++ b/crates/woodladder-core/src/flow/flow_table.rs
@@ -56,7 +56,7 @@
     }
 
     /// The value of a flow; counts as a use.
-    pub fn use_flow(&mut self, key: &FlowKey) -> Option<&mut V> {
+    pub fn touch(&mut self, key: &FlowKey) -> Option<&mut V> {
         if let Some(value) = self.elder.remove(key) {
             self.younger.insert(*key, value);
         }
--- a/crates/woodladder-core/src/flow/held_flows.rs
+++ b/crates/woodladder-core/src/flow/held_flows.rs
@@ -11,9 +11,9 @@
 
 /// Most flows of one agent that are told. An agent with more is asked like one that
 /// tells nothing: its list would cost more than the questions that it saves.
-pub const MOST_TOLD_FLOWS: usize = 4096;
+pub const MAXIMUM_ANNOUNCED_FLOWS: usize = 4096;
 /// Most fingerprints in one datagram, which stays below 1,200 bytes.
-pub const MOST_FINGERPRINTS: usize = 256;
+pub const MAXIMUM_FINGERPRINTS: usize = 256;
 
 /// The low bits of a flow's hash.
 #[derive(
@@ -31,25 +31,25 @@
 
 /// How much of the agent's flows a statement covers.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
-pub enum StatementCoverage {
-    /// What has changed after the change numbered `first`.
+pub enum AnnouncementCoverage {
+    /// What has changed after the change numbered `base_change`.
     Changes,
     /// All flows that are told; nothing else is open for longer than a moment.
     Complete,
-    /// Nothing: the agent holds more than [`MOST_TOLD_FLOWS`].
+    /// Nothing: the agent holds more than [`MAXIMUM_ANNOUNCED_FLOWS`].
     Nothing,
 }
 
 /// What an agent adds to a report.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
-pub struct FlowStatement {
+pub struct FlowAnnouncement {
     /// How much it covers.
-    pub coverage: StatementCoverage,
+    pub coverage: AnnouncementCoverage,
     /// Number of the last change before those that are stated.
-    pub first: u32,
+    pub base_change: u32,
     /// Number of the last change that is stated.
-    pub last: u32,
-    /// Flows that are open as of `last`.
+    pub last_change: u32,
+    /// Flows that are open as of `last_change`.
     pub open: Vec<FlowFingerprint>,
     /// Flows that have closed between the two.
     pub closed: Vec<FlowFingerprint>,
@@ -61,11 +61,11 @@
     /// The agent's start.
     pub epoch: u64,
     /// Number of the last change that the list contains.
-    pub last: u32,
+    pub last_change: u32,
     /// Place of this part, from zero.
-    pub part: u8,
+    pub part_index: u8,
     /// Parts of the list.
-    pub parts: u8,
+    pub part_count: u8,
     /// Flows that are open.
     pub open: Vec<FlowFingerprint>,
 }
--- a/crates/woodladder-core/src/flow/identity.rs
+++ b/crates/woodladder-core/src/flow/identity.rs
@@ -58,7 +58,7 @@
     /// The start of the target with this identifier at a time of its own, in
     /// milliseconds of Unix time: one identifier may start several times.
     #[must_use]
-    pub fn born(identifier: &str, born_ms: u64) -> Self {
+    pub fn started_at(identifier: &str, born_ms: u64) -> Self {
         Self(xxh3_64_with_seed(
             &born_ms.to_be_bytes(),
             Self::named(identifier).0,
--- a/crates/woodladder-core/src/flow/link/bulk_admission.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_admission.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BulkDecision {
     /// It goes on.
-    Go,
+    Admit,
     /// It waits here.
     Wait,
     /// It is refused: nothing of it has run, and its time here would end before its
@@ -59,11 +59,11 @@
     /// As it came.
     pub bytes: Vec<u8>,
     /// When it came.
-    pub since: Instant,
+    pub queued_at: Instant,
     /// When its caller sent it for the first time.
     pub first_sent: Instant,
     /// Whether it goes on; it is refused otherwise.
-    pub goes: bool,
+    pub is_admitted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -113,7 +113,7 @@
     ) -> BulkDecision {
         let key = packet.key;
         if self.under_way.contains_key(&key) {
-            return BulkDecision::Go;
+            return BulkDecision::Admit;
         }
         let mut waiting = self.waiting.iter_mut();
         if let Some(known) = waiting.find(|waiting| waiting.packet.key == key) {
@@ -127,7 +127,7 @@
         let is_first = packet.acknowledgement == 0;
         if !is_first || (self.waiting.is_empty() && self.under_way.len() < limit) {
             self.begin(key, now);
-            return BulkDecision::Go;
+            return BulkDecision::Admit;
         }
         if self.waiting.len() >= MOST_WAITING || self.turn_comes_late(terms, limit) {
             return BulkDecision::Refuse;
@@ -150,7 +150,7 @@
             PacketKind::Finish | PacketKind::Reset => {
                 self.under_way.remove(&packet.key);
             }
-            PacketKind::Data if packet.payload > 0 => self.data(packet, now),
+            PacketKind::Data if packet.payload_length > 0 => self.data(packet, now),
             _ => {}
         }
     }
@@ -161,9 +161,9 @@
             longest: 0,
         });
         flow.last_at = now;
-        flow.longest = flow.longest.max(packet.payload);
+        flow.longest = flow.longest.max(packet.payload_length);
         // Senders fill their packets, but for the last one of a request.
-        if packet.payload < flow.longest {
+        if packet.payload_length < flow.longest {
             self.under_way.remove(&packet.key);
         }
     }
@@ -244,12 +244,12 @@
     }
 }
 
-fn ended(waiting: Waiting, goes: bool) -> ReleasedOpening {
+fn ended(waiting: Waiting, is_admitted: bool) -> ReleasedOpening {
     ReleasedOpening {
         packet: waiting.packet,
         bytes: waiting.bytes,
-        since: waiting.since,
+        queued_at: waiting.since,
         first_sent: waiting.first_sent,
-        goes,
+        is_admitted,
     }
 }
--- a/crates/woodladder-core/src/flow/link/mod.rs
+++ b/crates/woodladder-core/src/flow/link/mod.rs
@@ -11,7 +11,7 @@
 
 use self::bulk_admission::{BulkAdmission, BulkDecision, BulkTerms, ReleasedOpening};
 use self::bulk_routes::BulkRoutes;
-use self::scheduler::Urgency;
+use self::scheduler::TrafficClass;
 use self::usage::LinkUsage;
 use super::configuration::RouteTerms;
 use super::identity::FlowKey;
@@ -55,17 +55,17 @@
     }
 
     /// Counts a datagram that has come.
-    pub fn arrived(&mut self, length: usize, now: Instant) {
+    pub fn record_received(&mut self, length: usize, now: Instant) {
         self.incoming.add(length + LINK_HEADER, now);
     }
 
     /// Counts a datagram that has left.
-    pub fn left(&mut self, length: usize, now: Instant) {
+    pub fn record_sent(&mut self, length: usize, now: Instant) {
         self.outgoing.add(length + LINK_HEADER, now);
     }
 
     /// Decides about a packet of a caller.
-    pub fn caller_packet(
+    pub fn admit_caller_packet(
         &mut self,
         packet: &FlowPacket,
         bytes: &[u8],
@@ -74,20 +74,20 @@
     ) -> BulkDecision {
         let is_bulk = self.routes.is_bulk(packet.key.service);
         if packet.kind != PacketKind::Open {
-            self.routes.brought(&packet.key, packet.payload, now);
+            self.routes.brought(&packet.key, packet.payload_length, now);
             if is_bulk {
                 self.admission.packet(packet, now);
             }
-            return BulkDecision::Go;
+            return BulkDecision::Admit;
         }
         let decision = if is_bulk {
             let terms = self.terms(packet.key.service, terms);
             let limit = self.most_sharing();
             self.admission.opening(packet, bytes, terms, limit, now)
         } else {
-            BulkDecision::Go
+            BulkDecision::Admit
         };
-        if decision == BulkDecision::Go {
+        if decision == BulkDecision::Admit {
             self.routes.opened(packet.key, now);
         }
         decision
@@ -99,12 +99,12 @@
     }
 
     /// Openings whose wait ends now.
-    pub fn release(&mut self, now: Instant) -> Vec<ReleasedOpening> {
+    pub fn release_waiting(&mut self, now: Instant) -> Vec<ReleasedOpening> {
         if self.admission.waiting() == 0 {
             return Vec::new();
         }
         let released = self.admission.release(self.most_sharing(), now);
-        for opening in released.iter().filter(|opening| opening.goes) {
+        for opening in released.iter().filter(|opening| opening.is_admitted) {
             self.routes.opened(opening.packet.key, now);
         }
         released
@@ -112,35 +112,35 @@
 
     /// Whether a waiting opening may go on.
     #[must_use]
-    pub fn has_room_for_waiting(&self) -> bool {
+    pub fn can_release_waiting(&self) -> bool {
         self.admission.has_room(self.most_sharing())
     }
 
     /// Whether a packet goes before others.
     #[must_use]
-    pub fn urgency(&self, packet: &FlowPacket) -> Urgency {
-        if packet.payload > 0 && self.routes.is_bulk(packet.key.service) {
-            Urgency::Bulk
+    pub fn traffic_class(&self, packet: &FlowPacket) -> TrafficClass {
+        if packet.payload_length > 0 && self.routes.is_bulk(packet.key.service) {
+            TrafficClass::Bulk
         } else {
-            Urgency::Urgent
+            TrafficClass::Priority
         }
     }
 
     /// Mean rate in and out over the last second, in kilobits a second.
     #[must_use]
-    pub fn rates(&self, now: Instant) -> (u64, u64) {
+    pub fn used_kbps(&self, now: Instant) -> (u64, u64) {
         (self.incoming.rate(now), self.outgoing.rate(now))
     }
 
     /// Rate of the link, in kilobits a second.
     #[must_use]
-    pub fn rate(&self) -> u32 {
+    pub fn rate_kbps(&self) -> u32 {
         self.rate
     }
 
     /// Flows of bulk routes under way.
     #[must_use]
-    pub fn flows_under_way(&self) -> usize {
+    pub fn active_bulk_flows(&self) -> usize {
         self.admission.under_way()
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Forgets routes that no longer exist.
-    pub fn retain(&mut self, exists: impl FnMut(SocketAddrV4) -> bool) {
+    pub fn retain_routes(&mut self, exists: impl FnMut(SocketAddrV4) -> bool) {
         self.routes.retain(exists);
     }
 
--- a/crates/woodladder-core/src/flow/link/scheduler.rs
+++ b/crates/woodladder-core/src/flow/link/scheduler.rs
@@ -31,23 +31,23 @@
 
 /// Which datagrams go first.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Urgency {
+pub enum TrafficClass {
     /// Small packets that others wait for: openings, acknowledgements, requests that
     /// fit in a packet, resets, messages between nodes.
-    Urgent,
+    Priority,
     /// Packets of flows that bring many bytes, and copies of packets of searches.
     Bulk,
 }
 
 /// A datagram's place among the others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Placement {
+pub struct DatagramInfo {
     /// Bytes, without the headers of the network.
-    pub length: usize,
+    pub length_bytes: usize,
     /// Flow whose packet it carries, if any.
     pub flow: Option<FlowKey>,
     /// Whether it goes first.
-    pub urgency: Urgency,
+    pub class: TrafficClass,
 }
 
 /// Running totals.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 struct Queued<T> {
     datagram: T,
-    placement: Placement,
+    placement: DatagramInfo,
     since: Instant,
 }
 
@@ -105,11 +105,11 @@
 
     /// Takes a datagram that is to leave. It is given back when it is to be sent at
     /// once; otherwise it waits, or is dropped because the queue is full.
-    pub fn offer(&mut self, datagram: T, placement: Placement, now: Instant) -> Option<T> {
+    pub fn offer(&mut self, datagram: T, placement: DatagramInfo, now: Instant) -> Option<T> {
         let follows_bulk = placement
             .flow
             .is_some_and(|flow| self.waiting_flows.contains_key(&flow));
-        let waits_in_bulk = follows_bulk || placement.urgency == Urgency::Bulk;
+        let waits_in_bulk = follows_bulk || placement.class == TrafficClass::Bulk;
         let must_wait = if waits_in_bulk {
             !self.bulk.is_empty() || !self.urgent.is_empty()
         } else {
@@ -138,7 +138,7 @@
             Some(queued) => queued,
             None => self.pop_bulk()?,
         };
-        self.queued_bytes -= queued.placement.length;
+        self.queued_bytes -= queued.placement.length_bytes;
         self.charge(&queued.placement, now);
         Some(queued.datagram)
     }
@@ -169,15 +169,15 @@
         self.busy_until <= now + BURST
     }
 
-    fn charge(&mut self, placement: &Placement, now: Instant) {
-        let bytes = u64::try_from(placement.length + LINK_HEADER).unwrap_or(u64::MAX);
+    fn charge(&mut self, placement: &DatagramInfo, now: Instant) {
+        let bytes = u64::try_from(placement.length_bytes + LINK_HEADER).unwrap_or(u64::MAX);
         let time = Duration::from_nanos(bytes.saturating_mul(self.byte_time));
         self.busy_until = self.busy_until.max(now) + time;
     }
 
     fn queue(&mut self, queued: Queued<T>, waits_in_bulk: bool, now: Instant) {
         self.drop_late(now);
-        let length = queued.placement.length;
+        let length = queued.placement.length_bytes;
         loop {
             let is_full = self.queued_bytes + length > self.most_bytes;
             if waits_in_bulk || !is_full || !self.drop_newest_bulk() {
@@ -204,13 +204,13 @@
         let is_late = |queued: &Queued<T>| now.since(queued.since) >= LONGEST_QUEUED;
         while self.urgent.front().is_some_and(is_late) {
             if let Some(late) = self.urgent.pop_front() {
-                self.queued_bytes -= late.placement.length;
+                self.queued_bytes -= late.placement.length_bytes;
                 self.totals.dropped_late += 1;
             }
         }
         while self.bulk.front().is_some_and(is_late) {
             if let Some(late) = self.pop_bulk() {
-                self.queued_bytes -= late.placement.length;
+                self.queued_bytes -= late.placement.length_bytes;
                 self.totals.dropped_late += 1;
             }
         }
@@ -229,7 +229,7 @@
             return false;
         };
         self.forget_waiting(&dropped);
-        self.queued_bytes -= dropped.placement.length;
+        self.queued_bytes -= dropped.placement.length_bytes;
         self.totals.dropped_full += 1;
         true
     }
--- a/crates/woodladder-core/src/flow/note.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::activation::ActiveMechanisms;
+use super::cold_reason::ColdReason;
 use super::flow_record::{RecordError, RecordNeed, RestoreTotals};
 use super::identity::{FlowKey, Incarnation, NodeAddress};
 use super::message::{ReturnReason, TargetLoad, TargetState};
 use super::packet::ResetReason;
-use super::warm_up_doubt::WarmUpDoubt;
 
 /// One decision or one change of what a node believes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// A new flow was sent to a target.
     FlowSent {
         /// The flow.
@@ -41,7 +41,7 @@
         version: u64,
     },
     /// An opening waits until fewer flows share the link.
-    OpeningPutOff {
+    OpeningDeferredForLink {
         /// The flow.
         key: FlowKey,
         /// Flows that share the link.
@@ -145,9 +145,9 @@
     },
     /// It is not known any more whether the own target is cold, so it counts as
     /// cold until a heartbeat tells.
-    WarmthDoubted {
+    AssumedCold {
         /// Why.
-        doubt: WarmUpDoubt,
+        reason: ColdReason,
         /// Incarnation, when known.
         incarnation: Option<Incarnation>,
     },
@@ -185,7 +185,7 @@
         flows: usize,
     },
     /// The balancer begins to call the store, or ceases to.
-    StoreDuty {
+    StoreWatchChanged {
         /// Whether it watches the configuration now.
         watches: bool,
         /// Balancers heard that come before it.
@@ -277,7 +277,7 @@
         expected: Duration,
     },
     /// A request on an open flow waits until the own target can begin with it.
-    RequestHeld {
+    RequestQueued {
         /// The flow.
         key: FlowKey,
         /// Whether its route matters more than another one of the service.
@@ -316,17 +316,17 @@
 
 /// Notes that wait for the log; further ones are counted and dropped.
 #[derive(Clone, Debug, Default)]
-pub struct Notes {
-    waiting: Vec<Note>,
+pub struct LogEventBuffer {
+    waiting: Vec<LogEvent>,
     dropped: u64,
 }
 
-impl Notes {
+impl LogEventBuffer {
     /// Most notes that wait.
     pub const CAPACITY: usize = 512;
 
     /// Adds a note.
-    pub fn add(&mut self, note: Note) {
+    pub fn add(&mut self, note: LogEvent) {
         if self.waiting.len() < Self::CAPACITY {
             self.waiting.push(note);
         } else {
@@ -335,7 +335,7 @@
     }
 
     /// Takes what waits, and how many were dropped since the last call.
-    pub fn take(&mut self) -> (Vec<Note>, u64) {
+    pub fn take(&mut self) -> (Vec<LogEvent>, u64) {
         (
             std::mem::take(&mut self.waiting),
             std::mem::take(&mut self.dropped),
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -10,7 +10,7 @@
 
 use super::configuration::Configuration;
 use super::excluded_zones::ExcludedZones;
-use super::held_flows::{FlowListPart, FlowStatement};
+use super::held_flows::{FlowAnnouncement, FlowListPart};
 use super::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey, ZoneKey};
 
 /// First byte of each datagram: the version of this protocol.
@@ -46,7 +46,7 @@
     /// Requests that the balancer believes the target to hold or to have
     /// queued, this one left out; `None` when the agent is to take the opening
     /// whatever it holds.
-    pub believed_load: Option<u16>,
+    pub estimated_load: Option<u16>,
 }
 
 /// What goes before a packet on its way to an agent.
@@ -119,12 +119,12 @@
     pub service_time_us: u32,
     /// Work that the open flows at rest are expected to ask for, in thousandths of a
     /// slot; `None` before enough of them were seen.
-    pub resting_work: Option<u16>,
+    pub idle_flow_work_millislots: Option<u16>,
     /// Share of the latest requests that the target has failed, in percent.
     pub failed_percent: u8,
     /// Number of the target's last heartbeat, zero before the first: it tells which flows
     /// were open before which heartbeat.
-    pub heartbeat: u64,
+    pub last_heartbeat: u64,
     /// Openings that the target may still be handed within a second because it may
     /// be cold; `None` when it is not limited.
     pub openings_left: Option<u16>,
@@ -152,10 +152,10 @@
     /// Its incarnation, when a heartbeat has told it.
     pub incarnation: Option<Incarnation>,
     /// When the incarnation began by what it says, in milliseconds of Unix time.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Time since the last heartbeat of the incarnation before, in milliseconds:
     /// flows that were opened later may be open at the present one.
-    pub former_heard_ms: u32,
+    pub previous_heartbeat_age_ms: u32,
     /// Whether the agent knows every open flow of the target: it has run since the
     /// target began, or for longer than a flow lives.
     pub knows_all_flows: bool,
@@ -164,7 +164,7 @@
     /// Whether it takes flows.
     pub state: TargetState,
     /// Requests that it works on at the same time.
-    pub capacity: u16,
+    pub slots: u16,
     /// How much longer it is slow from its start, in milliseconds.
     pub warm_up_ms: u32,
     /// Its load.
@@ -177,34 +177,34 @@
 
 /// What a balancer says of itself.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
-pub struct BalancerGreeting {
+pub struct BalancerHello {
     /// Configuration that it knows.
     pub version: u64,
     /// Time between reports that it asks for, in milliseconds.
     pub report_interval_ms: u32,
     /// Whether it does not know this agent yet and waits for its report: it has
     /// started again, and the agent may still count on its earlier life.
-    pub asks_for_report: bool,
+    pub requests_report: bool,
     /// Longest time until it greets this receiver again, in milliseconds. Silence
     /// is judged by it.
-    pub next_within_ms: u32,
+    pub next_hello_within_ms: u32,
     /// Time since the store confirmed that this configuration is the newest,
     /// in milliseconds; `None` when its sender has not heard of that.
     pub confirmed_ago_ms: Option<u32>,
     /// Zones whose targets take no new flows.
     pub excluded_zones: ExcludedZones,
     /// Whether it is about to stop.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Whether it has heard an agent lately.
-    pub hears_agents: bool,
+    pub has_agent_contact: bool,
     /// Zone of its machine.
     pub zone: ZoneKey,
     /// Processor that it may use, in thousandths of a core.
-    pub capacity: u32,
+    pub cpu_millicores: u32,
     /// Rate of its machine's link, in kilobits a second; `None` when it is not known.
-    pub link_rate: Option<u32>,
+    pub link_rate_kbps: Option<u32>,
     /// Whether it could serve callers: it knows routes and hears agents.
-    pub is_able: bool,
+    pub can_serve: bool,
     /// Other balancers that it knows.
     pub balancers: Vec<NodeAddress>,
 }
@@ -275,12 +275,12 @@
     Report(TargetReport),
     /// Agent to balancer: the agent stops, and its target has ended with all of
     /// its flows.
-    Farewell,
+    TargetEnded,
     /// Small balancer to a larger one: decide about a caller's packet; the
     /// packet follows.
     Relay,
     /// Balancer to agents and balancers.
-    Greeting(BalancerGreeting),
+    Hello(BalancerHello),
     /// Balancer to agent: does the target hold these flows, which this incarnation of it
     /// held? Answered as [`PeerMessage::Locate`] is, but for denials.
     LocateRecorded {
@@ -302,7 +302,7 @@
         /// The report.
         report: TargetReport,
         /// The flows.
-        flows: FlowStatement,
+        flows: FlowAnnouncement,
     },
     /// Balancer to agent: send the list of all flows.
     ListFlows,
@@ -370,7 +370,7 @@
 impl PeerMessage {
     /// Place of the message's kind in [`MESSAGE_KINDS`].
     #[must_use]
-    pub fn kind(&self) -> usize {
+    pub fn kind_index(&self) -> usize {
         match self {
             Self::Forward(_) => 0,
             Self::Returned { .. } => 1,
@@ -382,9 +382,9 @@
             Self::Located { .. } => 7,
             Self::MayBeHeld { .. } => 8,
             Self::Report(_) => 9,
-            Self::Farewell => 10,
+            Self::TargetEnded => 10,
             Self::Relay => 11,
-            Self::Greeting(_) => 12,
+            Self::Hello(_) => 12,
             Self::LocateRecorded { .. } => 13,
             Self::RecordedNotHeld { .. } => 14,
             Self::ReportWithFlows { .. } => 15,
--- a/crates/woodladder-core/src/flow/pace.rs
+++ b/crates/woodladder-core/src/flow/message_timing.rs
@@ -12,7 +12,7 @@
 /// Silence that means something: so many of the sender's `period`s, at least
 /// `least`.
 #[must_use]
-pub fn silence_limit(period: Duration, periods: f64, least: Duration) -> Duration {
+pub fn liveness_timeout(period: Duration, periods: f64, least: Duration) -> Duration {
     least.max(period.mul_f64(periods))
 }
 
@@ -26,7 +26,7 @@
 
 /// At most `count` of the receivers, beginning at the one numbered `start`, so that
 /// calls with growing starts go round all of them.
-pub fn some_from<T: Copy>(
+pub fn take_cyclic<T: Copy>(
     receivers: impl Iterator<Item = T>,
     start: usize,
     count: usize,
--- a/crates/woodladder-core/src/flow/packet.rs
+++ b/crates/woodladder-core/src/flow/packet.rs
@@ -40,7 +40,7 @@
     /// copies were sent before.
     pub acknowledgement: u32,
     /// Bytes of data.
-    pub payload: u16,
+    pub payload_length: u16,
 }
 
 impl FlowPacket {
--- a/crates/woodladder-core/src/flow/peers.rs
+++ b/crates/woodladder-core/src/flow/peers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::identity::NodeAddress;
-use super::pace::{silence_limit, some_from};
-use super::zone_members::{MAXIMUM_BALANCERS, Member};
+use super::message_timing::{liveness_timeout, take_cyclic};
+use super::zone_members::{MAXIMUM_BALANCERS, ZoneMember};
 use crate::clock::Instant;
 
 /// Least silence after which a balancer that has greeted is forgotten.
@@ -32,7 +32,7 @@
     /// Configuration that it knew then.
     pub version: u64,
     /// What it said of its own part in its zone.
-    pub member: Option<Member>,
+    pub member: Option<ZoneMember>,
     /// Time within which it greets again, as it last said.
     greets_within: Duration,
     named_at: Instant,
@@ -40,11 +40,11 @@
 
 impl PeerRecord {
     fn forgotten_after(&self) -> Duration {
-        silence_limit(self.greets_within, FORGET_AFTER_PERIODS, FORGET_AFTER)
+        liveness_timeout(self.greets_within, FORGET_AFTER_PERIODS, FORGET_AFTER)
     }
 
     fn is_counted(&self, now: Instant) -> bool {
-        let limit = silence_limit(self.greets_within, COUNTED_FOR_PERIODS, COUNTED_FOR);
+        let limit = liveness_timeout(self.greets_within, COUNTED_FOR_PERIODS, COUNTED_FOR);
         self.heard_at.is_some_and(|at| now.since(at) < limit)
     }
 }
@@ -58,7 +58,7 @@
 impl BalancerPeers {
     /// Remembers a balancer that something else than itself has named; says
     /// whether it was new.
-    pub fn named(&mut self, address: NodeAddress, now: Instant) -> bool {
+    pub fn learn_address(&mut self, address: NodeAddress, now: Instant) -> bool {
         if self.records.contains_key(&address) || self.records.len() >= MAXIMUM_BALANCERS {
             return false;
         }
@@ -75,14 +75,14 @@
 
     /// Takes a greeting in, whose sender greets again within a time; says whether
     /// the balancer had not greeted before.
-    pub fn heard(
+    pub fn record_hello(
         &mut self,
         address: NodeAddress,
         version: u64,
         greets_within: Duration,
         now: Instant,
     ) -> bool {
-        self.named(address, now);
+        self.learn_address(address, now);
         let Some(record) = self.records.get_mut(&address) else {
             return false;
         };
@@ -94,7 +94,7 @@
     }
 
     /// Takes in what a balancer that has greeted says of its part.
-    pub fn stated(&mut self, address: NodeAddress, member: Member) {
+    pub fn set_member(&mut self, address: NodeAddress, member: ZoneMember) {
         if let Some(record) = self.records.get_mut(&address) {
             record.member = Some(member);
         }
@@ -103,14 +103,14 @@
     /// Balancers that were heard lately, could serve, and can use at least this
     /// capacity.
     #[must_use]
-    pub fn able_from(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
+    pub fn serving_with_at_least(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
         let is_able = |record: &PeerRecord| {
             let is_heard = record
                 .heard_at
                 .is_some_and(|at| now.since(at) < SERVING_FOR);
             let is_large = record
                 .member
-                .is_some_and(|member| member.is_able && member.usable_capacity() >= least);
+                .is_some_and(|member| member.can_serve && member.usable_capacity() >= least);
             is_heard && is_large
         };
         self.records
@@ -125,7 +125,7 @@
         self.records
             .values()
             .filter(move |record| record.is_counted(now))
-            .filter_map(|record| record.member.map(|member| member.capacity))
+            .filter_map(|record| record.member.map(|member| member.cpu_millicores))
     }
 
     /// Forgets a balancer.
@@ -157,12 +157,12 @@
     /// At most `count` addresses, beginning at the one numbered `start`, so
     /// that calls with growing starts go round all of them.
     #[must_use]
-    pub fn some_from(&self, start: usize, count: usize) -> Vec<NodeAddress> {
-        some_from(self.addresses(), start, count)
+    pub fn take_cyclic(&self, start: usize, count: usize) -> Vec<NodeAddress> {
+        take_cyclic(self.addresses(), start, count)
     }
 
     /// Balancers that knew a lesser configuration when they last greeted.
-    pub fn behind(&self, version: u64) -> impl Iterator<Item = NodeAddress> + '_ {
+    pub fn with_older_configuration(&self, version: u64) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
             .filter(move |(_, record)| record.version < version)
@@ -170,7 +170,7 @@
     }
 
     /// Balancers that have greeted and have not missed more than a greeting since.
-    pub fn counted(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
+    pub fn heard_recently(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
             .filter(move |(_, record)| record.is_counted(now))
@@ -185,13 +185,13 @@
         let Some(period) = heard().map(|record| record.greets_within).min() else {
             return false;
         };
-        let limit = silence_limit(period, COUNTED_FOR_PERIODS, COUNTED_FOR);
+        let limit = liveness_timeout(period, COUNTED_FOR_PERIODS, COUNTED_FOR);
         let latest = heard().filter_map(|record| record.heard_at).max();
         latest.is_some_and(|at| now.since(at) < limit)
     }
 
     /// Balancers that have greeted.
-    pub fn confirmed(&self) -> impl Iterator<Item = NodeAddress> + '_ {
+    pub fn confirmed_by_hello(&self) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
             .filter(|(_, record)| record.heard_at.is_some())
@@ -199,7 +199,7 @@
     }
 
     /// Counts the silence of all from now on.
-    pub fn forgive_silence(&mut self, now: Instant) {
+    pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.records.values_mut() {
             record.named_at = now;
             record.heard_at = record.heard_at.map(|_| now);
--- a/crates/woodladder-core/src/flow/promises.rs
+++ b/crates/woodladder-core/src/flow/promises.rs
@@ -96,29 +96,29 @@
 
     /// An opening is handed to the target; `urgent_waits` says whether one of a more
     /// urgent route stays behind that can still be in time.
-    pub fn handed_over(&mut self, opening: &DecidedOpening, urgent_waits: bool) {
+    pub fn record_handover(&mut self, opening: &DecidedOpening, urgent_waits: bool) {
         self.broken.put_behind += u64::from(urgent_waits && !opening.is_urgent);
         self.broken.worked_for_nobody += u64::from(opening.age >= opening.timeout);
     }
 
     /// An opening that has waited is given back or refused.
-    pub fn given_up(&mut self, opening: &DecidedOpening) {
+    pub fn record_given_up(&mut self, opening: &DecidedOpening) {
         self.broken.held_past_timeout += u64::from(opening.age > opening.timeout);
     }
 
     /// An opening has waited for as long as it may and is refused untried.
-    pub fn held_to_the_end(&mut self) {
+    pub fn record_held_untried(&mut self) {
         self.broken.held_untried += 1;
     }
 
     /// An opening is refused.
-    pub fn refused(&mut self, was_accepted: bool, has_free_target: bool) {
+    pub fn record_refusal(&mut self, was_accepted: bool, has_free_target: bool) {
         self.broken.refused_though_accepted += u64::from(was_accepted);
         self.broken.refused_beside_free += u64::from(has_free_target);
     }
 
     /// A flow is reset because no target holds it any more.
-    pub fn reset_as_gone(&mut self, key: FlowKey, now: Instant) {
+    pub fn record_reset(&mut self, key: FlowKey, now: Instant) {
         if self.resets.len() == REMEMBERED_RESETS {
             self.resets.pop_front();
         }
@@ -126,7 +126,7 @@
     }
 
     /// A target says that it holds a flow.
-    pub fn is_held(&mut self, key: &FlowKey, now: Instant) {
+    pub fn record_held(&mut self, key: &FlowKey, now: Instant) {
         let is_known =
             |(reset, at): &(FlowKey, Instant)| reset == key && now.since(*at) < REMEMBERED_FOR;
         if let Some(index) = self.resets.iter().position(is_known) {
@@ -136,12 +136,12 @@
     }
 
     /// A flow is opened anew: what is said of it later is not about the one before.
-    pub fn opened(&mut self, key: &FlowKey) {
+    pub fn record_opening(&mut self, key: &FlowKey) {
         self.resets.retain(|(reset, _)| reset != key);
     }
 
     /// A heartbeat that says that its target leaves was not taken.
-    pub fn leaving_not_taken(&mut self, incarnation: Incarnation, now: Instant) {
+    pub fn record_leaving_rejected(&mut self, incarnation: Incarnation, now: Instant) {
         let is_known = self
             .unacknowledged
             .is_some_and(|(known, _)| known == incarnation);
@@ -151,7 +151,7 @@
     }
 
     /// A heartbeat of that target was taken.
-    pub fn leaving_taken(&mut self, incarnation: Incarnation, now: Instant) {
+    pub fn record_leaving_accepted(&mut self, incarnation: Incarnation, now: Instant) {
         let waited = self
             .unacknowledged
             .take_if(|(known, _)| *known == incarnation);
--- a/crates/woodladder-core/src/flow/route_traffic.rs
+++ b/crates/woodladder-core/src/flow/route_traffic.rs
@@ -25,7 +25,7 @@
 
 impl RouteTraffic {
     /// Counts a new flow.
-    pub fn flow(&mut self, route: SocketAddrV4) {
+    pub fn count_flow(&mut self, route: SocketAddrV4) {
         let totals = self.routes.entry(route).or_default();
         if totals.flows >= WINDOW_FLOWS {
             totals.flows /= 2;
@@ -35,7 +35,7 @@
     }
 
     /// Counts bytes of a route that has flows.
-    pub fn bytes(&mut self, route: SocketAddrV4, length: usize) {
+    pub fn count_bytes(&mut self, route: SocketAddrV4, length: usize) {
         if let Some(totals) = self.routes.get_mut(&route) {
             totals.bytes += u64::try_from(length).unwrap_or(0);
         }
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -6,7 +6,7 @@
 //! that a later search for the flow begins among the same few.
 
 use super::agent_record::AgentRecord;
-use super::directory::Directory;
+use super::directory::AgentDirectory;
 use super::excluded_zones::ExcludedZones;
 use super::identity::{FlowKey, NodeAddress, ServiceKey, ZoneKey};
 use super::message::TargetState;
@@ -58,9 +58,9 @@
 
 /// What a choice is made from.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice<'a> {
+pub struct TargetSelector<'a> {
     /// All known agents.
-    pub directory: &'a Directory,
+    pub directory: &'a AgentDirectory,
     /// Zones whose targets take no new flows.
     pub excluded_zones: &'a ExcludedZones,
     /// Zone of the balancer.
@@ -77,22 +77,22 @@
 
 /// The target chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Chosen {
+pub struct SelectedTarget {
     /// Its agent.
     pub agent: NodeAddress,
     /// The score that it won with, in slots; less is better.
     pub score: f64,
     /// Requests that its target is believed to hold or to have queued.
-    pub believed_load: u16,
+    pub estimated_load: u16,
     /// Further targets that could have been chosen.
-    pub others: usize,
+    pub other_candidates: usize,
 }
 
 /// Agents of a service that come first for a flow, at most `count`, without
 /// those that are left out.
 #[must_use]
 pub fn first_candidates(
-    directory: &Directory,
+    directory: &AgentDirectory,
     service: ServiceKey,
     key: &FlowKey,
     is_left_out: impl Fn(NodeAddress) -> bool,
@@ -111,11 +111,11 @@
     agents
 }
 
-impl Choice<'_> {
+impl TargetSelector<'_> {
     /// The best target for the flow, or `None` when the service has none that
     /// takes flows and was not asked before.
     #[must_use]
-    pub fn best(&self, now: Instant) -> Option<Chosen> {
+    pub fn select(&self, now: Instant) -> Option<SelectedTarget> {
         let candidates = first_candidates(
             self.directory,
             self.service,
@@ -127,7 +127,7 @@
             .or_else(|| self.best_of(self.directory.agents_of(self.service), now))
     }
 
-    fn best_of(&self, candidates: &[NodeAddress], now: Instant) -> Option<Chosen> {
+    fn best_of(&self, candidates: &[NodeAddress], now: Instant) -> Option<SelectedTarget> {
         let usable: Vec<&AgentRecord> = candidates
             .iter()
             .filter(|agent| !self.tried.contains(agent))
@@ -136,16 +136,16 @@
             .filter(|record| !self.excluded_zones.excludes(record.zone))
             .collect();
         let usual = Usual::of(&usable);
-        let others = usable.len().saturating_sub(1);
+        let other_candidates = usable.len().saturating_sub(1);
         usable
             .into_iter()
             .map(|record| (self.score(record, &usual, now), record))
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
-            .map(|(score, record)| Chosen {
+            .map(|(score, record)| SelectedTarget {
                 agent: record.address,
                 score,
-                believed_load: record.believed_load(),
-                others,
+                estimated_load: record.estimated_load(),
+                other_candidates,
             })
     }
 
@@ -156,8 +156,8 @@
     }
 
     fn score(&self, record: &AgentRecord, usual: &Usual, now: Instant) -> f64 {
-        let waiting = f64::from(record.believed_load());
-        let slots = f64::from(record.capacity.max(1));
+        let waiting = f64::from(record.estimated_load());
+        let slots = f64::from(record.slots.max(1));
         let slowdown = slowdown(record, usual, now);
         let occupied = match usual.work_per_flow {
             Some(usual) => {
@@ -233,14 +233,14 @@
 /// Work of one flow at rest, in slots; `None` when the target does not state it or has
 /// too few flows to tell.
 fn work_per_flow(record: &AgentRecord) -> Option<f64> {
-    let work = f64::from(record.load.resting_work?) / THOUSANDTHS;
+    let work = f64::from(record.load.idle_flow_work_millislots?) / THOUSANDTHS;
     (record.load.flows >= LEAST_FLOWS).then(|| work / f64::from(record.load.flows))
 }
 
 /// Work of a target's flows at rest, in slots: as stated, or what as many flows take
 /// elsewhere.
 fn resting_work(record: &AgentRecord, usual_per_flow: f64) -> f64 {
-    record.load.resting_work.map_or_else(
+    record.load.idle_flow_work_millislots.map_or_else(
         || f64::from(record.load.flows) * usual_per_flow,
         |stated| f64::from(stated) / THOUSANDTHS,
     )
--- a/crates/woodladder-core/src/flow/store_session/list.rs
+++ b/crates/woodladder-core/src/flow/store_session/list.rs
@@ -31,7 +31,7 @@
 
 /// The list of balancers.
 #[derive(Clone, Debug)]
-pub struct BalancerList {
+pub struct BalancerDiscovery {
     due_at: Instant,
     in_flight: bool,
     urgent_lists: u32,
@@ -42,7 +42,7 @@
     backoff: Backoff,
 }
 
-impl BalancerList {
+impl BalancerDiscovery {
     /// A list that is read at once; `may_be_stale` when the first answers may
     /// be some seconds old.
     #[must_use]
@@ -62,14 +62,14 @@
     /// after its start: those that the settings name or that know the node already
     /// greet it within a few milliseconds, and a start of everything costs no call.
     #[must_use]
-    pub fn after_others(seed: u64, now: Instant) -> Self {
+    pub fn with_initial_delay(seed: u64, now: Instant) -> Self {
         let mut list = Self::new(seed, true, now);
         list.due_at = now + list.backoff.spread(OTHERS_FIRST_FOR);
         list
     }
 
     /// Says what the node needs the list for now.
-    pub fn needed_for(&mut self, need: ListNeed, now: Instant) {
+    pub fn set_need(&mut self, need: ListNeed, now: Instant) {
         let was_urgent = self.need == ListNeed::Urgent;
         let is_urgent = need == ListNeed::Urgent;
         if is_urgent && !was_urgent {
--- a/crates/woodladder-core/src/flow/store_session/mod.rs
+++ b/crates/woodladder-core/src/flow/store_session/mod.rs
@@ -18,7 +18,7 @@
 use super::identity::{NodeAddress, ZoneKey};
 
 pub(super) use backoff::Backoff;
-pub use list::{BalancerList, ListNeed};
+pub use list::{BalancerDiscovery, ListNeed};
 pub use registration::BalancerRegistration;
 pub use watch::{ConfigurationWatch, OperatorState};
 
@@ -87,7 +87,7 @@
 impl StoreCall {
     /// Place of the call's kind in [`CALL_KINDS`].
     #[must_use]
-    pub fn kind(&self) -> usize {
+    pub fn kind_index(&self) -> usize {
         match self {
             Self::ReadConfiguration => 0,
             Self::AwaitConfiguration { .. } => 1,
@@ -104,7 +104,7 @@
 
 /// What an answer of the store says of the excluded zones.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ZoneStatement {
+pub enum ZoneUpdate {
     /// These are all.
     All(BTreeSet<ZoneKey>),
     /// These have changed since the revision asked for, the latest last.
@@ -120,7 +120,7 @@
         /// be read.
         configuration: Option<Configuration>,
         /// What is known of the excluded zones.
-        zones: ZoneStatement,
+        zones: ZoneUpdate,
         /// Revision of the store.
         revision: u64,
     },
--- a/crates/woodladder-core/src/flow/store_session/watch.rs
+++ b/crates/woodladder-core/src/flow/store_session/watch.rs
@@ -5,7 +5,7 @@
 use super::super::configuration::Configuration;
 use super::super::excluded_zones::ExcludedZones;
 use super::backoff::Backoff;
-use super::{NextCall, StoreCall, StoreReply, ZoneStatement};
+use super::{NextCall, StoreCall, StoreReply, ZoneUpdate};
 use crate::clock::Instant;
 
 /// Time after which a caller that asks while a call is under way asks again.
@@ -107,10 +107,8 @@
                 self.backoff.succeeded();
                 self.due_at = now;
                 let excluded_zones = match zones {
-                    ZoneStatement::All(zones) => ExcludedZones { revision, zones },
-                    ZoneStatement::Changes(changes) => {
-                        self.excluded_zones.after(&changes, revision)
-                    }
+                    ZoneUpdate::All(zones) => ExcludedZones { revision, zones },
+                    ZoneUpdate::Changes(changes) => self.excluded_zones.after(&changes, revision),
                 };
                 let zones_differ = excluded_zones.zones != self.excluded_zones.zones;
                 self.excluded_zones.clone_from(&excluded_zones);
--- a/crates/woodladder-core/src/flow/succession.rs
+++ b/crates/woodladder-core/src/flow/target_restart.rs
@@ -14,7 +14,7 @@
 
 /// How long the known start must stay silent before one that may be older follows:
 /// two heartbeats.
-pub const PROVEN_BY_SILENCE: Duration = Duration::from_millis(2500);
+pub const SILENCE_BEFORE_SUPERSEDED: Duration = Duration::from_millis(2500);
 
 /// One start of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -22,14 +22,14 @@
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// When it began, in milliseconds of Unix time; `None` when it does not state it.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 impl TargetStart {
     /// Whether it surely began after another one: where nothing is known of the other
     /// one's beginning, the order of messages decides.
     fn is_later_than(&self, other: &Self) -> bool {
-        match (self.born_ms, other.born_ms) {
+        match (self.started_at_ms, other.started_at_ms) {
             (_, None) => true,
             (None, Some(_)) => false,
             (Some(own), Some(others)) => own > others,
@@ -46,14 +46,14 @@
 
 /// What is known of a start that may follow the known one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Succession {
+pub struct RestartDetector {
     claim: Option<Claim>,
 }
 
-impl Succession {
+impl RestartDetector {
     /// Whether a start that is not the known one follows it. `sequence` is the number
     /// of its message.
-    pub fn follows(
+    pub fn supersedes(
         &mut self,
         known: &TargetStart,
         next: &TargetStart,
@@ -73,7 +73,7 @@
             since: now,
         }));
         let goes_on = sequence > claim.sequence;
-        let is_proven = goes_on && now.since(claim.since) >= PROVEN_BY_SILENCE;
+        let is_proven = goes_on && now.since(claim.since) >= SILENCE_BEFORE_SUPERSEDED;
         if is_proven {
             self.claim = None;
         }
@@ -87,7 +87,7 @@
 
     /// Whether some start may follow and has not proven it yet.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn is_undecided(&self) -> bool {
         self.claim.is_some()
     }
 }
--- a/crates/woodladder-core/src/flow/parts.rs
+++ b/crates/woodladder-core/src/flow/weighted_round_robin.rs
@@ -17,14 +17,14 @@
 
 /// Credits of all routes that have several parts.
 #[derive(Clone, Debug, Default)]
-pub struct PartShares {
+pub struct WeightedRoundRobin {
     routes: FxHashMap<SocketAddrV4, Credits>,
 }
 
-impl PartShares {
+impl WeightedRoundRobin {
     /// The service of the route's next new flow; `None` when no part has any
     /// weight.
-    pub fn next(&mut self, route: &Route) -> Option<ServiceKey> {
+    pub fn next_service(&mut self, route: &Route) -> Option<ServiceKey> {
         if let [only] = route.parts.as_slice() {
             return Some(only.service);
         }
--- a/crates/woodladder-core/src/flow/zone_members.rs
+++ b/crates/woodladder-core/src/flow/zone_members.rs
@@ -14,7 +14,7 @@
 
 use super::activation::usable_capacity;
 use super::identity::NodeAddress;
-use super::pace::{silence_limit, some_from};
+use super::message_timing::{liveness_timeout, take_cyclic};
 use crate::clock::Instant;
 
 /// Most balancers remembered, which bounds memory only: six times the size that
@@ -38,26 +38,26 @@
 
 /// What a balancer says of its own part in its zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Member {
+pub struct ZoneMember {
     /// Processor that it may use, in thousandths of a core.
-    pub capacity: u32,
+    pub cpu_millicores: u32,
     /// Rate of its machine's link, in kilobits a second; `None` when it is not known.
-    pub link_rate: Option<u32>,
+    pub link_rate_kbps: Option<u32>,
     /// Whether it could serve: it knows routes and agents and does not leave.
-    pub is_able: bool,
+    pub can_serve: bool,
 }
 
-impl Member {
+impl ZoneMember {
     /// Processor that it can use for forwarding, in thousandths of a core.
     #[must_use]
     pub fn usable_capacity(&self) -> u32 {
-        usable_capacity(self.capacity, self.link_rate)
+        usable_capacity(self.cpu_millicores, self.link_rate_kbps)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    member: Member,
+    member: ZoneMember,
     /// Time within which it greets again, as it last said.
     greets_within: Duration,
     heard_at: Instant,
@@ -67,7 +67,7 @@
     /// Whether it has been silent for less than a time, or for less than so many
     /// times between its greetings.
     fn is_heard(&self, least: Duration, periods: f64, now: Instant) -> bool {
-        now.since(self.heard_at) < silence_limit(self.greets_within, periods, least)
+        now.since(self.heard_at) < liveness_timeout(self.greets_within, periods, least)
     }
 }
 
@@ -80,10 +80,10 @@
 impl ZoneMembers {
     /// Takes in what a balancer of the zone says of itself; it greets again within
     /// a time.
-    pub fn greeted(
+    pub fn record_hello(
         &mut self,
         address: NodeAddress,
-        member: Member,
+        member: ZoneMember,
         greets_within: Duration,
         now: Instant,
     ) {
@@ -105,7 +105,7 @@
     }
 
     /// Counts the silence of all from now on.
-    pub fn forgive_silence(&mut self, now: Instant) {
+    pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.records.values_mut() {
             record.heard_at = now;
         }
@@ -113,10 +113,12 @@
 
     /// Members that serve and can use at least this capacity.
     #[must_use]
-    pub fn able_from(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
+    pub fn serving_with_at_least(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
         self.records
             .iter()
-            .filter(|(_, record)| record.member.is_able && record.member.usable_capacity() >= least)
+            .filter(|(_, record)| {
+                record.member.can_serve && record.member.usable_capacity() >= least
+            })
             .filter(|(_, record)| {
                 record.is_heard(RECEIVER_SILENT_AFTER, RECEIVER_SILENT_AFTER_PERIODS, now)
             })
@@ -127,13 +129,13 @@
     fn serving(&self, now: Instant) -> impl Iterator<Item = (u32, NodeAddress)> + '_ {
         self.records
             .iter()
-            .filter(|(_, record)| record.member.is_able)
+            .filter(|(_, record)| record.member.can_serve)
             .filter(move |(_, record)| record.is_heard(SILENT_AFTER, SILENT_AFTER_PERIODS, now))
             .map(|(address, record)| (record.member.usable_capacity(), *address))
     }
 
     /// Members that were heard lately, whether they serve or not.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
+    pub fn heard_recently(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
             .filter(move |(_, record)| record.is_heard(SILENT_AFTER, SILENT_AFTER_PERIODS, now))
@@ -142,7 +144,7 @@
 
     /// Members that can use at most this capacity.
     #[must_use]
-    pub fn known_up_to(&self, most: u32) -> Vec<NodeAddress> {
+    pub fn with_capacity_at_most(&self, most: u32) -> Vec<NodeAddress> {
         self.records
             .iter()
             .filter(|(_, record)| record.member.usable_capacity() <= most)
@@ -174,19 +176,19 @@
     /// At most `count` addresses, beginning at the one numbered `start`, so
     /// that calls with growing starts go round all of them.
     #[must_use]
-    pub fn some_from(&self, start: usize, count: usize) -> Vec<NodeAddress> {
-        some_from(self.records.keys().copied(), start, count)
+    pub fn take_cyclic(&self, start: usize, count: usize) -> Vec<NodeAddress> {
+        take_cyclic(self.records.keys().copied(), start, count)
     }
 
     /// Whether the balancer with this address and usable capacity should stand by,
     /// because the zone bears more without it.
     #[must_use]
-    pub fn stands_by(&self, address: NodeAddress, capacity: u32, now: Instant) -> bool {
+    pub fn should_stand_by(&self, address: NodeAddress, capacity: u32, now: Instant) -> bool {
         let mut able: Vec<(u32, NodeAddress)> = self.serving(now).collect();
         able.push((capacity, address));
         able.sort_by_key(|(capacity, address)| (std::cmp::Reverse(*capacity), *address));
         let capacities: Vec<u32> = able.iter().map(|(capacity, _)| *capacity).collect();
-        let size = best_size(&capacities, self.records.len() + 1);
+        let size = ready_set_size(&capacities, self.records.len() + 1);
         let rank = able.iter().position(|(_, other)| *other == address);
         rank.is_some_and(|rank| rank >= size)
     }
@@ -196,7 +198,7 @@
 /// should be ready in a zone of `members`: at least half of the members, and as
 /// many as together bear most with equal shares. Of equals the larger set.
 #[must_use]
-pub fn best_size(capacities: &[u32], members: usize) -> usize {
+pub fn ready_set_size(capacities: &[u32], members: usize) -> usize {
     let least = members.div_ceil(2).max(1);
     (least..=capacities.len())
         .max_by_key(|size| borne_by(capacities, *size))
--- a/crates/woodladder-core/src/packets/envelope.rs
+++ b/crates/woodladder-core/src/packets/envelope.rs
@@ -20,7 +20,7 @@
 /// Longest header in bytes: four hops with IPv6 addresses fit.
 pub const MAXIMUM_HEADER: usize = 256;
 /// Bytes that an envelope adds to a datagram at most.
-pub const MAXIMUM_OVERHEAD: usize = PREFIX + MAXIMUM_HEADER;
+pub const MAXIMUM_OVERHEAD_LENGTH: usize = PREFIX + MAXIMUM_HEADER;
 
 const LENGTH_START: usize = 1;
 const TAG_START: usize = 3;
@@ -47,7 +47,7 @@
     /// It carries a token of this target.
     Established(TargetId),
     /// It opens a flow.
-    First(FirstRoute),
+    NewFlow(NewFlowRoute),
     /// It carries a token of a target that the balancer does not know; the
     /// agent that gets it sends it on if it knows the target.
     Relay(TargetId),
@@ -55,13 +55,13 @@
 
 /// Targets that may take a new flow.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
-pub struct FirstRoute {
+pub struct NewFlowRoute {
     /// Targets in the order of asking, at most [`MAXIMUM_HOPS`].
     pub hops: Vec<Hop>,
     /// Position in `hops` of the target that the envelope is sent to.
     pub position: u8,
     /// Whether the target that gets it must take or refuse it.
-    pub last: bool,
+    pub must_decide: bool,
 }
 
 /// Why bytes are not an envelope.
@@ -79,7 +79,7 @@
     Malformed,
 }
 
-impl FirstRoute {
+impl NewFlowRoute {
     /// The hop that the envelope is sent to.
     #[must_use]
     pub fn current(&self) -> Option<&Hop> {
@@ -94,7 +94,7 @@
     pub fn target(&self) -> Option<TargetId> {
         match &self.route {
             Route::Established(target) => Some(*target),
-            Route::First(first) => first.current().map(|hop| hop.target),
+            Route::NewFlow(first) => first.current().map(|hop| hop.target),
             Route::Relay(_) => None,
         }
     }
@@ -141,7 +141,7 @@
     }
 
     fn check(&self) -> Result<(), EnvelopeError> {
-        let Route::First(first) = &self.route else {
+        let Route::NewFlow(first) = &self.route else {
             return Ok(());
         };
         if first.hops.len() > MAXIMUM_HOPS || first.current().is_none() {
--- a/crates/woodladder-core/src/packets/hop_list.rs
+++ b/crates/woodladder-core/src/packets/hop_list.rs
@@ -108,7 +108,7 @@
 
 /// The candidate that ranks first for a flow.
 #[must_use]
-pub fn choose_one(candidates: &[Candidate], flow: u64) -> Option<&Candidate> {
+pub fn choose_candidate(candidates: &[Candidate], flow: u64) -> Option<&Candidate> {
     let weighting = Weighting::of(candidates);
     candidates
         .iter()
--- a/crates/woodladder-core/src/packets/carrier.rs
+++ b/crates/woodladder-core/src/packets/quic_header.rs
@@ -7,7 +7,7 @@
 //! section 3.2 (packet types of version 2).
 
 /// Least length of a datagram that may open a flow (RFC 9000, section 14.1).
-pub const MINIMUM_FIRST_DATAGRAM: usize = 1200;
+pub const MINIMUM_INITIAL_DATAGRAM_LENGTH: usize = 1200;
 
 const LONG_HEADER_BIT: u8 = 0x80;
 const LONG_TYPE_MASK: u8 = 0x30;
@@ -24,7 +24,7 @@
 pub struct Packet<'a> {
     /// Destination connection identifier. For a short header these are the
     /// bytes at its place, of the length asked for.
-    pub destination: &'a [u8],
+    pub destination_connection_id: &'a [u8],
     /// Whether the packet may open a flow.
     pub may_open_flow: bool,
 }
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// [`CarrierError`] when the datagram is not a packet of the transport.
-pub fn classify(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, CarrierError> {
+pub fn parse_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, CarrierError> {
     let first = *datagram.first().ok_or(CarrierError::Truncated)?;
     if first & LONG_HEADER_BIT == 0 {
         short_header(datagram, token_length)
@@ -53,11 +53,11 @@
 }
 
 fn short_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, CarrierError> {
-    let destination = datagram
+    let destination_connection_id = datagram
         .get(1..=token_length)
         .ok_or(CarrierError::Truncated)?;
     Ok(Packet {
-        destination,
+        destination_connection_id,
         may_open_flow: false,
     })
 }
@@ -73,14 +73,14 @@
         return Err(CarrierError::OversizedConnectionId);
     }
     let start = VERSION_END + 1;
-    let destination = datagram
+    let destination_connection_id = datagram
         .get(start..start + length)
         .ok_or(CarrierError::Truncated)?;
     let may_open_flow = opens_flow(version, first)
-        && datagram.len() >= MINIMUM_FIRST_DATAGRAM
+        && datagram.len() >= MINIMUM_INITIAL_DATAGRAM_LENGTH
         && length >= MINIMUM_FIRST_CONNECTION_ID;
     Ok(Packet {
-        destination,
+        destination_connection_id,
         may_open_flow,
     })
 }
--- a/crates/woodladder-core/src/packets/router.rs
+++ b/crates/woodladder-core/src/packets/router.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use crate::identifier::{ServiceId, TargetId};
-use crate::packets::carrier;
-use crate::packets::directory::Directory;
-use crate::packets::envelope::{Envelope, FirstRoute, Route};
+use crate::packets::envelope::{Envelope, NewFlowRoute, Route};
 use crate::packets::hop_list;
+use crate::packets::quic_header;
+use crate::packets::routing_table::RoutingTable;
 use crate::packets::token::{TOKEN_LENGTH, TokenKeys};
 
 /// Candidates asked about a new flow, unless set otherwise.
@@ -18,7 +18,7 @@
 
 /// A caller's datagram as the fabric delivered it.
 #[derive(Clone, Copy, Debug)]
-pub struct Inbound<'a> {
+pub struct InboundDatagram<'a> {
     /// Address of the caller.
     pub caller: SocketAddr,
     /// Address of the service that the caller sent to.
@@ -54,7 +54,7 @@
 /// Routes datagrams by one directory.
 #[derive(Clone, Debug)]
 pub struct Router {
-    directory: Arc<Directory>,
+    directory: Arc<RoutingTable>,
     keys: TokenKeys,
     hops: usize,
 }
@@ -62,7 +62,7 @@
 impl Router {
     /// A router over a directory that names `hops` candidates for new flows.
     #[must_use]
-    pub fn new(directory: Arc<Directory>, keys: TokenKeys, hops: usize) -> Self {
+    pub fn new(directory: Arc<RoutingTable>, keys: TokenKeys, hops: usize) -> Self {
         Self {
             directory,
             keys,
@@ -72,7 +72,7 @@
 
     /// The directory that decisions come from.
     #[must_use]
-    pub fn directory(&self) -> &Arc<Directory> {
+    pub fn routing_table(&self) -> &Arc<RoutingTable> {
         &self.directory
     }
 
@@ -80,23 +80,25 @@
     ///
     /// # Errors
     /// [`DropReason`] when it goes nowhere.
-    pub fn route(&self, inbound: &Inbound<'_>) -> Result<Forward, DropReason> {
+    pub fn route(&self, inbound: &InboundDatagram<'_>) -> Result<Forward, DropReason> {
         let service = self
             .directory
             .service_at(&inbound.service_address)
             .ok_or(DropReason::UnknownService)?;
-        let packet =
-            carrier::classify(inbound.datagram, TOKEN_LENGTH).map_err(|_| DropReason::Malformed)?;
-        match self.keys.verify(packet.destination) {
+        let packet = quic_header::parse_header(inbound.datagram, TOKEN_LENGTH)
+            .map_err(|_| DropReason::Malformed)?;
+        match self.keys.verify(packet.destination_connection_id) {
             Some(target) => self.route_established(inbound, service, target),
-            None if packet.may_open_flow => self.route_first(inbound, service, packet.destination),
+            None if packet.may_open_flow => {
+                self.route_first(inbound, service, packet.destination_connection_id)
+            }
             None => Err(DropReason::InvalidToken),
         }
     }
 
     fn route_established(
         &self,
-        inbound: &Inbound<'_>,
+        inbound: &InboundDatagram<'_>,
         service: ServiceId,
         target: TargetId,
     ) -> Result<Forward, DropReason> {
@@ -116,13 +118,13 @@
     /// of another agent of the service, which may hold a later one.
     fn route_relay(
         &self,
-        inbound: &Inbound<'_>,
+        inbound: &InboundDatagram<'_>,
         service: ServiceId,
         target: TargetId,
     ) -> Result<Forward, DropReason> {
         let candidates = self.candidates(service)?;
         let flow = hop_list::flow_hash(&target.0.to_be_bytes());
-        let relay = hop_list::choose_one(candidates, flow).ok_or(DropReason::NoTarget)?;
+        let relay = hop_list::choose_candidate(candidates, flow).ok_or(DropReason::NoTarget)?;
         Ok(Forward {
             to: relay.address,
             envelope: self.envelope(inbound, service, Route::Relay(target)),
@@ -131,21 +133,21 @@
 
     fn route_first(
         &self,
-        inbound: &Inbound<'_>,
+        inbound: &InboundDatagram<'_>,
         service: ServiceId,
         flow: &[u8],
     ) -> Result<Forward, DropReason> {
         let candidates = self.candidates(service)?;
         let hops = hop_list::choose(candidates, hop_list::flow_hash(flow), self.hops);
         let to = hops.first().ok_or(DropReason::NoTarget)?.address;
-        let first = FirstRoute {
-            last: hops.len() == 1,
+        let first = NewFlowRoute {
+            must_decide: hops.len() == 1,
             hops,
             position: 0,
         };
         Ok(Forward {
             to,
-            envelope: self.envelope(inbound, service, Route::First(first)),
+            envelope: self.envelope(inbound, service, Route::NewFlow(first)),
         })
     }
 
@@ -157,7 +159,12 @@
         Ok(&entry.candidates)
     }
 
-    fn envelope(&self, inbound: &Inbound<'_>, service: ServiceId, route: Route) -> Envelope {
+    fn envelope(
+        &self,
+        inbound: &InboundDatagram<'_>,
+        service: ServiceId,
+        route: Route,
+    ) -> Envelope {
         Envelope {
             service,
             sequence: self.directory.sequence(),
--- a/crates/woodladder-core/src/packets/directory.rs
+++ b/crates/woodladder-core/src/packets/routing_table.rs
@@ -11,7 +11,7 @@
 
 /// Look-up tables over one snapshot.
 #[derive(Clone, Debug, Default)]
-pub struct Directory {
+pub struct RoutingTable {
     sequence: Sequence,
     by_address: FxHashMap<SocketAddr, ServiceId>,
     services: FxHashMap<ServiceId, ServiceEntry>,
@@ -34,7 +34,7 @@
     /// Data address of its agent.
     pub address: SocketAddr,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub status: TargetStatus,
     /// What its back end takes at the same time; `None` once it is retired.
     pub limits: Option<TargetLimits>,
 }
@@ -50,7 +50,7 @@
 
 /// Standing of a target in the snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum TargetStatus {
     /// In the bundle, with this state.
     InBundle(TargetState),
     /// Removed by an earlier roll; takes no new work.
@@ -60,7 +60,7 @@
     Unavailable(TargetState),
 }
 
-impl Standing {
+impl TargetStatus {
     /// Whether a target of this standing takes new flows.
     #[must_use]
     pub fn takes_new_flows(self) -> bool {
@@ -75,7 +75,7 @@
     }
 }
 
-impl Directory {
+impl RoutingTable {
     /// Lays a snapshot out.
     #[must_use]
     pub fn new(sequence: Sequence, snapshot: &Snapshot) -> Self {
@@ -107,7 +107,7 @@
             let lost = entry.candidates.iter().filter(|one| !is_available(one));
             for candidate in lost.filter(|one| Some(one.target) != own) {
                 if let Some(target) = marked.targets.get_mut(&candidate.target) {
-                    target.standing = target.standing.unavailable();
+                    target.status = target.status.unavailable();
                 }
             }
             entry.candidates.retain(is_available);
@@ -153,7 +153,7 @@
             let entry = TargetEntry {
                 service: target.service,
                 address: target.address,
-                standing: Standing::InBundle(target.state),
+                status: TargetStatus::InBundle(target.state),
                 limits: Some(TargetLimits {
                     slots: target.slots,
                     connections: target.connections,
@@ -190,7 +190,7 @@
             let entry = TargetEntry {
                 service: target.service,
                 address: target.address,
-                standing: Standing::Retired,
+                status: TargetStatus::Retired,
                 limits: None,
             };
             self.targets.entry(target.id).or_insert(entry);
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -7,9 +7,9 @@
 //! no load does not want the flow and never gets it back. When no target on the
 //! list can take the flow, it goes to one that the own directory names.
 
-use crate::packets::directory::Directory;
-use crate::packets::envelope::{Envelope, FirstRoute};
+use crate::packets::envelope::{Envelope, NewFlowRoute};
 use crate::packets::hop_list::{self, Hop, Load, MAXIMUM_HOPS};
+use crate::packets::routing_table::RoutingTable;
 
 use super::options::AdmissionOptions;
 use super::verdict::RefuseReason;
@@ -18,29 +18,29 @@
 #[derive(Clone, Debug)]
 pub(super) enum Choice {
     Take,
-    HandOn { to: Hop, route: FirstRoute },
+    HandOn { to: Hop, route: NewFlowRoute },
     Decline(RefuseReason),
 }
 
 /// A target's place on a hop list.
 #[derive(Clone, Debug)]
 pub(super) struct Position<'a> {
-    route: &'a FirstRoute,
+    route: &'a NewFlowRoute,
     index: usize,
     flow: u64,
     load: Load,
     obstacle: Option<RefuseReason>,
-    directory: &'a Directory,
+    directory: &'a RoutingTable,
     envelope: &'a Envelope,
 }
 
 impl<'a> Position<'a> {
     pub(super) fn new(
-        route: &'a FirstRoute,
+        route: &'a NewFlowRoute,
         flow: u64,
         load: Load,
         obstacle: Option<RefuseReason>,
-        directory: &'a Directory,
+        directory: &'a RoutingTable,
         envelope: &'a Envelope,
     ) -> Self {
         Self {
@@ -70,7 +70,7 @@
     /// The route on which a flow handed on before goes again. `None` when it
     /// would go back to a target that was asked meanwhile: then the choice is
     /// made anew, or this target was told to take the flow.
-    pub(super) fn repeat(&self, to: &Hop, last: bool) -> Option<FirstRoute> {
+    pub(super) fn repeat(&self, to: &Hop, last: bool) -> Option<NewFlowRoute> {
         let hops = &self.route.hops;
         let listed = hops.iter().position(|hop| hop.target == to.target);
         let is_ordered = self.is_ordered_here();
@@ -94,7 +94,7 @@
     fn is_ordered_here(&self) -> bool {
         let hops = &self.route.hops;
         let is_fresh = self.index == 0 && hops.iter().all(|hop| hop.load.is_none());
-        self.route.last && !is_fresh
+        self.route.must_decide && !is_fresh
     }
 
     /// All targets were asked: the least loaded takes the flow.
@@ -155,8 +155,7 @@
             None => self.envelope.sequence >= self.directory.sequence(),
             Some(entry) if entry.service != self.envelope.service => false,
             Some(entry) => {
-                self.envelope.sequence > self.directory.sequence()
-                    || entry.standing.takes_new_flows()
+                self.envelope.sequence > self.directory.sequence() || entry.status.takes_new_flows()
             }
         }
     }
@@ -189,19 +188,19 @@
         }
     }
 
-    fn route_to(&self, index: usize, last: bool) -> FirstRoute {
+    fn route_to(&self, index: usize, must_decide: bool) -> NewFlowRoute {
         let mut hops = self.route.hops.clone();
         hops[self.index].load = self.stated_load();
-        FirstRoute {
+        NewFlowRoute {
             hops,
             position: u8::try_from(index).unwrap_or_default(),
-            last,
+            must_decide,
         }
     }
 
     /// The route to a target further along the list, put next on it, so that
     /// those between are still to be asked.
-    fn route_ahead(&self, index: usize, last: bool) -> FirstRoute {
+    fn route_ahead(&self, index: usize, last: bool) -> NewFlowRoute {
         let next = self.index + 1;
         let mut route = self.route_to(next, last);
         route.hops[next..=index].rotate_right(1);
@@ -211,17 +210,17 @@
     /// A list that ends with a target which is not on this one, with the order
     /// to take the flow. A list made so grows by one target with each step, so
     /// that steps end; one by a balancer is left behind.
-    fn route_beyond(&self, to: &Hop) -> FirstRoute {
+    fn route_beyond(&self, to: &Hop) -> NewFlowRoute {
         let mut hops = self.route.hops.clone();
         hops[self.index].load = self.stated_load();
         if !self.is_ordered_here() {
             hops = vec![hops[self.index]];
         }
         hops.push(Hop { load: None, ..*to });
-        FirstRoute {
+        NewFlowRoute {
             position: u8::try_from(hops.len() - 1).unwrap_or_default(),
             hops,
-            last: true,
+            must_decide: true,
         }
     }
 }
--- a/crates/woodladder-core/src/target/admission/mod.rs
+++ b/crates/woodladder-core/src/target/admission/mod.rs
@@ -19,11 +19,11 @@
 
 use crate::clock::Instant;
 use crate::identifier::{ServiceId, TargetId};
-use crate::packets::carrier::Packet;
-use crate::packets::directory::{Directory, Standing};
-use crate::packets::envelope::{Envelope, FirstRoute, Route};
+use crate::packets::envelope::{Envelope, NewFlowRoute, Route};
 use crate::packets::hop_list::{Load, flow_hash};
+use crate::packets::quic_header::Packet;
 use crate::packets::router::Forward;
+use crate::packets::routing_table::{RoutingTable, TargetStatus};
 use crate::packets::token::TokenKeys;
 use crate::target::load::Usage;
 
@@ -34,11 +34,11 @@
 
 pub use fence::FENCE_GRACE;
 pub use options::AdmissionOptions;
-pub use verdict::{AdmissionDrop, Decision, RefuseReason, SequenceHint, Verdict};
+pub use verdict::{AdmissionDropReason, Decision, RefuseReason, SequenceHint, Verdict};
 
 /// Who the agent's back end is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Identity {
+pub struct TargetIdentity {
     /// The target.
     pub target: TargetId,
     /// Its service.
@@ -47,7 +47,7 @@
 
 /// State of the target when a datagram arrives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Conditions {
+pub struct TargetConditions {
     /// What is in use, without flows whose first request is still to come.
     pub usage: Usage,
     /// Whether the target's drain lets new flows in.
@@ -57,10 +57,10 @@
 /// Admission at one target.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    identity: Identity,
+    identity: TargetIdentity,
     keys: TokenKeys,
     options: AdmissionOptions,
-    directory: Arc<Directory>,
+    directory: Arc<RoutingTable>,
     fence: Fence,
     memory: FlowMemory,
     pending: PendingFlows,
@@ -74,12 +74,12 @@
 impl Admission {
     /// Admission of a target that knows no directory yet.
     #[must_use]
-    pub fn new(identity: Identity, keys: TokenKeys, options: AdmissionOptions) -> Self {
+    pub fn new(identity: TargetIdentity, keys: TokenKeys, options: AdmissionOptions) -> Self {
         Self {
             identity,
             keys,
             options,
-            directory: Arc::new(Directory::default()),
+            directory: Arc::new(RoutingTable::default()),
             fence: Fence::default(),
             memory: FlowMemory::new(options.memory_time, options.memory_limit),
             pending: PendingFlows::new(options.pending_window),
@@ -91,13 +91,13 @@
     /// Sets whether new flows are to go to other targets as long as one takes
     /// them. Unlike a drain it refuses nothing, so a false alarm on every
     /// target of a service costs no flow.
-    pub fn set_reluctant(&mut self, reluctant: bool) {
+    pub fn set_last_resort(&mut self, reluctant: bool) {
         self.reluctant = reluctant;
     }
 
     /// Takes a directory in; one that is not later than the one in force is
     /// ignored.
-    pub fn adopt(&mut self, directory: Arc<Directory>, now: Instant) {
+    pub fn adopt(&mut self, directory: Arc<RoutingTable>, now: Instant) {
         if directory.sequence() > self.directory.sequence() {
             self.fence.adopt(directory.sequence(), now);
             self.directory = directory;
@@ -106,7 +106,7 @@
 
     /// Takes a directory in that may be of the sequence in force, with other
     /// targets available.
-    pub fn refresh(&mut self, directory: Arc<Directory>, now: Instant) {
+    pub fn refresh(&mut self, directory: Arc<RoutingTable>, now: Instant) {
         if directory.sequence() == self.directory.sequence() {
             self.directory = directory;
         } else {
@@ -116,7 +116,7 @@
 
     /// The directory in force.
     #[must_use]
-    pub fn directory(&self) -> &Arc<Directory> {
+    pub fn routing_table(&self) -> &Arc<RoutingTable> {
         &self.directory
     }
 
@@ -151,7 +151,7 @@
         &mut self,
         envelope: Envelope,
         packet: &Packet<'_>,
-        conditions: &Conditions,
+        conditions: &TargetConditions,
         now: Instant,
     ) -> Decision {
         let hint = self.hint(&envelope, now);
@@ -165,17 +165,17 @@
         &mut self,
         envelope: Envelope,
         packet: &Packet<'_>,
-        conditions: &Conditions,
+        conditions: &TargetConditions,
         now: Instant,
-    ) -> Result<Verdict, AdmissionDrop> {
+    ) -> Result<Verdict, AdmissionDropReason> {
         if envelope.service != self.identity.service {
-            return Err(AdmissionDrop::WrongService);
+            return Err(AdmissionDropReason::WrongService);
         }
-        let token = self.keys.verify(packet.destination);
+        let token = self.keys.verify(packet.destination_connection_id);
         match envelope.route.clone() {
             Route::Established(target) => self.established(target, token),
             Route::Relay(target) => self.relay(envelope, target, token),
-            Route::First(first) => {
+            Route::NewFlow(first) => {
                 self.check_target(first.current().map(|hop| hop.target))?;
                 match token {
                     Some(target) => self.established(target, token),
@@ -185,18 +185,18 @@
         }
     }
 
-    fn check_target(&self, target: Option<TargetId>) -> Result<(), AdmissionDrop> {
+    fn check_target(&self, target: Option<TargetId>) -> Result<(), AdmissionDropReason> {
         if target == Some(self.identity.target) {
             Ok(())
         } else {
-            Err(AdmissionDrop::WrongTarget)
+            Err(AdmissionDropReason::WrongTarget)
         }
     }
 
-    fn check_token(token: Option<TargetId>, target: TargetId) -> Result<(), AdmissionDrop> {
+    fn check_token(token: Option<TargetId>, target: TargetId) -> Result<(), AdmissionDropReason> {
         match token {
-            None => Err(AdmissionDrop::InvalidToken),
-            Some(named) if named != target => Err(AdmissionDrop::ForeignToken),
+            None => Err(AdmissionDropReason::InvalidToken),
+            Some(named) if named != target => Err(AdmissionDropReason::ForeignToken),
             Some(_) => Ok(()),
         }
     }
@@ -205,7 +205,7 @@
         &self,
         target: TargetId,
         token: Option<TargetId>,
-    ) -> Result<Verdict, AdmissionDrop> {
+    ) -> Result<Verdict, AdmissionDropReason> {
         Self::check_token(token, self.identity.target)?;
         self.check_target(Some(target))?;
         Ok(Verdict::Deliver)
@@ -216,7 +216,7 @@
         envelope: Envelope,
         target: TargetId,
         token: Option<TargetId>,
-    ) -> Result<Verdict, AdmissionDrop> {
+    ) -> Result<Verdict, AdmissionDropReason> {
         Self::check_token(token, target)?;
         if target == self.identity.target {
             return Ok(Verdict::Deliver);
@@ -224,9 +224,9 @@
         let entry = self
             .directory
             .target(target)
-            .ok_or(AdmissionDrop::UnknownRelayTarget)?;
+            .ok_or(AdmissionDropReason::UnknownRelayTarget)?;
         if entry.service != envelope.service {
-            return Err(AdmissionDrop::WrongService);
+            return Err(AdmissionDropReason::WrongService);
         }
         Ok(Verdict::Relay(Forward {
             to: entry.address,
@@ -240,16 +240,16 @@
     fn first(
         &mut self,
         envelope: Envelope,
-        first: &FirstRoute,
+        first: &NewFlowRoute,
         packet: &Packet<'_>,
-        conditions: &Conditions,
+        conditions: &TargetConditions,
         now: Instant,
-    ) -> Result<Verdict, AdmissionDrop> {
+    ) -> Result<Verdict, AdmissionDropReason> {
         if !packet.may_open_flow {
-            return Err(AdmissionDrop::InvalidToken);
+            return Err(AdmissionDropReason::InvalidToken);
         }
         self.check_service_address(&envelope)?;
-        let flow = flow_hash(packet.destination);
+        let flow = flow_hash(packet.destination_connection_id);
         let load = self.load(&conditions.usage, now);
         let obstacle = self.obstacle(&envelope, conditions, load);
         let directory = Arc::clone(&self.directory);
@@ -258,7 +258,7 @@
             return Ok(verdict);
         }
         if self.fence.is_stale(envelope.sequence, now) {
-            return Err(AdmissionDrop::StaleSequence);
+            return Err(AdmissionDropReason::StaleSequence);
         }
         let choice = position.choose(&self.options);
         Ok(self.carry_out(choice, flow, &envelope, now))
@@ -266,11 +266,11 @@
 
     /// A service address that the directory gives to another service means
     /// that the balancer has not heard of the move.
-    fn check_service_address(&self, envelope: &Envelope) -> Result<(), AdmissionDrop> {
+    fn check_service_address(&self, envelope: &Envelope) -> Result<(), AdmissionDropReason> {
         let own = self.directory.service_at(&envelope.service_address);
         let moved = own.is_some_and(|service| service != self.identity.service);
         if moved && self.directory.sequence() >= envelope.sequence {
-            Err(AdmissionDrop::WrongService)
+            Err(AdmissionDropReason::WrongService)
         } else {
             Ok(())
         }
@@ -280,7 +280,7 @@
     fn obstacle(
         &self,
         envelope: &Envelope,
-        conditions: &Conditions,
+        conditions: &TargetConditions,
         load: Load,
     ) -> Option<RefuseReason> {
         if !conditions.takes_new_flows || !self.stands(envelope) {
@@ -302,7 +302,7 @@
     fn stands(&self, envelope: &Envelope) -> bool {
         match self.directory.target(self.identity.target) {
             Some(entry) if entry.service != self.identity.service => false,
-            Some(entry) => entry.standing.takes_new_flows(),
+            Some(entry) => entry.status.takes_new_flows(),
             None => envelope.sequence > self.directory.sequence(),
         }
     }
@@ -330,7 +330,7 @@
     /// that was handed on to it goes elsewhere when its packets come again.
     fn is_unavailable(&self, target: TargetId) -> bool {
         let entry = self.directory.target(target);
-        entry.is_some_and(|entry| matches!(entry.standing, Standing::Unavailable(_)))
+        entry.is_some_and(|entry| matches!(entry.status, TargetStatus::Unavailable(_)))
     }
 
     fn carry_out(
@@ -347,7 +347,7 @@
                 Verdict::Accept
             }
             Choice::HandOn { to, route } => {
-                let last = route.last;
+                let last = route.must_decide;
                 self.memory
                     .remember(flow, Remembered::HandedOn { to, last }, now);
                 hand_on(envelope, to.address, route)
@@ -367,7 +367,7 @@
 
     fn hint(&self, envelope: &Envelope, now: Instant) -> Option<SequenceHint> {
         if envelope.sequence > self.directory.sequence() {
-            return Some(SequenceHint::OwnIsBehind(envelope.sequence));
+            return Some(SequenceHint::AgentIsBehind(envelope.sequence));
         }
         self.fence
             .is_stale(envelope.sequence, now)
@@ -375,11 +375,11 @@
     }
 }
 
-fn hand_on(envelope: &Envelope, to: std::net::SocketAddr, route: FirstRoute) -> Verdict {
+fn hand_on(envelope: &Envelope, to: std::net::SocketAddr, route: NewFlowRoute) -> Verdict {
     Verdict::HandOn(Forward {
         to,
         envelope: Envelope {
-            route: Route::First(route),
+            route: Route::NewFlow(route),
             ..envelope.clone()
         },
     })
--- a/crates/woodladder-core/src/target/admission/verdict.rs
+++ b/crates/woodladder-core/src/target/admission/verdict.rs
@@ -32,7 +32,7 @@
     /// Refuse the flow to the caller at once.
     Refuse(RefuseReason),
     /// Drop it.
-    Drop(AdmissionDrop),
+    Drop(AdmissionDropReason),
 }
 
 /// Why a new flow is refused.
@@ -48,7 +48,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum AdmissionDrop {
+pub enum AdmissionDropReason {
     /// It is meant for another service.
     WrongService,
     /// Its envelope is meant for another target.
@@ -70,7 +70,7 @@
     /// is its sequence.
     SenderIsBehind(Sequence),
     /// The balancer holds a later configuration; this is its sequence.
-    OwnIsBehind(Sequence),
+    AgentIsBehind(Sequence),
 }
 
 impl fmt::Display for RefuseReason {
@@ -83,7 +83,7 @@
     }
 }
 
-impl fmt::Display for AdmissionDrop {
+impl fmt::Display for AdmissionDropReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::WrongService => "the packet is meant for another service",
--- a/crates/woodladder-core/src/target/drain.rs
+++ b/crates/woodladder-core/src/target/drain.rs
@@ -12,9 +12,9 @@
 
 /// How long new requests on open connections are taken after leaving begins,
 /// unless set otherwise.
-pub const DEFAULT_GRACE: Duration = Duration::from_secs(3);
+pub const DEFAULT_DRAIN_GRACE: Duration = Duration::from_secs(3);
 /// Longest grace that may be set.
-pub const MAXIMUM_GRACE: Duration = Duration::from_secs(4);
+pub const MAXIMUM_DRAIN_GRACE: Duration = Duration::from_secs(4);
 
 /// Why a target leaves.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainEvent {
     /// A reason to leave holds.
-    Begin(DrainReason),
+    AddReason(DrainReason),
     /// A reason to leave holds no longer.
-    Withdraw(DrainReason),
+    RemoveReason(DrainReason),
     /// What the target holds has changed.
     Activity(Activity),
     /// Time has passed.
@@ -90,11 +90,11 @@
 }
 
 impl Drain {
-    /// A target that serves; a grace above [`MAXIMUM_GRACE`] is cut to it.
+    /// A target that serves; a grace above [`MAXIMUM_DRAIN_GRACE`] is cut to it.
     #[must_use]
     pub fn new(grace: Duration) -> Self {
         Self {
-            grace: grace.min(MAXIMUM_GRACE),
+            grace: grace.min(MAXIMUM_DRAIN_GRACE),
             reasons: BTreeSet::new(),
             phase: DrainPhase::Serving,
             refuses_requests: false,
@@ -133,7 +133,7 @@
 
     /// When the next [`DrainEvent::Tick`] is due, if one is.
     #[must_use]
-    pub fn next_wake(&self) -> Option<Instant> {
+    pub fn next_wakeup(&self) -> Option<Instant> {
         match self.phase {
             DrainPhase::Leaving { since } if !self.refuses_requests => Some(since + self.grace),
             _ => None,
@@ -144,8 +144,8 @@
     pub fn handle(&mut self, event: DrainEvent, now: Instant) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         match event {
-            DrainEvent::Begin(reason) => self.begin(reason, now, &mut actions),
-            DrainEvent::Withdraw(reason) => self.withdraw(reason, &mut actions),
+            DrainEvent::AddReason(reason) => self.begin(reason, now, &mut actions),
+            DrainEvent::RemoveReason(reason) => self.withdraw(reason, &mut actions),
             DrainEvent::Activity(activity) => self.activity = activity,
             DrainEvent::Tick => {}
         }
--- a/crates/woodladder-core/src/target/request/event.rs
+++ b/crates/woodladder-core/src/target/request/event.rs
@@ -79,7 +79,7 @@
     /// Write the request to its back-end connection, and report the answer.
     Send(SendPermit),
     /// Close the request's back-end connection; nothing read from it counts.
-    CloseBackEnd(RequestId),
+    CloseBackEndConnection(RequestId),
     /// Final: answer the caller at once that the request did not run.
     Refuse {
         /// The request.
@@ -121,7 +121,7 @@
     pub fn id(&self) -> RequestId {
         match self {
             Self::Send(permit) => permit.id(),
-            Self::Dispatch(id) | Self::CloseBackEnd(id) | Self::Complete(id) => *id,
+            Self::Dispatch(id) | Self::CloseBackEndConnection(id) | Self::Complete(id) => *id,
             Self::Refuse { id, .. }
             | Self::Fail { id, .. }
             | Self::ResetCaller { id, .. }
@@ -134,7 +134,7 @@
     pub fn is_final(&self) -> bool {
         !matches!(
             self,
-            Self::Dispatch(_) | Self::Send(_) | Self::CloseBackEnd(_)
+            Self::Dispatch(_) | Self::Send(_) | Self::CloseBackEndConnection(_)
         )
     }
 }
--- a/crates/woodladder-core/src/target/request/table.rs
+++ b/crates/woodladder-core/src/target/request/table.rs
@@ -68,7 +68,7 @@
 
     /// When the next [`RequestEvent::Tick`] is due, if one is.
     #[must_use]
-    pub fn next_wake(&self) -> Option<Instant> {
+    pub fn next_wakeup(&self) -> Option<Instant> {
         self.store.next_limit()
     }
 
@@ -299,7 +299,7 @@
         actions: &mut Actions,
     ) {
         if !request.stage.is_queued() {
-            actions.push(RequestAction::CloseBackEnd(id));
+            actions.push(RequestAction::CloseBackEndConnection(id));
         }
         let repeatable = request.terms.repeatable;
         actions.push(match request.stage {
@@ -328,7 +328,7 @@
             return;
         };
         if !request.stage.is_queued() {
-            actions.push(RequestAction::CloseBackEnd(id));
+            actions.push(RequestAction::CloseBackEndConnection(id));
         }
         let may_have_run = request.stage.may_have_run();
         actions.push(RequestAction::Forget { id, may_have_run });
--- a/crates/woodladder-core/tests/admission.rs
+++ b/crates/woodladder-core/tests/admission.rs
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 use woodladder_core::configuration::bundle::TargetState;
 use woodladder_core::identifier::{Sequence, TargetId};
-use woodladder_core::packets::directory::Directory;
-use woodladder_core::packets::envelope::{Envelope, FirstRoute, Route};
+use woodladder_core::packets::envelope::{Envelope, NewFlowRoute, Route};
 use woodladder_core::packets::hop_list::{Load, flow_hash};
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::target::admission::{
-    AdmissionDrop, AdmissionOptions, FENCE_GRACE, RefuseReason, SequenceHint, Verdict,
+    AdmissionDropReason, AdmissionOptions, FENCE_GRACE, RefuseReason, SequenceHint, Verdict,
 };
 
 use support::target_model::{TargetModel, envelope, first_envelope, first_route};
@@ -23,11 +23,11 @@
 
 const FLOW: [u8; 8] = [7; 8];
 
-fn orders() -> Arc<Directory> {
+fn orders() -> Arc<RoutingTable> {
     directory(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
 }
 
-fn only_target() -> Arc<Directory> {
+fn only_target() -> Arc<RoutingTable> {
     directory(5, active([1], ORDERS))
 }
 
@@ -40,11 +40,11 @@
     decision.verdict
 }
 
-fn handed_on(verdict: Verdict) -> (TargetId, FirstRoute) {
+fn handed_on(verdict: Verdict) -> (TargetId, NewFlowRoute) {
     let Verdict::HandOn(forward) = verdict else {
         panic!("not handed on: {verdict:?}");
     };
-    let Route::First(route) = forward.envelope.route else {
+    let Route::NewFlow(route) = forward.envelope.route else {
         panic!("not a first route");
     };
     let hop = *route.current().expect("a hop");
@@ -66,7 +66,7 @@
 
 fn any_route() -> impl Strategy<Value = Route> {
     let first = (any_target(), any_target(), 0..2_u8, any::<bool>())
-        .prop_map(|(one, two, at, last)| Route::First(first_route(&[one.0, two.0], at, last)));
+        .prop_map(|(one, two, at, last)| Route::NewFlow(first_route(&[one.0, two.0], at, last)));
     prop_oneof![
         any_target().prop_map(Route::Established),
         any_target().prop_map(Route::Relay),
@@ -98,13 +98,13 @@
             let own = Some(TargetId(1));
             let meant_for = match &route {
                 Route::Established(target) | Route::Relay(target) => Some(*target),
-                Route::First(first) => first.current().map(|hop| hop.target),
+                Route::NewFlow(first) => first.current().map(|hop| hop.target),
             };
             prop_assert!(!to_archive);
             prop_assert_eq!(meant_for, own);
             prop_assert!(verified == own || (verified.is_none() && is_first));
             let opens = decision.verdict != Verdict::Deliver;
-            prop_assert!(!opens || matches!(route, Route::First(_)));
+            prop_assert!(!opens || matches!(route, Route::NewFlow(_)));
         }
     }
 
@@ -128,7 +128,7 @@
         if last {
             route.hops[0].load = Some(Load(500));
         }
-        let sent = envelope(ORDERS, 5, Route::First(route));
+        let sent = envelope(ORDERS, 5, Route::NewFlow(route));
         let verdict = model.handle(sent, &first_datagram(&flow), at(0)).verdict;
         if last {
             prop_assert_eq!(verdict, Verdict::AcceptToDecline);
@@ -171,7 +171,7 @@
     let (to, route) = handed_on(busy);
     assert_eq!(to, TargetId(2));
     assert_eq!(route.hops[0].load, Some(Load(800)));
-    assert!(!route.last);
+    assert!(!route.must_decide);
 }
 
 #[test]
@@ -180,14 +180,14 @@
         let mut route = first_route(&[1, 2, 3], 2, false);
         route.hops[0].load = Some(Load(900));
         route.hops[1].load = Some(Load(load));
-        envelope(ORDERS, 5, Route::First(route))
+        envelope(ORDERS, 5, Route::NewFlow(route))
     };
     let equal = verdict(&mut model(3).with_busy(8), stated(800));
     assert_eq!(equal, Verdict::Accept);
     let (to, route) = handed_on(verdict(&mut model(3).with_busy(8), stated(799)));
     assert_eq!(to, TargetId(2));
-    assert!(route.last);
-    let sent_back = envelope(ORDERS, 5, Route::First(route));
+    assert!(route.must_decide);
+    let sent_back = envelope(ORDERS, 5, Route::NewFlow(route));
     let taken = verdict(&mut model(2).with_busy(30), sent_back);
     assert_eq!(taken, Verdict::Accept);
 }
@@ -195,16 +195,16 @@
 #[test]
 fn a_reluctant_target_takes_a_flow_only_when_no_other_does() {
     let mut reluctant = model(1);
-    reluctant.admission.set_reluctant(true);
+    reluctant.admission.set_last_resort(true);
     let (to, route) = handed_on(verdict(&mut reluctant, first_envelope(5, &[1, 2])));
     assert_eq!(to, TargetId(2));
 
     let mut also_reluctant = model(2).with_busy(1);
-    also_reluctant.admission.set_reluctant(true);
-    let sent = envelope(ORDERS, 5, Route::First(route));
+    also_reluctant.admission.set_last_resort(true);
+    let sent = envelope(ORDERS, 5, Route::NewFlow(route));
     let (to, route) = handed_on(verdict(&mut also_reluctant, sent));
     assert_eq!(to, TargetId(1));
-    let sent_back = envelope(ORDERS, 5, Route::First(route));
+    let sent_back = envelope(ORDERS, 5, Route::NewFlow(route));
     assert_eq!(verdict(&mut reluctant, sent_back), Verdict::Accept);
 }
 
@@ -216,7 +216,7 @@
     };
     let mut route = first_route(&[1, 2], 1, false);
     route.hops[0].load = Some(Load(700));
-    let sent = envelope(ORDERS, 5, Route::First(route));
+    let sent = envelope(ORDERS, 5, Route::NewFlow(route));
     let mut model = TargetModel::new(2, &orders(), options).with_busy(8);
     assert_eq!(verdict(&mut model, sent), Verdict::Accept);
 }
@@ -297,7 +297,7 @@
     let mut model = TargetModel::new(1, &known, AdmissionOptions::default());
     let (to, route) = handed_on(verdict(&mut model, first_envelope(4, &[1, 2])));
     assert_eq!(to, TargetId(3));
-    assert!(route.last);
+    assert!(route.must_decide);
 }
 
 #[test]
@@ -306,7 +306,7 @@
     let (to, _) = handed_on(verdict(&mut model, first_envelope(5, &[1, 2])));
     let (again, route) = handed_on(verdict(&mut model, first_envelope(4, &[1])));
     assert_eq!(again, to);
-    assert!(route.last);
+    assert!(route.must_decide);
 }
 
 #[test]
@@ -315,7 +315,7 @@
     model.conditions.takes_new_flows = false;
     let (to, route) = handed_on(verdict(&mut model, first_envelope(5, &[1])));
     assert_ne!(to, TargetId(1));
-    assert!(route.last);
+    assert!(route.must_decide);
 }
 
 #[test]
@@ -323,7 +323,7 @@
     let mut sent = first_envelope(5, &[1]);
     sent.service_address = service_address(ARCHIVE);
     let refused = verdict(&mut model(1), sent.clone());
-    assert_eq!(refused, Verdict::Drop(AdmissionDrop::WrongService));
+    assert_eq!(refused, Verdict::Drop(AdmissionDropReason::WrongService));
     sent.sequence = Sequence(6);
     assert_eq!(verdict(&mut model(1), sent), Verdict::Accept);
 }
@@ -339,7 +339,7 @@
     let decision = first(&mut model, 1, within);
     assert_eq!((decision.verdict, decision.hint), (Verdict::Accept, None));
     let decision = first(&mut model, 2, beyond);
-    let stale = Verdict::Drop(AdmissionDrop::StaleSequence);
+    let stale = Verdict::Drop(AdmissionDropReason::StaleSequence);
     let hint = Some(SequenceHint::SenderIsBehind(Sequence(4)));
     assert_eq!((decision.verdict, decision.hint), (stale, hint));
     let token = keys(1).issue(TargetId(1), [0; 7]);
@@ -360,9 +360,9 @@
         model.handle(first_envelope(sequence, &[1]), &datagram, now)
     };
     assert_eq!(decide(5, 1).verdict, Verdict::Accept);
-    let stale = Verdict::Drop(AdmissionDrop::StaleSequence);
+    let stale = Verdict::Drop(AdmissionDropReason::StaleSequence);
     assert_eq!(decide(4, 2).verdict, stale);
-    let hint = Some(SequenceHint::OwnIsBehind(Sequence(7)));
+    let hint = Some(SequenceHint::AgentIsBehind(Sequence(7)));
     assert_eq!(decide(7, 3).hint, hint);
 }
 
@@ -381,19 +381,28 @@
     assert_eq!(forward.to, target_address(TargetId(2)));
     assert_eq!(forward.envelope.route, Route::Established(TargetId(2)));
     assert_eq!(relay(1, 1), Verdict::Deliver);
-    assert_eq!(relay(2, 3), Verdict::Drop(AdmissionDrop::ForeignToken));
+    assert_eq!(
+        relay(2, 3),
+        Verdict::Drop(AdmissionDropReason::ForeignToken)
+    );
     assert_eq!(
         relay(99, 99),
-        Verdict::Drop(AdmissionDrop::UnknownRelayTarget)
+        Verdict::Drop(AdmissionDropReason::UnknownRelayTarget)
+    );
+    assert_eq!(
+        relay(12, 12),
+        Verdict::Drop(AdmissionDropReason::WrongService)
     );
-    assert_eq!(relay(12, 12), Verdict::Drop(AdmissionDrop::WrongService));
 }
 
 #[test]
 fn a_target_that_knows_no_directory_serves_by_its_settings() {
-    let none = Arc::new(Directory::default());
+    let none = Arc::new(RoutingTable::default());
     let mut model = TargetModel::new(1, &none, AdmissionOptions::default());
     let decision = model.handle(first_envelope(5, &[1]), &first_datagram(&FLOW), at(0));
     assert_eq!(decision.verdict, Verdict::Accept);
-    assert_eq!(decision.hint, Some(SequenceHint::OwnIsBehind(Sequence(5))));
+    assert_eq!(
+        decision.hint,
+        Some(SequenceHint::AgentIsBehind(Sequence(5)))
+    );
 }
--- a/crates/woodladder-core/tests/availability.rs
+++ b/crates/woodladder-core/tests/availability.rs
@@ -12,9 +12,9 @@
     Availability, Report, ReportVersion, RunNumber, WatchStep, Watches,
 };
 use woodladder_core::control::control_message::{
-    ControlMessage, FrameError, MAXIMUM_DATAGRAM, MAXIMUM_REPORTS, Reports,
+    ControlMessage, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_REPORTS, Reports,
 };
-use woodladder_core::control::replica::{Event, ReplicaTuning};
+use woodladder_core::control::replica::{ReplicaEvent, ReplicaTuning};
 use woodladder_core::identifier::ServiceId;
 use woodladder_core::packets::keyed_tag::TagKey;
 
@@ -45,12 +45,14 @@
 
 fn unmarked(world: &World) -> bool {
     let mut nodes = world.nodes.iter();
-    nodes.all(|node| node.down || node.replica.marked_targets() == 0)
+    nodes.all(|node| node.down || node.replica.unavailable_target_count() == 0)
 }
 
 fn accusations(world: &World) -> u64 {
     let nodes = world.nodes.iter();
-    nodes.map(|node| node.replica.counters().accusations).sum()
+    nodes
+        .map(|node| node.replica.counters().agents_declared_unreachable)
+        .sum()
 }
 
 fn report(index: usize, run: u64, version: u32, availability: Availability) -> Report {
@@ -66,7 +68,7 @@
 fn tell(world: &mut World, to: usize, reports: Vec<Report>) {
     let from = address(1);
     let message = ControlMessage::Reports(Reports { reports });
-    world.event(to, Event::Message { from, message });
+    world.event(to, ReplicaEvent::Message { from, message });
 }
 
 #[test]
@@ -82,7 +84,7 @@
 #[test]
 fn a_planned_leave_spreads_and_lasts() {
     let mut world = world(NODES, 2);
-    world.event(DEAD, Event::Leaving);
+    world.event(DEAD, ReplicaEvent::Leaving);
     assert!(world.run_until(seconds(1), |world| marked(world, DEAD, true)));
     world.run_for(seconds(60));
     assert!(marked(&world, DEAD, true));
@@ -92,9 +94,9 @@
 #[test]
 fn a_drain_that_is_withdrawn_clears_the_mark() {
     let mut world = world(NODES, 3);
-    world.event(DEAD, Event::TakesNewFlows(false));
+    world.event(DEAD, ReplicaEvent::TakesNewFlows(false));
     assert!(world.run_until(seconds(1), |world| marked(world, DEAD, true)));
-    world.event(DEAD, Event::TakesNewFlows(true));
+    world.event(DEAD, ReplicaEvent::TakesNewFlows(true));
     assert!(world.run_until(seconds(1), unmarked));
 }
 
@@ -153,7 +155,7 @@
     world.nodes[behind].frozen_until = world.now + seconds(30);
     for _ in 0..99 {
         world.run_for(Duration::from_millis(300));
-        world.event(behind, Event::Tick);
+        world.event(behind, ReplicaEvent::Tick);
     }
     world.run_for(seconds(10));
     assert_eq!(accusations_by(&world, behind), 0);
@@ -214,13 +216,16 @@
 }
 
 fn accusations_by(world: &World, index: usize) -> u64 {
-    world.nodes[index].replica.counters().accusations
+    world.nodes[index]
+        .replica
+        .counters()
+        .agents_declared_unreachable
 }
 
 #[test]
 fn a_joining_node_learns_the_marks() {
     let mut world = world(NODES, 11);
-    world.event(DEAD, Event::Leaving);
+    world.event(DEAD, ReplicaEvent::Leaving);
     world.run_for(seconds(5));
     world.nodes[DEAD].down = true;
     let joining = NODES - 10;
@@ -236,7 +241,7 @@
     moved.control = address(400);
     tell(&mut world, 7, vec![moved]);
     world.run_for(seconds(5));
-    let refutations = world.nodes[7].replica.counters().refutations;
+    let refutations = world.nodes[7].replica.counters().own_reports_refuted;
     assert_eq!(refutations, 0);
 }
 
@@ -249,7 +254,7 @@
         ControlMessage::Reports(Reports { reports })
     };
     let longest = batch(MAXIMUM_REPORTS).encode(&key).unwrap();
-    assert!(longest.len() <= MAXIMUM_DATAGRAM);
+    assert!(longest.len() <= MAXIMUM_DATAGRAM_LENGTH);
     assert!(ControlMessage::decode(&key, &longest).is_ok());
     let forged = ControlMessage::decode(&TagKey::new([2; 16]), &longest);
     assert_eq!(forged, Err(FrameError::Forged));
@@ -331,7 +336,7 @@
     for nodes in [100, 300] {
         let mut world = world(nodes, 14);
         let quiet = bytes_of(&mut world, |_| {});
-        let leave = bytes_of(&mut world, |world| world.event(DEAD, Event::Leaving));
+        let leave = bytes_of(&mut world, |world| world.event(DEAD, ReplicaEvent::Leaving));
         let failure = bytes_of(&mut world, |world| world.nodes[DEAD + 1].down = true);
         println!("{nodes} nodes: quiet {quiet} B, leave {leave} B, failure {failure} B a node");
         assert!(leave < 2_000 && failure < 2_000);
--- a/crates/woodladder-core/tests/control_message.rs
+++ b/crates/woodladder-core/tests/control_message.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use woodladder_core::control::control_message::{
     CHUNK_LENGTH, ControlMessage, CopyChunk, CopyContent, CopyRefusal, CopyRefused, CopyRequest,
-    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM, MAXIMUM_SAMPLE, Offer, OfferedDelta,
-    ProbeNumber, RecordRequest, StatusReply, StatusRequest,
+    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_SAMPLE, Offer,
+    OfferedDelta, ProbeNumber, RecordRequest, StatusReply, StatusRequest,
 };
 use woodladder_core::control::membership::{Locality, Peer, Role};
 use woodladder_core::digest::Digest;
@@ -30,7 +30,7 @@
                 Role::Agent
             },
             locality: Locality { region, zone: 9 },
-            control: address(index),
+            control_address: address(index),
         },
     )
 }
@@ -132,7 +132,7 @@
     #[test]
     fn every_message_fits_a_datagram_and_is_read_as_written(message in messages()) {
         let frame = message.encode(&key()).unwrap();
-        prop_assert!(frame.len() <= MAXIMUM_DATAGRAM);
+        prop_assert!(frame.len() <= MAXIMUM_DATAGRAM_LENGTH);
         prop_assert_eq!(frame.len(), message.datagram_length());
         prop_assert_eq!(ControlMessage::decode(&key(), &frame), Ok(message));
     }
--- a/crates/woodladder-core/tests/control_world/fixture.rs
+++ b/crates/woodladder-core/tests/control_world/fixture.rs
@@ -92,9 +92,9 @@
         sequence,
         nonce: RollNonce([nonce; NONCE_LENGTH]),
         bundle_version: snapshot.bundle.version,
-        snapshot: snapshot.digest(),
+        snapshot_digest: snapshot.digest(),
         snapshot_length: u32::try_from(snapshot.encode().len()).unwrap(),
         operator: "lin".to_owned(),
-        rolled_at: 1_000,
+        rolled_at_unix_seconds: 1_000,
     }
 }
--- a/crates/woodladder-core/tests/control_world/network.rs
+++ b/crates/woodladder-core/tests/control_world/network.rs
@@ -11,12 +11,14 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::control::availability::{RunNumber, ServedTarget};
 use woodladder_core::control::control_message::ControlMessage;
-use woodladder_core::control::membership::{ListedMachine, ListedStanding, Locality, Role};
-use woodladder_core::control::replica::{Action, Event, Replica, ReplicaSettings, ReplicaTuning};
+use woodladder_core::control::membership::{ListedMachine, ListedState, Locality, Role};
+use woodladder_core::control::replica::{
+    Replica, ReplicaAction, ReplicaEvent, ReplicaSettings, ReplicaTuning,
+};
 use woodladder_core::control::store_operation::{StoreAnswer, StoreOperation, StoreRequestId};
 use woodladder_core::identifier::{NodeId, Sequence, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use super::fixture;
 use super::store::Store;
@@ -44,7 +46,7 @@
     pub down: bool,
     pub installed: Vec<Sequence>,
     /// What the data path uses, when that is not the installed directory.
-    pub refreshed: Option<Arc<Directory>>,
+    pub refreshed: Option<Arc<RoutingTable>>,
     pub frozen_until: Instant,
     wake_at: Instant,
 }
@@ -106,8 +108,8 @@
             Role::Agent
         },
         locality: Locality::new(region, "a"),
-        control: address(index),
-        served: None,
+        control_address: address(index),
+        served_target: None,
         seeds: Vec::new(),
         trusted: fixture::trusted(),
         tuning,
@@ -167,7 +169,7 @@
             frozen_until: Instant::ORIGIN,
             wake_at: Instant::ORIGIN,
         });
-        self.event(index, Event::Tick);
+        self.event(index, ReplicaEvent::Tick);
         index
     }
 
@@ -177,19 +179,19 @@
         self.nodes[index].replica = replica;
         self.nodes[index].installed.clear();
         self.nodes[index].down = false;
-        self.event(index, Event::Tick);
+        self.event(index, ReplicaEvent::Tick);
     }
 
     pub fn read_list(&mut self, index: usize, named: impl IntoIterator<Item = usize>) {
         let machine = |named| ListedMachine {
-            control: address(named),
-            standing: ListedStanding::Live,
+            control_address: address(named),
+            state: ListedState::Live,
         };
         let machines = named.into_iter().map(machine).collect();
-        self.event(index, Event::Machines(machines));
+        self.event(index, ReplicaEvent::MachineList(machines));
     }
 
-    pub fn event(&mut self, index: usize, event: Event) {
+    pub fn event(&mut self, index: usize, event: ReplicaEvent) {
         let actions = self.nodes[index].replica.handle(event, self.now);
         for action in actions {
             self.carry_out(index, action);
@@ -241,7 +243,7 @@
     fn replica(&mut self, index: usize, tuning: ReplicaTuning) -> Replica {
         let random = ChaCha8Rng::seed_from_u64(self.random.random());
         let mut settings = settings(index, tuning);
-        settings.served = self.serves(index).then(|| ServedTarget {
+        settings.served_target = self.serves(index).then(|| ServedTarget {
             target: target_of(index),
             run: RunNumber(self.runs),
         });
@@ -276,13 +278,13 @@
         }
         match due.delivery {
             Delivery::Wake if node.wake_at > self.now => {}
-            Delivery::Wake => self.event(due.node, Event::Tick),
+            Delivery::Wake => self.event(due.node, ReplicaEvent::Tick),
             Delivery::Message(from, message) => {
                 let message = *message;
-                self.event(due.node, Event::Message { from, message });
+                self.event(due.node, ReplicaEvent::Message { from, message });
             }
             Delivery::StoreAnswer(request, answer) => {
-                self.event(due.node, Event::StoreAnswer { request, answer });
+                self.event(due.node, ReplicaEvent::StoreAnswer { request, answer });
             }
             Delivery::StoreRequest(request, operation) => {
                 self.ask_store(due.node, request, operation);
@@ -290,15 +292,19 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: Action) {
+    fn carry_out(&mut self, index: usize, action: ReplicaAction) {
         match action {
-            Action::Send { to, message } => self.send(index, to, message),
-            Action::Store { request, operation } => self.ask_store(index, request, operation),
-            Action::Install(installed) => {
+            ReplicaAction::Send { to, message } => self.send(index, to, message),
+            ReplicaAction::Store { request, operation } => {
+                self.ask_store(index, request, operation)
+            }
+            ReplicaAction::Install(installed) => {
                 self.nodes[index].installed.push(installed.sequence());
                 self.nodes[index].refreshed = None;
             }
-            Action::Refresh(directory) => self.nodes[index].refreshed = Some(directory),
+            ReplicaAction::ReplaceDirectory(directory) => {
+                self.nodes[index].refreshed = Some(directory)
+            }
         }
     }
 
--- a/crates/woodladder-core/tests/drain.rs
+++ b/crates/woodladder-core/tests/drain.rs
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{
-    Activity, DEFAULT_GRACE, Drain, DrainAction, DrainEvent, DrainPhase, DrainReason, MAXIMUM_GRACE,
+    Activity, DEFAULT_DRAIN_GRACE, Drain, DrainAction, DrainEvent, DrainPhase, DrainReason,
+    MAXIMUM_DRAIN_GRACE,
 };
 
 use support::at;
@@ -20,7 +21,7 @@
 }
 
 fn begin(drain: &mut Drain, reason: DrainReason, now: Instant) -> Vec<DrainAction> {
-    drain.handle(DrainEvent::Begin(reason), now)
+    drain.handle(DrainEvent::AddReason(reason), now)
 }
 
 fn reason() -> impl Strategy<Value = DrainReason> {
@@ -34,8 +35,8 @@
 
 fn event() -> impl Strategy<Value = DrainEvent> {
     prop_oneof![
-        1 => reason().prop_map(DrainEvent::Begin),
-        1 => reason().prop_map(DrainEvent::Withdraw),
+        1 => reason().prop_map(DrainEvent::AddReason),
+        1 => reason().prop_map(DrainEvent::RemoveReason),
         2 => (0..3_u32, 0..3_u32).prop_map(|(requests, connections)| activity(requests, connections)),
         2 => Just(DrainEvent::Tick),
     ]
@@ -58,10 +59,10 @@
             now = now + Duration::from_millis(after);
             let was_serving = held.is_empty();
             match event {
-                DrainEvent::Begin(reason) => {
+                DrainEvent::AddReason(reason) => {
                     held.insert(reason);
                 }
-                DrainEvent::Withdraw(reason) if reason != DrainReason::Signal => {
+                DrainEvent::RemoveReason(reason) if reason != DrainReason::Signal => {
                     held.remove(&reason);
                 }
                 DrainEvent::Activity(activity) => requests = activity.requests,
@@ -72,23 +73,23 @@
             }
             let actions = drain.handle(event, now);
             prop_assert_eq!(drain.takes_new_flows(), held.is_empty());
-            if !held.is_empty() && now.since(left_at) >= MAXIMUM_GRACE {
+            if !held.is_empty() && now.since(left_at) >= MAXIMUM_DRAIN_GRACE {
                 prop_assert!(!drain.takes_new_requests(now));
             }
             prop_assert!(held.is_empty() || drain.phase() != DrainPhase::Serving);
-            if actions.contains(&DrainAction::Finish) && !matches!(event, DrainEvent::Begin(_)) {
+            if actions.contains(&DrainAction::Finish) && !matches!(event, DrainEvent::AddReason(_)) {
                 prop_assert_eq!(requests, 0);
             }
             let begins = was_serving && !held.is_empty();
             prop_assert_eq!(actions.contains(&DrainAction::NotifyCallers), begins);
-            prop_assert!(drain.next_wake().is_none_or(|at| at > now));
+            prop_assert!(drain.next_wakeup().is_none_or(|at| at > now));
         }
     }
 }
 
 #[test]
 fn requests_are_taken_for_the_grace_and_work_in_progress_ends() {
-    let mut drain = Drain::new(DEFAULT_GRACE);
+    let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(1, 2), at(0));
     let actions = begin(&mut drain, DrainReason::Signal, at(1000));
     assert_eq!(actions, [DrainAction::NotifyCallers]);
@@ -103,7 +104,7 @@
 
 #[test]
 fn an_idle_target_with_open_connections_waits_for_the_grace() {
-    let mut drain = Drain::new(DEFAULT_GRACE);
+    let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(0, 1), at(0));
     let actions = begin(&mut drain, DrainReason::Signal, at(0));
     assert!(!actions.contains(&DrainAction::Finish));
@@ -114,11 +115,12 @@
 
 #[test]
 fn a_withdrawn_reason_brings_the_target_back_and_a_signal_does_not() {
-    let mut drain = Drain::new(DEFAULT_GRACE);
+    let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(1, 1), at(0));
     begin(&mut drain, DrainReason::BackEndHealth, at(0));
     begin(&mut drain, DrainReason::Bundle, at(0));
-    let withdraw = |drain: &mut Drain, reason| drain.handle(DrainEvent::Withdraw(reason), at(9000));
+    let withdraw =
+        |drain: &mut Drain, reason| drain.handle(DrainEvent::RemoveReason(reason), at(9000));
     withdraw(&mut drain, DrainReason::Bundle);
     assert!(!drain.takes_new_flows());
     let actions = withdraw(&mut drain, DrainReason::BackEndHealth);
@@ -131,7 +133,7 @@
 
 #[test]
 fn a_signal_to_a_drained_target_lets_the_process_end() {
-    let mut drain = Drain::new(DEFAULT_GRACE);
+    let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     begin(&mut drain, DrainReason::Bundle, at(0));
     assert_eq!(drain.phase(), DrainPhase::Drained);
     let actions = begin(&mut drain, DrainReason::Signal, at(5000));
--- a/crates/woodladder-core/tests/envelope.rs
+++ b/crates/woodladder-core/tests/envelope.rs
@@ -6,7 +6,8 @@
 use proptest::prelude::*;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
 use woodladder_core::packets::envelope::{
-    ENVELOPE_VERSION, Envelope, EnvelopeError, FirstRoute, MAXIMUM_HEADER, MAXIMUM_OVERHEAD, Route,
+    ENVELOPE_VERSION, Envelope, EnvelopeError, MAXIMUM_HEADER, MAXIMUM_OVERHEAD_LENGTH,
+    NewFlowRoute, Route,
 };
 use woodladder_core::packets::hop_list::{Hop, Load, MAXIMUM_HOPS};
 use woodladder_core::packets::keyed_tag::TagKey;
@@ -26,16 +27,16 @@
     })
 }
 
-fn first_route(most: usize) -> impl Strategy<Value = FirstRoute> {
+fn first_route(most: usize) -> impl Strategy<Value = NewFlowRoute> {
     let parts = (
         vec(hop(), 1..=most),
         any::<prop::sample::Index>(),
         any::<bool>(),
     );
-    parts.prop_map(|(hops, index, last)| FirstRoute {
+    parts.prop_map(|(hops, index, must_decide)| NewFlowRoute {
         position: u8::try_from(index.index(hops.len())).expect("few hops"),
         hops,
-        last,
+        must_decide,
     })
 }
 
@@ -43,7 +44,7 @@
     prop_oneof![
         any::<u32>().prop_map(|target| Route::Established(TargetId(target))),
         any::<u32>().prop_map(|target| Route::Relay(TargetId(target))),
-        first_route(MAXIMUM_HOPS).prop_map(Route::First),
+        first_route(MAXIMUM_HOPS).prop_map(Route::NewFlow),
     ]
 }
 
@@ -79,7 +80,7 @@
     #[test]
     fn what_is_written_is_read(envelope in envelope(), datagram: Vec<u8>) {
         let bytes = encode(&envelope, &datagram);
-        prop_assert!(bytes.len() <= MAXIMUM_OVERHEAD + datagram.len());
+        prop_assert!(bytes.len() <= MAXIMUM_OVERHEAD_LENGTH + datagram.len());
         let decoded = Envelope::decode(&TagKey::new(KEY), &bytes);
         prop_assert_eq!(decoded, Ok((envelope, datagram.as_slice())));
     }
@@ -137,10 +138,10 @@
         address: SocketAddr::from(([192, 0, 2, 1], 1)),
         load: None,
     };
-    let first = FirstRoute {
+    let first = NewFlowRoute {
         hops: vec![hop; MAXIMUM_HOPS + 1],
         position: 0,
-        last: false,
+        must_decide: false,
     };
     assert_eq!(decode_first(first), EnvelopeError::Malformed);
 }
@@ -152,14 +153,14 @@
     assert_eq!(error, Err(EnvelopeError::UnknownVersion));
 }
 
-fn decode_first(first: FirstRoute) -> EnvelopeError {
+fn decode_first(first: NewFlowRoute) -> EnvelopeError {
     let address = SocketAddr::from(([192, 0, 2, 1], 1));
     let envelope = Envelope {
         service: ServiceId(1),
         sequence: Sequence(1),
         caller: address,
         service_address: address,
-        route: Route::First(first),
+        route: Route::NewFlow(first),
     };
     let bytes = encode(&envelope, &[]);
     Envelope::decode(&TagKey::new(KEY), &bytes).expect_err("the parts contradict each other")
--- a/crates/woodladder-core/tests/flow_activation.rs
+++ b/crates/woodladder-core/tests/flow_activation.rs
@@ -10,7 +10,7 @@
     Route {
         address: route_address(number),
         parts: vec![RoutePart {
-            service: kitchen(),
+            service: main_service(),
             weight: 1,
         }],
         terms: RouteTerms {
@@ -33,7 +33,7 @@
 #[test]
 fn nothing_acts_for_patient_routes_of_one_priority_on_wide_links() {
     let even = configuration(vec![route(1, 2, 10_000), route(2, 2, 10_000)]);
-    let active = ActiveMechanisms::of(&even, 250, Some(1_000_000));
+    let active = ActiveMechanisms::at_balancer(&even, 250, Some(1_000_000));
     assert_eq!(active, ActiveMechanisms::default());
 }
 
@@ -41,14 +41,14 @@
 fn flows_are_located_when_a_timeout_leaves_one_repetition_at_most() {
     let patient = configuration(vec![route(1, 2, 3001)]);
     let impatient = configuration(vec![route(1, 2, 3001), route(2, 2, 3000)]);
-    assert!(!ActiveMechanisms::of(&patient, 250, None).locates_flows);
-    assert!(ActiveMechanisms::of(&impatient, 250, None).locates_flows);
+    assert!(!ActiveMechanisms::at_balancer(&patient, 250, None).locates_flows);
+    assert!(ActiveMechanisms::at_balancer(&impatient, 250, None).locates_flows);
 }
 
 #[test]
 fn requests_are_ordered_when_routes_of_different_priority_share_a_service() {
     let shared = configuration(vec![route(1, 2, 10_000), route(2, 1, 10_000)]);
-    assert!(ActiveMechanisms::of(&shared, 250, None).orders_requests);
+    assert!(ActiveMechanisms::at_balancer(&shared, 250, None).orders_requests);
 }
 
 /// What routes share at other services is no matter of an agent's.
@@ -56,7 +56,7 @@
 fn an_agent_orders_requests_only_when_routes_share_its_own_service() {
     let elsewhere = |number, priority| Route {
         parts: vec![RoutePart {
-            service: print(),
+            service: other_service(),
             weight: 1,
         }],
         ..route(number, priority, 10_000)
@@ -67,15 +67,15 @@
         route(3, 2, 10_000),
         route(4, 2, 10_000),
     ]);
-    assert!(ActiveMechanisms::of(&shared, 250, None).orders_requests);
-    assert!(ActiveMechanisms::at_agent(&shared, print()).orders_requests);
-    assert!(!ActiveMechanisms::at_agent(&shared, kitchen()).orders_requests);
+    assert!(ActiveMechanisms::at_balancer(&shared, 250, None).orders_requests);
+    assert!(ActiveMechanisms::at_agent(&shared, other_service()).orders_requests);
+    assert!(!ActiveMechanisms::at_agent(&shared, main_service()).orders_requests);
 }
 
 #[test]
 fn a_link_is_paced_when_it_is_full_before_the_processor_is() {
     let any = configuration(vec![route(1, 2, 10_000)]);
-    assert!(ActiveMechanisms::of(&any, 120, Some(10_000)).paces_link);
-    assert!(!ActiveMechanisms::of(&any, 120, Some(200_000)).paces_link);
-    assert!(!ActiveMechanisms::of(&any, 120, None).paces_link);
+    assert!(ActiveMechanisms::at_balancer(&any, 120, Some(10_000)).paces_link);
+    assert!(!ActiveMechanisms::at_balancer(&any, 120, Some(200_000)).paces_link);
+    assert!(!ActiveMechanisms::at_balancer(&any, 120, None).paces_link);
 }
--- a/crates/woodladder-core/tests/flow_admission_queue.rs
+++ b/crates/woodladder-core/tests/flow_admission_queue.rs
@@ -6,7 +6,7 @@
 use flow_support::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AnswerBody, Delivery, LONGEST_WAIT, QUEUE_CAPACITY,
+    Agent, AgentAction, ForwardDecision, LONGEST_WAIT, QUEUE_CAPACITY, ReplyBody,
 };
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::message::{
@@ -23,10 +23,10 @@
 }
 
 /// Gives the agent an opening whose bytes are its port.
-fn offer(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) -> Delivery {
+fn offer(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) -> ForwardDecision {
     let header = header(1, ForwardPurpose::Open(terms));
     let bytes = port.to_be_bytes();
-    agent.forwarded(node(1), &header, &opening(flow(port), 0), &bytes, at(now))
+    agent.handle_forwarded_packet(node(1), &header, &opening(flow(port), 0), &bytes, at(now))
 }
 
 /// An agent whose target works on as many requests as it is handed; they were
@@ -34,7 +34,7 @@
 fn busy_agent() -> Agent {
     let mut agent = agent();
     for port in 1..=HANDED_OVER {
-        open_at(&mut agent, flow(port), at(10));
+        open_flow_at(&mut agent, flow(port), at(10));
     }
     agent
 }
@@ -54,13 +54,13 @@
 }
 
 fn answer(agent: &mut Agent, key: FlowKey, now: u64) {
-    agent.departing(&data(key, 5001, 1101), None, at(now));
+    agent.handle_target_packet(&data(key, 5001, 1101), None, at(now));
 }
 
 /// Ports of the openings that the agent hands over now.
 fn served(agent: &mut Agent, now: u64) -> Vec<u16> {
     let mut actions = Vec::new();
-    agent.serve_queue(at(now), &mut actions);
+    agent.dispatch_queued(at(now), &mut actions);
     let ports = actions.iter().filter_map(|action| match action {
         AgentAction::Deliver { packet, .. } => Some(port_of(packet)),
         _ => None,
@@ -71,7 +71,7 @@
 /// Ports and reasons of the openings that the agent gives back now.
 fn given_back(agent: &mut Agent, now: u64) -> Vec<(u16, ReturnReason)> {
     let mut actions = Vec::new();
-    agent.serve_queue(at(now), &mut actions);
+    agent.dispatch_queued(at(now), &mut actions);
     let returns = actions.iter().filter_map(|action| match action {
         AgentAction::Return {
             message: PeerMessage::Returned { reason, .. },
@@ -87,13 +87,18 @@
     u16::from_be_bytes([bytes[0], bytes[1]])
 }
 
-fn is_queued(delivery: &Delivery) -> bool {
-    matches!(delivery, Delivery::Queued(PeerMessage::Queued { .. }))
+fn is_queued(delivery: &ForwardDecision) -> bool {
+    matches!(
+        delivery,
+        ForwardDecision::Queued(PeerMessage::Queued { .. })
+    )
 }
 
-fn reason(delivery: &Delivery) -> Option<ReturnReason> {
+fn reason(delivery: &ForwardDecision) -> Option<ReturnReason> {
     match delivery {
-        Delivery::Answer(PeerMessage::Returned { reason, .. }, AnswerBody::Packet) => Some(*reason),
+        ForwardDecision::Reply(PeerMessage::Returned { reason, .. }, ReplyBody::Packet) => {
+            Some(*reason)
+        }
         _ => None,
     }
 }
@@ -126,7 +131,7 @@
     }
     assert!(is_queued(&offer(&mut agent, 100, opening_terms(), 20)));
     let accept = packet(flow(1), PacketKind::Accept, 5000, 1001, 0);
-    agent.departing(&accept, None, at(21));
+    agent.handle_target_packet(&accept, None, at(21));
     assert_eq!(served(&mut agent, 60), []);
     assert_eq!(served(&mut agent, 80), [100]);
 }
@@ -225,9 +230,9 @@
 fn all_openings_are_given_back_when_the_target_leaves() {
     let mut agent = busy_agent();
     offer(&mut agent, 100, opening_terms(), 20);
-    let mut leaving = beat(1, 2);
+    let mut leaving = heartbeat(1, 2);
     leaving.leaving = true;
-    agent.heartbeat(&leaving, at(30)).expect("heartbeat");
+    agent.handle_heartbeat(&leaving, at(30)).expect("heartbeat");
     assert_eq!(
         given_back(&mut agent, 30),
         [(100, ReturnReason::Leaving)],
@@ -244,7 +249,7 @@
         configuration: Some((*configuration(5)).clone()),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, at(100));
+    agent.apply_snapshot(node(1), snapshot, at(100));
     keep_busy(&mut agent, 1000);
     offer(&mut agent, 100, opening_terms(), 1000);
     answer(&mut agent, flow(2), 1200);
@@ -260,14 +265,14 @@
     offer(&mut agent, 100, opening_terms(), 20);
     let copy = header(1, ForwardPurpose::Open(opening_terms()));
     let delivery = forward_to(&mut agent, &copy, &opening(flow(100), 1), at(220));
-    assert_eq!(delivery, Delivery::Drop);
+    assert_eq!(delivery, ForwardDecision::Drop);
     assert_eq!(agent.load().queued, 1);
 }
 
 #[test]
 fn an_opening_is_given_back_when_the_balancer_was_mistaken_about_the_load() {
     let believed = |load| OpeningTerms {
-        believed_load: Some(load),
+        estimated_load: Some(load),
         ..opening_terms()
     };
     let mut agent = busy_agent();
--- a/crates/woodladder-core/tests/flow_bulk_admission.rs
+++ b/crates/woodladder-core/tests/flow_bulk_admission.rs
@@ -10,7 +10,7 @@
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::link::LinkBudget;
 use woodladder_core::flow::link::bulk_admission::{BulkDecision, ReleasedOpening};
-use woodladder_core::flow::link::scheduler::Urgency;
+use woodladder_core::flow::link::scheduler::TrafficClass;
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 
 /// Kilobits a second: a small machine's link.
@@ -38,7 +38,7 @@
 }
 
 fn give(link: &mut LinkBudget, packet: &FlowPacket, now: Instant) -> BulkDecision {
-    link.caller_packet(packet, b"packet", TERMS, now)
+    link.admit_caller_packet(packet, b"packet", TERMS, now)
 }
 
 fn open(link: &mut LinkBudget, port: u16, now: Instant) -> BulkDecision {
@@ -60,13 +60,13 @@
         open(&mut link, port, at(0));
         send_all(&mut link, port, at(1));
     }
-    assert_eq!(open(&mut link, 10, at(2000)), BulkDecision::Go);
+    assert_eq!(open(&mut link, 10, at(2000)), BulkDecision::Admit);
     give(
         &mut link,
         &packet(flow(10), PacketKind::Reset, 1001, 0, 0),
         at(2000),
     );
-    assert_eq!(link.flows_under_way(), 0);
+    assert_eq!(link.active_bulk_flows(), 0);
     link
 }
 
@@ -75,7 +75,7 @@
     let mut link = link();
     let most = u16::try_from(link.most_sharing()).expect("few");
     for port in 100..100 + most {
-        assert_eq!(open(&mut link, port, at(2100)), BulkDecision::Go);
+        assert_eq!(open(&mut link, port, at(2100)), BulkDecision::Admit);
         give(&mut link, &upload(flow(port), 0, FULL), at(2100));
     }
     (link, most)
@@ -92,7 +92,7 @@
 fn before_anything_is_known_of_a_route_nothing_waits() {
     let mut link = LinkBudget::new(RATE);
     for port in 1..200 {
-        assert_eq!(open(&mut link, port, at(0)), BulkDecision::Go);
+        assert_eq!(open(&mut link, port, at(0)), BulkDecision::Admit);
     }
 }
 
@@ -101,11 +101,11 @@
     let mut link = LinkBudget::new(RATE);
     for port in 1..500_u16 {
         let now = at(u64::from(port) * 10);
-        assert_eq!(open(&mut link, port, now), BulkDecision::Go);
+        assert_eq!(open(&mut link, port, now), BulkDecision::Admit);
         give(&mut link, &data(flow(port), 1001, 5001), now);
     }
     let request = data(flow(1), 1001, 5001);
-    assert_eq!(link.urgency(&request), Urgency::Urgent);
+    assert_eq!(link.traffic_class(&request), TrafficClass::Priority);
 }
 
 #[test]
@@ -120,7 +120,10 @@
         }
     }
     open(&mut link, 50, at(61_000));
-    assert_eq!(link.urgency(&upload(flow(50), 0, FULL)), Urgency::Urgent);
+    assert_eq!(
+        link.traffic_class(&upload(flow(50), 0, FULL)),
+        TrafficClass::Priority
+    );
 }
 
 #[test]
@@ -129,8 +132,8 @@
     for port in 200..210 {
         assert_eq!(open(&mut link, port, at(2101)), BulkDecision::Wait);
     }
-    assert!(link.release(at(2102)).is_empty());
-    assert_eq!(link.flows_under_way(), usize::from(most));
+    assert!(link.release_waiting(at(2102)).is_empty());
+    assert_eq!(link.active_bulk_flows(), usize::from(most));
     let mut served = Vec::new();
     // One flow of 40 kilobytes ends each 33 milliseconds.
     let mut sending: Vec<u16> = (100..100 + most).collect();
@@ -140,9 +143,9 @@
         for port in &sending {
             give(&mut link, &upload(flow(*port), 1, FULL), now);
         }
-        let released = link.release(now);
-        assert!(released.iter().all(|opening| opening.goes));
-        assert!(link.flows_under_way() <= usize::from(most));
+        let released = link.release_waiting(now);
+        assert!(released.iter().all(|opening| opening.is_admitted));
+        assert!(link.active_bulk_flows() <= usize::from(most));
         sending.extend(ports(&released));
         served.extend(ports(&released));
     }
@@ -154,7 +157,7 @@
     let (mut link, _) = shared_link();
     for port in 300..340 {
         let decision = give(&mut link, &upload(flow(port), 5, FULL), at(2101));
-        assert_eq!(decision, BulkDecision::Go);
+        assert_eq!(decision, BulkDecision::Admit);
     }
 }
 
@@ -162,10 +165,10 @@
 fn a_flow_that_stops_in_the_middle_gives_its_share_back() {
     let (mut link, most) = shared_link();
     assert_eq!(open(&mut link, 200, at(2110)), BulkDecision::Wait);
-    assert!(link.release(at(2150)).is_empty());
-    let released = link.release(at(2170));
+    assert!(link.release_waiting(at(2150)).is_empty());
+    let released = link.release_waiting(at(2170));
     assert_eq!(ports(&released), vec![200]);
-    assert!(link.flows_under_way() <= usize::from(most));
+    assert!(link.active_bulk_flows() <= usize::from(most));
 }
 
 #[test]
@@ -178,8 +181,12 @@
             give(&mut link, &upload(flow(port), 1, FULL), now);
         }
         open(&mut link, 400 + u16::try_from(step).expect("few"), now);
-        assert!(link.release(now).iter().all(|opening| !opening.goes));
-        assert!(link.flows_under_way() <= usize::from(most));
+        assert!(
+            link.release_waiting(now)
+                .iter()
+                .all(|opening| !opening.is_admitted)
+        );
+        assert!(link.active_bulk_flows() <= usize::from(most));
     }
 }
 
@@ -192,12 +199,12 @@
         for port in 100..100 + most {
             give(&mut link, &upload(flow(port), 1, FULL), at(now));
         }
-        link.release(at(now));
+        link.release_waiting(at(now));
     }
     open(&mut link, 202, at(2650));
     open(&mut link, 203, at(2651));
     send_all(&mut link, 100, at(2655));
-    assert_eq!(ports(&link.release(at(2655))), vec![202]);
+    assert_eq!(ports(&link.release_waiting(at(2655))), vec![202]);
 }
 
 #[test]
@@ -207,7 +214,7 @@
     let copy = opening(flow(200), 1);
     assert_eq!(give(&mut link, &copy, at(2151)), BulkDecision::Wait);
     assert_eq!(link.openings_waiting(), 1);
-    let released = link.release(at(2300));
+    let released = link.release_waiting(at(2300));
     assert_eq!(released[0].packet, copy);
 
     open(&mut link, 201, at(2301));
@@ -227,14 +234,14 @@
         match open(&mut link, port, at(2101)) {
             BulkDecision::Wait => assert_eq!(refused, 0),
             BulkDecision::Refuse => refused += 1,
-            BulkDecision::Go => panic!("the link is full"),
+            BulkDecision::Admit => panic!("the link is full"),
         }
     }
     // 40 kilobytes take 32 milliseconds: 37 of them fill 1.2 seconds.
     assert!((30..40).contains(&link.openings_waiting()));
     assert_eq!(refused + link.openings_waiting(), 100);
     let mut idle = self::link();
-    assert_eq!(open(&mut idle, 200, at(2101)), BulkDecision::Go);
+    assert_eq!(open(&mut idle, 200, at(2101)), BulkDecision::Admit);
 }
 
 #[test]
@@ -244,7 +251,7 @@
         open(&mut link, port, at(2101));
     }
     let copy = opening(flow(500), 1);
-    assert_eq!(give(&mut link, &copy, at(2101)), BulkDecision::Go);
+    assert_eq!(give(&mut link, &copy, at(2101)), BulkDecision::Admit);
 }
 
 #[test]
@@ -256,11 +263,11 @@
         for port in 100..100 + most {
             give(&mut link, &upload(flow(port), 1, FULL), at(now));
         }
-        ended.extend(link.release(at(now)));
+        ended.extend(link.release_waiting(at(now)));
     }
     assert_eq!(ended.len(), 1);
-    assert!(!ended[0].goes);
-    assert_eq!(ended[0].since, at(2101));
+    assert!(!ended[0].is_admitted);
+    assert_eq!(ended[0].queued_at, at(2101));
 }
 
 #[test]
@@ -269,24 +276,24 @@
     for port in 200..203 {
         open(&mut link, port, at(2101));
     }
-    let released = link.release(at(2901));
+    let released = link.release_waiting(at(2901));
     assert_eq!(released.len(), usize::from(most.min(3)));
-    assert!(released.iter().all(|opening| opening.goes));
+    assert!(released.iter().all(|opening| opening.is_admitted));
 }
 
 #[test]
 fn use_of_the_link_is_measured_in_both_directions_and_forgotten_after_a_second() {
     let mut link = LinkBudget::new(RATE);
     for millisecond in 0..1000 {
-        link.arrived(597, at(millisecond));
-        link.left(97, at(millisecond));
+        link.record_received(597, at(millisecond));
+        link.record_sent(97, at(millisecond));
     }
-    assert_eq!(link.rates(at(999)), (5000, 1000));
-    let (incoming, outgoing) = link.rates(at(1000) + Duration::from_millis(500));
+    assert_eq!(link.used_kbps(at(999)), (5000, 1000));
+    let (incoming, outgoing) = link.used_kbps(at(1000) + Duration::from_millis(500));
     // Half of the window has passed; it moves by eighths.
     assert!((1875..=3125).contains(&incoming), "{incoming}");
     assert!((375..=625).contains(&outgoing), "{outgoing}");
-    assert_eq!(link.rates(at(2100)), (0, 0));
+    assert_eq!(link.used_kbps(at(2100)), (0, 0));
 }
 
 #[test]
@@ -299,7 +306,7 @@
     let acknowledgement = packet(flow(201), PacketKind::Data, 1001, 5001, 0);
     give(&mut link, &acknowledgement, at(2110));
     assert_eq!(link.openings_waiting(), 0);
-    assert!(link.release(at(2400)).is_empty());
+    assert!(link.release_waiting(at(2400)).is_empty());
 }
 
 /// Keeps a link's flows under way, and returns when and what it releases until then.
@@ -313,7 +320,7 @@
         for port in 100..100 + most {
             give(link, &upload(flow(port), 1, FULL), at(now));
         }
-        let released = link.release(at(now));
+        let released = link.release_waiting(at(now));
         ended.extend(released.into_iter().map(|opening| (now, opening)));
     }
     ended
@@ -326,11 +333,11 @@
         timeout_ms: 500,
         ..TERMS
     };
-    let decision = link.caller_packet(&opening(flow(200), 0), b"packet", terms, at(2100));
+    let decision = link.admit_caller_packet(&opening(flow(200), 0), b"packet", terms, at(2100));
     assert_eq!(decision, BulkDecision::Wait);
     let ended = released_until(&mut link, most, 2100..3400);
     assert_eq!(ended.len(), 1);
-    assert!(!ended[0].1.goes);
+    assert!(!ended[0].1.is_admitted);
     assert!(ended[0].0 <= 2600, "{}", ended[0].0);
 }
 
@@ -343,7 +350,7 @@
     give(&mut link, &opening(flow(200), 1), at(2300));
     let ended = released_until(&mut link, most, 2300..3600);
     assert_eq!(ended.len(), 1);
-    assert!(!ended[0].1.goes);
+    assert!(!ended[0].1.is_admitted);
     assert_eq!(ended[0].1.first_sent, at(2100));
     assert!((3300..3325).contains(&ended[0].0), "{}", ended[0].0);
 }
@@ -356,12 +363,12 @@
         ..TERMS
     };
     open(&mut link, 200, at(2101));
-    link.caller_packet(&opening(flow(201), 0), b"packet", terms, at(2102));
+    link.admit_caller_packet(&opening(flow(201), 0), b"packet", terms, at(2102));
     // Its bytes alone take 32 milliseconds.
-    let released = link.release(at(2102 + 390));
+    let released = link.release_waiting(at(2102 + 390));
     let went: Vec<(u16, bool)> = released
         .iter()
-        .map(|opening| (opening.packet.key.caller.port(), opening.goes))
+        .map(|opening| (opening.packet.key.caller.port(), opening.is_admitted))
         .collect();
     assert_eq!(went, vec![(201, false), (200, true)]);
 }
--- a/crates/woodladder-core/tests/flow_dissemination.rs
+++ b/crates/woodladder-core/tests/flow_dissemination.rs
@@ -6,18 +6,18 @@
 
 use flow_support::*;
 use woodladder_core::flow::balancer::{
-    Balancer, BalancerAction, BalancerOptions, OWN_ZONE_FIRST_FOR,
+    Balancer, BalancerAction, BalancerOptions, OTHER_ZONE_FETCH_DELAY,
 };
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage, TargetReport};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage, TargetReport};
 
 /// Balancers of the tests' zone.
 const ZONE_SIZE: u8 = 20;
 /// Balancers of another zone.
 const FAR: [u8; 2] = [100, 101];
 
-fn greeting_of(zone: &str, version: u64) -> BalancerGreeting {
-    BalancerGreeting {
+fn greeting_of(zone: &str, version: u64) -> BalancerHello {
+    BalancerHello {
         zone: ZoneKey::named(zone),
         version,
         ..peer_greeting()
@@ -33,21 +33,21 @@
     let options = BalancerOptions {
         address: node(number),
         zone: ZoneKey::named("a"),
-        capacity: CAPACITY,
-        link_rate: None,
+        cpu_millicores: CAPACITY,
+        link_rate_kbps: None,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     for other in (1..=ZONE_SIZE).filter(|other| *other != number) {
         hear(&mut balancer, other, greeting_of("a", 1), 10_000);
         // What it asked of those that it has just found.
-        balancer.snapshot_failed(node(other));
+        balancer.handle_snapshot_failure(node(other));
     }
     for far in FAR {
         hear(&mut balancer, far, greeting_of("b", 1), 10_000);
-        balancer.snapshot_failed(node(far));
+        balancer.handle_snapshot_failure(node(far));
     }
     balancer
 }
@@ -55,10 +55,10 @@
 fn hear(
     balancer: &mut Balancer,
     from: u8,
-    greeting: BalancerGreeting,
+    greeting: BalancerHello,
     now: u64,
 ) -> Vec<BalancerAction> {
-    send(balancer, from, PeerMessage::Greeting(greeting), at(now))
+    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(now))
 }
 
 fn fetches_from(actions: &[BalancerAction], node: NodeAddress) -> bool {
@@ -85,7 +85,7 @@
     let mut others: Vec<(u8, Balancer)> = (1..=ZONE_SIZE).zip(zone()).collect();
     others.retain_mut(waits);
     assert_eq!(others.len(), usize::from(ZONE_SIZE) - 3);
-    let later = 10_100 + u64::try_from(OWN_ZONE_FIRST_FOR.as_millis()).expect("time");
+    let later = 10_100 + u64::try_from(OTHER_ZONE_FETCH_DELAY.as_millis()).expect("time");
     for (number, mut balancer) in others {
         let mut asks_near = balancer.clone();
         let neighbour = number % ZONE_SIZE + 1;
@@ -109,16 +109,16 @@
                 zone: ZoneKey::named("a"),
                 ..report(150 + agent, 1)
             };
-            tell(&mut balancer, 150 + agent, &report, at(10_100));
+            deliver_report(&mut balancer, 150 + agent, &report, at(10_100));
         }
         balancer.tick(at(10_110), &mut Vec::new());
-        balancer.configuration(configuration(2));
+        balancer.adopt_store_configuration(configuration(2));
         let mut actions = Vec::new();
         balancer.tick(at(10_120), &mut actions);
         for action in actions {
             if let BalancerAction::Send {
                 to,
-                message: PeerMessage::Greeting(greeting),
+                message: PeerMessage::Hello(greeting),
             } = action
             {
                 let number = to.ip().octets()[3];
--- a/crates/woodladder-core/tests/flow_distance.rs
+++ b/crates/woodladder-core/tests/flow_distance.rs
@@ -19,12 +19,12 @@
     let mut balancer = balancer(&[NEAR]);
     let mut near = report(NEAR, 2);
     near.load.busy = busy;
-    tell(&mut balancer, NEAR, &near, at(10_000));
+    deliver_report(&mut balancer, NEAR, &near, at(10_000));
     let far = TargetReport {
         zone: ZoneKey::named("b"),
         ..report(FAR, 1)
     };
-    tell(&mut balancer, FAR, &far, at(10_000));
+    deliver_report(&mut balancer, FAR, &far, at(10_000));
     balancer
 }
 
@@ -32,14 +32,18 @@
 fn bring(balancer: &mut Balancer, packets: u16) {
     const BYTES: [u8; 1200] = [0; 1200];
     let first = opening(flow(1), 0);
-    balancer.caller_packet(&first, &BYTES, at(10_001));
+    balancer.route_caller_packet(&first, &BYTES, at(10_001));
     for _ in 1..packets {
-        balancer.caller_packet(&data(flow(1), 1, 1), &BYTES, at(10_002));
+        balancer.route_caller_packet(&data(flow(1), 1, 1), &BYTES, at(10_002));
     }
 }
 
 fn chosen(balancer: &mut Balancer, port: u16) -> NodeAddress {
-    receivers(&arrive(balancer, &opening(flow(port), 0), at(10_010)))[0]
+    receivers(&deliver_caller_packet(
+        balancer,
+        &opening(flow(port), 0),
+        at(10_010),
+    ))[0]
 }
 
 #[test]
@@ -68,8 +72,8 @@
     let route = route_address(1);
     let mut traffic = RouteTraffic::default();
     for length in [[40_000; 400], [1_000; 400]].concat() {
-        traffic.flow(route);
-        traffic.bytes(route, length);
+        traffic.count_flow(route);
+        traffic.count_bytes(route, length);
     }
     let mean = traffic.bytes_per_flow(route);
     assert!((1_000..6_000).contains(&mean), "{mean}");
@@ -78,8 +82,8 @@
 #[test]
 fn a_route_that_is_gone_is_forgotten() {
     let mut traffic = RouteTraffic::default();
-    traffic.flow(route_address(1));
-    traffic.bytes(route_address(1), 900);
+    traffic.count_flow(route_address(1));
+    traffic.count_bytes(route_address(1), 900);
     traffic.retain(|_| false);
     assert_eq!(traffic.bytes_per_flow(route_address(1)), 0);
 }
--- a/crates/woodladder-core/tests/flow_drain.rs
+++ b/crates/woodladder-core/tests/flow_drain.rs
@@ -3,17 +3,17 @@
 mod flow_support;
 
 use flow_support::*;
-use woodladder_core::flow::agent::{Agent, AgentAction, Delivery, HeartbeatError};
+use woodladder_core::flow::agent::{Agent, AgentAction, ForwardDecision, HeartbeatError};
 use woodladder_core::flow::identity::Incarnation;
 use woodladder_core::flow::message::{
-    BalancerGreeting, ForwardPurpose, PeerMessage, ReturnReason, Snapshot, TargetState,
+    BalancerHello, ForwardPurpose, PeerMessage, ReturnReason, Snapshot, TargetState,
 };
 use woodladder_core::flow::packet::PacketKind;
 
 fn reason_of_opening(agent: &mut Agent, port: u16, milliseconds: u64) -> Option<ReturnReason> {
     let open = opening(flow(port), 0);
     match forward_to(agent, &open_header(1), &open, at(milliseconds)) {
-        Delivery::Answer(PeerMessage::Returned { reason, .. }, _) => Some(reason),
+        ForwardDecision::Reply(PeerMessage::Returned { reason, .. }, _) => Some(reason),
         _ => None,
     }
 }
@@ -25,17 +25,19 @@
         reason_of_opening(&mut agent, 1, 10),
         Some(ReturnReason::NoTarget)
     );
-    agent.heartbeat(&beat(1, 9), at(20)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 9), at(20))
+        .expect("heartbeat");
     assert_eq!(reason_of_opening(&mut agent, 1, 30), None);
 }
 
 #[test]
 fn no_new_flow_reaches_a_target_after_it_said_that_it_leaves() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
-    let mut leaving = beat(1, 2);
+    open_flow_at(&mut agent, flow(1), at(10));
+    let mut leaving = heartbeat(1, 2);
     leaving.leaving = true;
-    agent.heartbeat(&leaving, at(20)).expect("heartbeat");
+    agent.handle_heartbeat(&leaving, at(20)).expect("heartbeat");
     assert_eq!(
         reason_of_opening(&mut agent, 2, 21),
         Some(ReturnReason::Leaving)
@@ -48,21 +50,23 @@
 #[test]
 fn leaving_is_not_taken_back_by_a_late_heartbeat() {
     let mut agent = agent();
-    let mut leaving = beat(1, 5);
+    let mut leaving = heartbeat(1, 5);
     leaving.leaving = true;
-    agent.heartbeat(&leaving, at(20)).expect("heartbeat");
+    agent.handle_heartbeat(&leaving, at(20)).expect("heartbeat");
     agent
-        .heartbeat(&beat(1, 4), at(21))
+        .handle_heartbeat(&heartbeat(1, 4), at(21))
         .expect("a late one is taken and ignored");
-    agent.heartbeat(&beat(1, 6), at(22)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 6), at(22))
+        .expect("heartbeat");
     assert_eq!(agent.target_state(), TargetState::Leaving);
 }
 
 #[test]
 fn a_target_that_deregisters_first_keeps_its_flows() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
-    agent.deregister(Incarnation(1));
+    open_flow_at(&mut agent, flow(1), at(10));
+    agent.handle_deregistration(Incarnation(1));
     assert_eq!(
         reason_of_opening(&mut agent, 2, 21),
         Some(ReturnReason::Leaving)
@@ -75,13 +79,17 @@
 #[test]
 fn a_new_incarnation_begins_without_flows_and_the_old_one_is_refused() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
-    agent.heartbeat(&beat(1, 2), at(15)).expect("heartbeat");
-    agent.heartbeat(&beat(2, 1), at(20)).expect("heartbeat");
+    open_flow_at(&mut agent, flow(1), at(10));
+    agent
+        .handle_heartbeat(&heartbeat(1, 2), at(15))
+        .expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(2, 1), at(20))
+        .expect("heartbeat");
     assert_eq!(agent.load().flows, 0);
     assert_eq!(agent.target_state(), TargetState::Ready);
     assert_eq!(
-        agent.heartbeat(&beat(1, 50), at(30)),
+        agent.handle_heartbeat(&heartbeat(1, 50), at(30)),
         Err(HeartbeatError::Replaced)
     );
     let header = header(1, ForwardPurpose::Established);
@@ -95,11 +103,15 @@
 #[test]
 fn a_flow_opened_after_the_last_heartbeat_may_be_open_at_the_next_incarnation() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
-    agent.heartbeat(&beat(1, 2), at(1200)).expect("heartbeat");
-    open_at(&mut agent, flow(2), at(2000));
+    open_flow_at(&mut agent, flow(1), at(10));
+    agent
+        .handle_heartbeat(&heartbeat(1, 2), at(1200))
+        .expect("heartbeat");
+    open_flow_at(&mut agent, flow(2), at(2000));
     assert_eq!(agent.load().busy, 2);
-    agent.heartbeat(&beat(2, 1), at(2100)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(2, 1), at(2100))
+        .expect("heartbeat");
     assert_eq!(agent.load().flows, 1);
     assert_eq!(agent.load().busy, 0, "the new incarnation's slots are free");
     let header = header(1, ForwardPurpose::Search);
@@ -113,9 +125,13 @@
 #[test]
 fn a_report_says_until_when_the_former_incarnation_was_heard() {
     let mut agent = agent();
-    agent.listed(&[node(1)], at(1));
-    agent.heartbeat(&beat(1, 2), at(1200)).expect("heartbeat");
-    agent.heartbeat(&beat(2, 1), at(2100)).expect("heartbeat");
+    agent.add_listed_balancers(&[node(1)], at(1));
+    agent
+        .handle_heartbeat(&heartbeat(1, 2), at(1200))
+        .expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(2, 1), at(2100))
+        .expect("heartbeat");
     let mut actions = Vec::new();
     agent.tick(at(2150), &mut actions);
     let report = actions.iter().find_map(|action| match action {
@@ -125,16 +141,16 @@
         } => Some(*report),
         _ => None,
     });
-    assert_eq!(report.expect("a report").former_heard_ms, 950);
+    assert_eq!(report.expect("a report").previous_heartbeat_age_ms, 950);
 }
 
 #[test]
 fn a_heartbeat_of_another_service_changes_nothing() {
     let mut agent = empty_agent();
-    let mut other = beat(1, 1);
-    other.service = print();
+    let mut other = heartbeat(1, 1);
+    other.service = other_service();
     assert_eq!(
-        agent.heartbeat(&other, at(1)),
+        agent.handle_heartbeat(&other, at(1)),
         Err(HeartbeatError::WrongService)
     );
     assert_eq!(agent.target_state(), TargetState::Unknown);
@@ -149,10 +165,10 @@
     ] {
         let mut agent = agent();
         let mut header = header(1, purpose);
-        header.service = print();
+        header.service = other_service();
         let open = opening(flow(1), 0);
         match forward_to(&mut agent, &header, &open, at(10)) {
-            Delivery::Answer(PeerMessage::Returned { reason, .. }, _) => {
+            ForwardDecision::Reply(PeerMessage::Returned { reason, .. }, _) => {
                 assert_eq!(reason, ReturnReason::WrongService);
             }
             other => panic!("{other:?}"),
@@ -167,7 +183,7 @@
         configuration: Some((*configuration(5)).clone()),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, at(1000));
+    agent.apply_snapshot(node(1), snapshot, at(1000));
     assert_eq!(reason_of_opening(&mut agent, 1, 1500), None);
     assert_eq!(
         reason_of_opening(&mut agent, 2, 2100),
@@ -181,18 +197,13 @@
 #[test]
 fn an_agent_fetches_a_greater_version_from_the_balancer_that_has_it() {
     let mut agent = agent();
-    let greeting = BalancerGreeting {
+    let greeting = BalancerHello {
         version: 7,
         balancers: vec![node(3)],
         ..peer_greeting()
     };
     let mut actions = Vec::new();
-    agent.message(
-        node(2),
-        &PeerMessage::Greeting(greeting),
-        at(10),
-        &mut actions,
-    );
+    agent.handle_message(node(2), &PeerMessage::Hello(greeting), at(10), &mut actions);
     let fetches = actions
         .iter()
         .filter(
@@ -212,9 +223,9 @@
     let mut agent = agent();
     let open = opening(flow(1), 0);
     forward_to(&mut agent, &open_header(1), &open, at(10));
-    let departure = agent.departing(&open, Some(node(1)), at(11));
+    let departure = agent.handle_target_packet(&open, Some(node(1)), at(11));
     match departure {
-        woodladder_core::flow::agent::Departure::Returned { to, message, .. } => {
+        woodladder_core::flow::agent::TargetPacketDecision::Returned { to, message, .. } => {
             assert_eq!(to, node(1));
             let PeerMessage::Returned { reason, .. } = message else {
                 panic!("{message:?}");
@@ -230,14 +241,14 @@
 fn a_restarted_agent_learns_open_flows_from_what_the_target_sends() {
     let mut agent = empty_agent();
     let answer = packet(flow(1), PacketKind::Data, 5001, 1101, 400);
-    agent.departing(&answer, None, at(10));
+    agent.handle_target_packet(&answer, None, at(10));
     assert_eq!(agent.load().flows, 1);
     let header = header(1, ForwardPurpose::Search);
     match forward_from(&mut agent, 4, &header, &data(flow(1), 1101, 5401), at(20)) {
-        Delivery::Deliver { tell, .. } => {
+        ForwardDecision::Deliver { reply, .. } => {
             assert!(
-                matches!(tell, Some(PeerMessage::Located { .. })),
-                "{tell:?}"
+                matches!(reply, Some(PeerMessage::Located { .. })),
+                "{reply:?}"
             );
         }
         other => panic!("{other:?}"),
--- a/crates/woodladder-core/tests/flow_excluded_zones.rs
+++ b/crates/woodladder-core/tests/flow_excluded_zones.rs
@@ -7,14 +7,14 @@
 use flow_support::*;
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
-use woodladder_core::flow::agent::{Agent, AgentAction, AnswerBody, Delivery};
+use woodladder_core::flow::agent::{Agent, AgentAction, ForwardDecision, ReplyBody};
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, Routing};
 use woodladder_core::flow::excluded_zones::{ExcludedZones, ZoneChange};
 use woodladder_core::flow::identity::ZoneKey;
 use woodladder_core::flow::message::{
-    BalancerGreeting, ForwardPurpose, PeerMessage, ReturnReason, Snapshot, TargetReport,
+    BalancerHello, ForwardPurpose, PeerMessage, ReturnReason, Snapshot, TargetReport,
 };
-use woodladder_core::flow::store_session::{ConfigurationWatch, StoreReply, ZoneStatement};
+use woodladder_core::flow::store_session::{ConfigurationWatch, StoreReply, ZoneUpdate};
 
 fn zone(name: &str) -> ZoneKey {
     ZoneKey::named(name)
@@ -38,26 +38,28 @@
 fn balancer_of_two_zones() -> Balancer {
     let mut balancer = balancer(&[]);
     for (agent, name) in [(2, "a"), (3, "a"), (4, "b")] {
-        tell(&mut balancer, agent, &report_from(agent, name), at(10_000));
+        deliver_report(&mut balancer, agent, &report_from(agent, name), at(10_000));
     }
     balancer
 }
 
-fn greeting(zones: ExcludedZones) -> BalancerGreeting {
-    BalancerGreeting {
+fn greeting(zones: ExcludedZones) -> BalancerHello {
+    BalancerHello {
         excluded_zones: zones,
         ..peer_greeting()
     }
 }
 
 fn greet_agent(agent: &mut Agent, zones: ExcludedZones, now: Instant) {
-    let message = PeerMessage::Greeting(greeting(zones));
-    agent.message(node(1), &message, now, &mut Vec::new());
+    let message = PeerMessage::Hello(greeting(zones));
+    agent.handle_message(node(1), &message, now, &mut Vec::new());
 }
 
-fn reason(delivery: &Delivery) -> Option<ReturnReason> {
+fn reason(delivery: &ForwardDecision) -> Option<ReturnReason> {
     match delivery {
-        Delivery::Answer(PeerMessage::Returned { reason, .. }, AnswerBody::Packet) => Some(*reason),
+        ForwardDecision::Reply(PeerMessage::Returned { reason, .. }, ReplyBody::Packet) => {
+            Some(*reason)
+        }
         _ => None,
     }
 }
@@ -65,15 +67,15 @@
 #[test]
 fn new_flows_go_to_other_zones_until_the_zone_is_taken_back() {
     let mut balancer = balancer_of_two_zones();
-    balancer.store_excludes(&excluded(50, &["a"]));
+    balancer.adopt_store_exclusions(&excluded(50, &["a"]));
     for port in 1..40 {
-        let routing = arrive(&mut balancer, &opening(flow(port), 0), at(10_010));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_010));
         assert_eq!(receivers(&routing), vec![node(4)], "port {port}");
     }
-    balancer.store_excludes(&excluded(60, &[]));
+    balancer.adopt_store_exclusions(&excluded(60, &[]));
     let mut chosen = BTreeSet::new();
     for port in 100..140 {
-        let routing = arrive(&mut balancer, &opening(flow(port), 0), at(10_020));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_020));
         chosen.extend(receivers(&routing));
     }
     // The other zone's target has all flows so far, so the idle ones come first.
@@ -83,7 +85,7 @@
 #[test]
 fn flows_that_are_open_stay_in_an_excluded_zone() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
+    open_flow_at(&mut agent, flow(1), at(10));
     greet_agent(&mut agent, excluded(50, &["a"]), at(20));
     let established = header(1, ForwardPurpose::Established);
     let delivery = forward_to(&mut agent, &established, &data(flow(1), 1101, 5001), at(30));
@@ -133,7 +135,7 @@
 fn an_opening_that_comes_back_teaches_the_balancer_and_goes_to_another_zone() {
     let mut balancer = balancer_of_two_zones();
     let packet = opening(flow(1), 0);
-    let first = receivers(&arrive(&mut balancer, &packet, at(10_010)));
+    let first = receivers(&deliver_caller_packet(&mut balancer, &packet, at(10_010)));
     let agent = first[0].ip().octets()[3];
     let mut zones = excluded(50, &["a"]);
     if agent == 4 {
@@ -145,7 +147,7 @@
         version: 1,
         excluded_zones: zones.clone(),
     };
-    let actions = give_back(&mut balancer, agent, returned, &packet, at(10_020));
+    let actions = deliver_message_with_packet(&mut balancer, agent, returned, &packet, at(10_020));
     let sent_to = actions.iter().find_map(|action| match action {
         BalancerAction::Forward { to, .. } => Some(*to),
         _ => None,
@@ -159,8 +161,8 @@
 #[test]
 fn a_service_whose_targets_are_all_excluded_refuses_at_once() {
     let mut balancer = balancer_of_two_zones();
-    balancer.store_excludes(&excluded(50, &["a", "b"]));
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    balancer.adopt_store_exclusions(&excluded(50, &["a", "b"]));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     assert!(matches!(routing, Routing::Reset(_)), "{routing:?}");
 }
 
@@ -171,54 +173,54 @@
         state: woodladder_core::flow::message::TargetState::Leaving,
         ..report_from(2, "a")
     };
-    tell(&mut balancer, 2, &leaving, at(10_000));
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
-    assert_eq!(balancer.waiting_count(), 1);
-    balancer.store_excludes(&excluded(50, &["a"]));
+    deliver_report(&mut balancer, 2, &leaving, at(10_000));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
+    assert_eq!(balancer.waiting_opening_count(), 1);
+    balancer.adopt_store_exclusions(&excluded(50, &["a"]));
     let mut actions = Vec::new();
     balancer.tick(at(10_020), &mut actions);
     let resets = actions
         .iter()
         .filter(|action| matches!(action, BalancerAction::Reset(_)));
     assert_eq!(resets.count(), 1, "{actions:?}");
-    assert_eq!(balancer.waiting_count(), 0);
+    assert_eq!(balancer.waiting_opening_count(), 0);
 }
 
 #[test]
 fn an_older_set_changes_nothing_wherever_it_comes_from() {
     let mut balancer = balancer_of_two_zones();
-    balancer.store_excludes(&excluded(50, &["a"]));
-    let late = PeerMessage::Greeting(greeting(excluded(40, &[])));
-    send(&mut balancer, 20, late, at(10_010));
+    balancer.adopt_store_exclusions(&excluded(50, &["a"]));
+    let late = PeerMessage::Hello(greeting(excluded(40, &[])));
+    deliver_message(&mut balancer, 20, late, at(10_010));
     let snapshot = Snapshot {
         excluded_zones: excluded(49, &["b"]),
         ..Snapshot::default()
     };
-    balancer.snapshot(node(20), snapshot, at(10_020), &mut Vec::new());
-    balancer.store_excludes(&excluded(50, &["b"]));
+    balancer.handle_snapshot(node(20), snapshot, at(10_020), &mut Vec::new());
+    balancer.adopt_store_exclusions(&excluded(50, &["b"]));
     assert_eq!(balancer.excluded_zones(), &excluded(50, &["a"]));
 }
 
 #[test]
 fn a_balancer_tells_every_agent_and_balancer_what_the_store_has_changed() {
     let mut balancer = balancer_of_two_zones();
-    send(
+    deliver_message(
         &mut balancer,
         20,
-        PeerMessage::Greeting(peer_greeting()),
+        PeerMessage::Hello(peer_greeting()),
         at(10_000),
     );
     let mut actions = Vec::new();
     balancer.tick(at(10_010), &mut actions);
     actions.clear();
-    balancer.store_excludes(&excluded(50, &["a"]));
+    balancer.adopt_store_exclusions(&excluded(50, &["a"]));
     balancer.tick(at(10_011), &mut actions);
     let told: BTreeSet<u8> = actions
         .iter()
         .filter_map(|action| match action {
             BalancerAction::Send {
                 to,
-                message: PeerMessage::Greeting(greeting),
+                message: PeerMessage::Hello(greeting),
             } if greeting.excluded_zones == excluded(50, &["a"]) => Some(to.ip().octets()[3]),
             _ => None,
         })
@@ -229,15 +231,15 @@
 #[test]
 fn a_balancer_that_starts_beside_others_learns_the_zones_before_it_forwards() {
     let mut known = balancer_of_two_zones();
-    known.store_excludes(&excluded(50, &["a"]));
+    known.adopt_store_exclusions(&excluded(50, &["a"]));
     let request = woodladder_core::flow::message::SnapshotRequest {
         known_version: 0,
         wants_nodes: true,
     };
     let mut starting = empty_balancer();
-    starting.snapshot(
+    starting.handle_snapshot(
         node(20),
-        known.answer_snapshot(&request),
+        known.answer_snapshot_request(&request),
         at(10),
         &mut Vec::new(),
     );
@@ -245,7 +247,7 @@
     assert_eq!(starting.excluded_zones(), &excluded(50, &["a"]));
 }
 
-fn state_reply(zones: ZoneStatement, revision: u64) -> StoreReply {
+fn state_reply(zones: ZoneUpdate, revision: u64) -> StoreReply {
     StoreReply::OperatorState {
         configuration: None,
         zones,
@@ -258,7 +260,7 @@
     let mut watch = ConfigurationWatch::new(1, at(0));
     let wait = Some(std::time::Duration::from_secs(5));
     watch.next(wait, at(0));
-    let all = ZoneStatement::All(BTreeSet::from([zone("a")]));
+    let all = ZoneUpdate::All(BTreeSet::from([zone("a")]));
     let state = watch.reply(state_reply(all, 40), at(5)).expect("answered");
     assert_eq!(state.excluded_zones, excluded(40, &["a"]));
     watch.next(wait, at(2000));
@@ -280,13 +282,13 @@
             is_excluded: false,
         },
     ];
-    let reply = state_reply(ZoneStatement::Changes(changes), 44);
+    let reply = state_reply(ZoneUpdate::Changes(changes), 44);
     let state = watch.reply(reply, at(2010)).expect("answered");
     assert_eq!(state.excluded_zones, excluded(44, &["b"]));
     watch.next(wait, at(4000));
     assert_eq!(watch.reply(StoreReply::HistoryGone, at(4010)), None);
     watch.next(wait, at(6000));
-    let all = ZoneStatement::All(BTreeSet::new());
+    let all = ZoneUpdate::All(BTreeSet::new());
     let state = watch
         .reply(state_reply(all, 60), at(6010))
         .expect("answered");
--- a/crates/woodladder-core/tests/flow_exploration_world/mod.rs
+++ b/crates/woodladder-core/tests/flow_exploration_world/mod.rs
@@ -3,11 +3,11 @@
 
 use super::flow_support::*;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AgentOptions, AnswerBody, Delivery, Departure,
+    Agent, AgentAction, AgentOptions, ForwardDecision, ReplyBody, TargetPacketDecision,
 };
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, Routing};
 use woodladder_core::flow::configuration::Configuration;
-use woodladder_core::flow::held_flows::{FlowFingerprint, FlowStatement, StatementCoverage};
+use woodladder_core::flow::held_flows::{AnnouncementCoverage, FlowAnnouncement, FlowFingerprint};
 use woodladder_core::flow::identity::ZoneKey;
 use woodladder_core::flow::message::{ForwardHeader, PeerMessage, Snapshot};
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
@@ -51,14 +51,14 @@
     pub was_reset: bool,
     pub reports: u64,
     /// What agents tell of their flows; `None` where they tell nothing.
-    pub telling: Option<Telling>,
+    pub announcements: Option<FlowAnnouncements>,
 }
 
 /// What agents tell of their flows, and whether they say that they know all of them.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
+pub struct FlowAnnouncements {
     /// The agent that tells the flow, rightly or wrongly.
-    pub teller: Option<u8>,
+    pub announcer: Option<u8>,
     /// Whether reports say that the agents know all flows.
     pub know_all: bool,
 }
@@ -68,7 +68,7 @@
     let options = AgentOptions {
         address: node(number),
         zone: ZoneKey::named("a"),
-        service: kitchen(),
+        service: main_service(),
         epoch,
         flow_capacity: 10,
         flow_retention: std::time::Duration::from_secs(30),
@@ -86,32 +86,32 @@
 impl World {
     /// A world in which the holder's agent knows the flow, or nobody does.
     pub fn new(is_held: bool) -> Self {
-        Self::telling(is_held, None)
+        Self::with_announcements(is_held, None)
     }
 
     /// The same, where agents tell their flows.
-    pub fn telling(is_held: bool, telling: Option<Telling>) -> Self {
+    pub fn with_announcements(is_held: bool, announcements: Option<FlowAnnouncements>) -> Self {
         let agents = AGENTS.map(|number| {
             let mut agent = agent_on(number, u64::from(number), 0);
             agent
-                .heartbeat(&beat(number.into(), 1), at(0))
+                .handle_heartbeat(&heartbeat(number.into(), 1), at(0))
                 .expect("heartbeat");
             agent
         });
         let mut balancer = empty_balancer();
         let mut routes = Configuration::clone(&configuration(1));
-        if telling.is_some() {
+        if announcements.is_some() {
             for route in &mut routes.routes {
                 route.terms.timeout_ms = 1400;
             }
         }
-        balancer.configuration(routes.into());
+        balancer.adopt_store_configuration(routes.into());
         let snapshot = Snapshot {
             agents: AGENTS.map(node).to_vec(),
             knows_all_agents: true,
             ..Snapshot::default()
         };
-        balancer.snapshot(node(20), snapshot, at(5), &mut Vec::new());
+        balancer.handle_snapshot(node(20), snapshot, at(5), &mut Vec::new());
         let mut world = Self {
             balancer,
             agents,
@@ -124,10 +124,10 @@
             is_held,
             was_reset: false,
             reports: 0,
-            telling,
+            announcements,
         };
         if is_held {
-            open_at(&mut world.agents[0], flow(1), at(10));
+            open_flow_at(&mut world.agents[0], flow(1), at(10));
         }
         world.report_all();
         world.now = 250;
@@ -146,16 +146,16 @@
         for number in AGENTS {
             let mut told = report(number, self.reports);
             told.epoch = 100;
-            let message = match self.telling {
+            let message = match self.announcements {
                 None => PeerMessage::Report(told),
                 Some(telling) => {
                     told.knows_all_flows = telling.know_all;
-                    let tells = telling.teller == Some(number);
+                    let tells = telling.announcer == Some(number);
                     let open = tells.then(|| FlowFingerprint::of(&flow(1)));
-                    let flows = FlowStatement {
-                        coverage: StatementCoverage::Complete,
-                        first: 0,
-                        last: 0,
+                    let flows = FlowAnnouncement {
+                        coverage: AnnouncementCoverage::Complete,
+                        base_change: 0,
+                        last_change: 0,
                         open: open.into_iter().collect(),
                         closed: Vec::new(),
                     };
@@ -165,13 +165,13 @@
                     }
                 }
             };
-            let actions = send(&mut self.balancer, number, message, at(self.now));
+            let actions = deliver_message(&mut self.balancer, number, message, at(self.now));
             self.carry_out(actions);
         }
     }
 
     fn caller_sends(&mut self) {
-        match arrive(&mut self.balancer, &request(), at(self.now)) {
+        match deliver_caller_packet(&mut self.balancer, &request(), at(self.now)) {
             Routing::One { to, header } => self.send_packet(to.ip().octets()[3], header),
             Routing::Several(list) => {
                 for (to, header) in list {
@@ -222,17 +222,17 @@
         let agent = &mut self.agents[Self::index(number)];
         let departure = if holds {
             let answer = packet(flow(1), PacketKind::Data, 5001, 1201, 50);
-            agent.departing(&answer, None, now)
+            agent.handle_target_packet(&answer, None, now)
         } else {
-            agent.departing(&request(), Some(node(1)), now)
+            agent.handle_target_packet(&request(), Some(node(1)), now)
         };
         match departure {
-            Departure::ToCaller(Some((_, message))) => {
+            TargetPacketDecision::ToCaller(Some((_, message))) => {
                 self.put_under_way(Message::ToBalancer(number, message, false));
             }
-            Departure::ToCaller(None) => {}
-            Departure::Returned { message, body, .. } => {
-                let follows = body == AnswerBody::Packet;
+            TargetPacketDecision::ToCaller(None) => {}
+            TargetPacketDecision::Returned { message, body, .. } => {
+                let follows = body == ReplyBody::Packet;
                 self.put_under_way(Message::ToBalancer(number, message, follows));
             }
         }
@@ -244,22 +244,27 @@
             Message::Packet(number, header) => {
                 let agent = &mut self.agents[Self::index(number)];
                 match forward_to(agent, &header, &request(), now) {
-                    Delivery::Deliver { tell, .. } => {
-                        if let Some(message) = tell {
+                    ForwardDecision::Deliver { reply, .. } => {
+                        if let Some(message) = reply {
                             self.put_under_way(Message::ToBalancer(number, message, false));
                         }
                         self.target_takes(number);
                     }
-                    Delivery::Answer(message, body) => {
-                        let follows = body == AnswerBody::Packet;
+                    ForwardDecision::Reply(message, body) => {
+                        let follows = body == ReplyBody::Packet;
                         self.put_under_way(Message::ToBalancer(number, message, follows));
                     }
-                    Delivery::Queued(_) | Delivery::Drop => {}
+                    ForwardDecision::Queued(_) | ForwardDecision::Drop => {}
                 }
             }
             Message::ToAgent(number, message) => {
                 let mut actions = Vec::new();
-                self.agents[Self::index(number)].message(node(1), &message, now, &mut actions);
+                self.agents[Self::index(number)].handle_message(
+                    node(1),
+                    &message,
+                    now,
+                    &mut actions,
+                );
                 for action in actions {
                     if let AgentAction::Send { message, .. } = action {
                         self.put_under_way(Message::ToBalancer(number, message, false));
@@ -268,9 +273,15 @@
             }
             Message::ToBalancer(number, message, follows) => {
                 let actions = if follows {
-                    give_back(&mut self.balancer, number, message, &request(), now)
+                    deliver_message_with_packet(
+                        &mut self.balancer,
+                        number,
+                        message,
+                        &request(),
+                        now,
+                    )
                 } else {
-                    send(&mut self.balancer, number, message, now)
+                    deliver_message(&mut self.balancer, number, message, now)
                 };
                 self.carry_out(actions);
             }
@@ -291,7 +302,7 @@
         self.restarts_left -= 1;
         let mut agent = agent_on(HOLDER, 50, self.now);
         agent
-            .heartbeat(&beat(HOLDER.into(), 20), at(self.now))
+            .handle_heartbeat(&heartbeat(HOLDER.into(), 20), at(self.now))
             .expect("heartbeat");
         self.agents[Self::index(HOLDER)] = agent;
     }
--- a/crates/woodladder-core/tests/flow_fleet_size.rs
+++ b/crates/woodladder-core/tests/flow_fleet_size.rs
@@ -12,7 +12,7 @@
 use woodladder_core::flow::agent::{Agent, AgentAction};
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, BalancerOptions, WATCHERS};
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage, Snapshot, TargetReport};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage, Snapshot, TargetReport};
 
 const LARGE: u32 = 500;
 const SMALL: u32 = 120;
@@ -54,13 +54,13 @@
     let options = BalancerOptions {
         address: balancer_node(index),
         zone: zone_of(index),
-        capacity: capacity_of(index),
-        link_rate: None,
+        cpu_millicores: capacity_of(index),
+        link_rate_kbps: None,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     balancer
 }
 
@@ -131,7 +131,7 @@
         let first = balancer_node(usize::from(own == 0));
         scene
             .balancer
-            .snapshot(first, snapshot, at(1), &mut actions);
+            .handle_snapshot(first, snapshot, at(1), &mut actions);
         scene.carry_out(actions, 1);
         scene
     }
@@ -161,18 +161,18 @@
             };
             let other = self.others[&to];
             let kind = match (&message, other) {
-                (PeerMessage::Greeting(_), Other::Agent(_)) => "greeting to agent",
-                (PeerMessage::Greeting(_), Other::Balancer(_)) => "greeting to balancer",
+                (PeerMessage::Hello(_), Other::Agent(_)) => "greeting to agent",
+                (PeerMessage::Hello(_), Other::Balancer(_)) => "greeting to balancer",
                 _ => "other",
             };
             *self.sent.entry(kind).or_default() += 1;
-            if let PeerMessage::Greeting(greeting) = message {
+            if let PeerMessage::Hello(greeting) = message {
                 self.judge_promise(other, now);
-                if greeting.asks_for_report {
+                if greeting.requests_report {
                     self.asked_for_report.insert(other);
                 }
                 let report = u64::from(greeting.report_interval_ms);
-                let told = (report, u64::from(greeting.next_within_ms));
+                let told = (report, u64::from(greeting.next_hello_within_ms));
                 if self.told.insert(other, told).is_none() {
                     self.due.push(Reverse((now + 1, other)));
                 }
@@ -209,21 +209,21 @@
                 (PeerMessage::Report(report), report_interval)
             }
             Other::Balancer(index) => {
-                let greeting = BalancerGreeting {
+                let greeting = BalancerHello {
                     zone: zone_of(index),
-                    capacity: capacity_of(index),
-                    link_rate: None,
-                    next_within_ms: u32::try_from(greeted_within).expect("time"),
+                    cpu_millicores: capacity_of(index),
+                    link_rate_kbps: None,
+                    next_hello_within_ms: u32::try_from(greeted_within).expect("time"),
                     ..peer_greeting()
                 };
-                (PeerMessage::Greeting(greeting), greeted_within)
+                (PeerMessage::Hello(greeting), greeted_within)
             }
         };
         self.due.push(Reverse((now + next, other)));
         let mut actions = Vec::new();
         let from = other.address();
         self.balancer
-            .message(from, message, None, at(now), &mut actions);
+            .handle_message(from, message, None, at(now), &mut actions);
         self.carry_out(actions, now);
     }
 
@@ -271,7 +271,11 @@
                 scene.run(from, from + 60_000);
                 let known = scene.balancer.peers().len();
                 assert_eq!(known, balancers - 1, "{capacity}, minute {minute}");
-                let counted = scene.balancer.peers().counted(at(from + 60_000)).count();
+                let counted = scene
+                    .balancer
+                    .peers()
+                    .heard_recently(at(from + 60_000))
+                    .count();
                 assert_eq!(counted, balancers - 1, "{capacity}, minute {minute}");
                 let known = scene.balancer.directory().len();
                 assert_eq!(known, agents, "{capacity}, minute {minute}");
@@ -300,13 +304,13 @@
                 .filter(|own| {
                     let mut balancer = balancer_at(*own);
                     for other in (0..balancers).filter(|other| other != own) {
-                        let message = PeerMessage::Greeting(peer_greeting());
+                        let message = PeerMessage::Hello(peer_greeting());
                         let from = balancer_node(other);
                         let mut actions = Vec::new();
-                        balancer.message(from, message, None, at(10_000), &mut actions);
+                        balancer.handle_message(from, message, None, at(10_000), &mut actions);
                     }
-                    balancer.store_confirmed(at(10_000));
-                    balancer.store_watch(at(now)).is_some()
+                    balancer.record_store_confirmation(at(10_000));
+                    balancer.store_watch_wait(at(now)).is_some()
                 })
                 .count()
         };
@@ -321,7 +325,7 @@
 fn a_balancer_that_has_started_again_gets_reports_at_once() {
     let mut scene = Scene::new(0, 1000);
     let asks = |message: &PeerMessage| match message {
-        PeerMessage::Greeting(greeting) => greeting.asks_for_report,
+        PeerMessage::Hello(greeting) => greeting.requests_report,
         _ => false,
     };
     scene.run(0, 20_000);
@@ -329,7 +333,7 @@
     assert_eq!(asked.len(), 2200, "each agent is asked");
     let mut actions = Vec::new();
     let again = agent_node(5);
-    scene.balancer.message(
+    scene.balancer.handle_message(
         again,
         PeerMessage::Report(report(1, 1_000_000)),
         None,
@@ -342,16 +346,16 @@
     assert!(!greets, "one that is known is not asked");
 
     let mut agent = agent();
-    let mut reports = |asks_for_report, now| {
-        let greeting = BalancerGreeting {
+    let mut reports = |requests_report, now| {
+        let greeting = BalancerHello {
             report_interval_ms: 30_000,
-            asks_for_report,
+            requests_report,
             ..peer_greeting()
         };
         let mut actions = Vec::new();
-        agent.message(
+        agent.handle_message(
             node(1),
-            &PeerMessage::Greeting(greeting),
+            &PeerMessage::Hello(greeting),
             at(now),
             &mut actions,
         );
@@ -375,7 +379,7 @@
 #[test]
 fn an_agent_reports_often_to_the_few_that_it_begins_with() {
     let mut agent = agent();
-    agent.listed(&[node(1), node(2), node(3)], at(0));
+    agent.add_listed_balancers(&[node(1), node(2), node(3)], at(0));
     let mut reports = 0;
     for now in (0..400).step_by(25) {
         let mut actions = Vec::new();
@@ -393,18 +397,13 @@
         let mut agent: Agent = agent();
         let interval = balancers * 22 / 10 * 24;
         for index in 0..balancers {
-            let greeting = BalancerGreeting {
+            let greeting = BalancerHello {
                 report_interval_ms: interval,
-                next_within_ms: interval * 4,
+                next_hello_within_ms: interval * 4,
                 ..peer_greeting()
             };
             let from = balancer_node(usize::try_from(index).expect("index"));
-            agent.message(
-                from,
-                &PeerMessage::Greeting(greeting),
-                at(10),
-                &mut Vec::new(),
-            );
+            agent.handle_message(from, &PeerMessage::Hello(greeting), at(10), &mut Vec::new());
         }
         let mut reports = 0;
         let seconds = 2 * u64::from(interval) / 1000 + 60;
--- a/crates/woodladder-core/tests/flow_foreign_bytes.rs
+++ b/crates/woodladder-core/tests/flow_foreign_bytes.rs
@@ -55,11 +55,11 @@
         bytes in damaged(encoded(&PeerMessage::Report(report(2, 5)))),
     ) {
         let mut balancer = balancer(&[2, 3]);
-        arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+        deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
         let Ok((message, _)) = PeerMessage::decode(&bytes) else {
             return Ok(());
         };
-        let actions = send(&mut balancer, 4, message, at(10_020));
+        let actions = deliver_message(&mut balancer, 4, message, at(10_020));
         let resets = actions
             .iter()
             .filter(|action| matches!(action, BalancerAction::Reset(_)))
@@ -76,10 +76,10 @@
             configuration: Some((*configuration(9)).clone()),
             ..Snapshot::default()
         };
-        agent.snapshot(node(1), known, at(10));
+        agent.apply_snapshot(node(1), known, at(10));
         if let Ok(snapshot) = borsh::from_slice::<Snapshot>(&bytes) {
-            agent.snapshot(node(1), snapshot, at(20));
+            agent.apply_snapshot(node(1), snapshot, at(20));
         }
-        prop_assert!(agent.version() >= 9);
+        prop_assert!(agent.configuration_version() >= 9);
     }
 }
