--- a/crates/woodladder-core/tests/flow_gone.rs
+++ b/crates/woodladder-core/tests/flow_gone.rs
@@ -13,12 +13,12 @@
 #[test]
 fn a_flow_that_every_target_denies_is_reset_with_the_callers_number() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
-    assert!(send(&mut balancer, 2, denial.clone(), at(10_610)).is_empty());
-    let actions = send(&mut balancer, 3, denial, at(10_611));
+    assert!(deliver_message(&mut balancer, 2, denial.clone(), at(10_610)).is_empty());
+    let actions = deliver_message(&mut balancer, 3, denial, at(10_611));
     let [BalancerAction::Reset(reset)] = actions.as_slice() else {
         panic!("{actions:?}");
     };
@@ -28,12 +28,12 @@
 #[test]
 fn a_flow_is_not_reset_while_one_target_has_not_denied() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
     for _ in 0..3 {
-        let actions = send(&mut balancer, 2, denial.clone(), at(10_610));
+        let actions = deliver_message(&mut balancer, 2, denial.clone(), at(10_610));
         assert!(actions.is_empty(), "{actions:?}");
     }
 }
@@ -41,13 +41,13 @@
 #[test]
 fn a_balancer_that_has_just_started_resets_no_flow() {
     let mut balancer = empty_balancer();
-    balancer.configuration(configuration(1));
-    tell(&mut balancer, 2, &report(2, 1), at(100));
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(200));
+    balancer.adopt_store_configuration(configuration(1));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(100));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(200));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
-    let actions = send(&mut balancer, 2, denial, at(210));
+    let actions = deliver_message(&mut balancer, 2, denial, at(210));
     assert!(actions.is_empty(), "{actions:?}");
 }
 
@@ -58,12 +58,12 @@
         agents: vec![node(2), node(7)],
         ..Snapshot::default()
     };
-    balancer.snapshot(node(5), snapshot, at(10_100), &mut Vec::new());
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    balancer.handle_snapshot(node(5), snapshot, at(10_100), &mut Vec::new());
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
-    let actions = send(&mut balancer, 2, denial, at(10_610));
+    let actions = deliver_message(&mut balancer, 2, denial, at(10_610));
     assert!(actions.is_empty(), "{actions:?}");
 }
 
@@ -71,13 +71,13 @@
 fn a_target_of_another_service_that_cannot_tell_does_not_hold_a_reset_up() {
     let mut balancer = balancer(&[2]);
     let mut other = report(3, 1);
-    other.service = print();
-    tell(&mut balancer, 3, &other, at(10_000));
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    other.service = other_service();
+    deliver_report(&mut balancer, 3, &other, at(10_000));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     let keys = vec![flow(1)];
     let unsure = PeerMessage::MayBeHeld { keys: keys.clone() };
-    assert!(send(&mut balancer, 3, unsure, at(10_610)).is_empty());
-    let actions = send(&mut balancer, 2, PeerMessage::NotHeld { keys }, at(10_611));
+    assert!(deliver_message(&mut balancer, 3, unsure, at(10_610)).is_empty());
+    let actions = deliver_message(&mut balancer, 2, PeerMessage::NotHeld { keys }, at(10_611));
     assert!(
         matches!(actions[..], [BalancerAction::Reset(_)]),
         "{actions:?}"
@@ -87,13 +87,13 @@
 #[test]
 fn a_target_of_the_flows_service_that_cannot_tell_prevents_a_reset() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     let keys = vec![flow(1)];
     let unsure = PeerMessage::MayBeHeld { keys: keys.clone() };
-    let actions = send(&mut balancer, 3, unsure, at(10_610));
+    let actions = deliver_message(&mut balancer, 3, unsure, at(10_610));
     assert_eq!(handed_to(&actions), vec![node(3)], "its target decides");
     assert_eq!(actions.len(), 1);
-    let actions = send(&mut balancer, 2, PeerMessage::NotHeld { keys }, at(10_611));
+    let actions = deliver_message(&mut balancer, 2, PeerMessage::NotHeld { keys }, at(10_611));
     assert!(actions.is_empty(), "{actions:?}");
 }
 
@@ -126,19 +126,19 @@
     let agents: Vec<u8> = (2..62).collect();
     let mut balancer = balancer(&agents);
     let keys = vec![flow(1)];
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     for agent in 2..61 {
         let denial = PeerMessage::NotHeld { keys: keys.clone() };
-        send(&mut balancer, agent, denial, at(10_510));
+        deliver_message(&mut balancer, agent, denial, at(10_510));
     }
     let undecided = PeerMessage::MayBeHeld { keys: keys.clone() };
-    let actions = send(&mut balancer, 61, undecided.clone(), at(10_510));
+    let actions = deliver_message(&mut balancer, 61, undecided.clone(), at(10_510));
     assert_eq!(handed_to(&actions), vec![node(61)]);
-    let again = send(&mut balancer, 61, undecided.clone(), at(10_630));
+    let again = deliver_message(&mut balancer, 61, undecided.clone(), at(10_630));
     assert!(handed_to(&again).is_empty(), "its target has the packet");
-    let later = send(&mut balancer, 61, undecided, at(10_950));
+    let later = deliver_message(&mut balancer, 61, undecided, at(10_950));
     assert_eq!(handed_to(&later), vec![node(61)], "it may have been lost");
-    let actions = send(&mut balancer, 61, PeerMessage::NotHeld { keys }, at(10_960));
+    let actions = deliver_message(&mut balancer, 61, PeerMessage::NotHeld { keys }, at(10_960));
     assert!(resets(&actions), "{actions:?}");
 }
 
@@ -146,31 +146,36 @@
 fn what_was_denied_counts_until_the_callers_next_repetition() {
     let mut balancer = balancer(&[2, 3]);
     let keys = vec![flow(1)];
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let denial = PeerMessage::NotHeld { keys };
-    send(&mut balancer, 2, denial.clone(), at(10_510));
+    deliver_message(&mut balancer, 2, denial.clone(), at(10_510));
     for now in (10_600..=12_200).step_by(100) {
-        tell(&mut balancer, 2, &report(2, now), at(now));
-        tell(&mut balancer, 3, &report(3, now), at(now));
+        deliver_report(&mut balancer, 2, &report(2, now), at(now));
+        deliver_report(&mut balancer, 3, &report(3, now), at(now));
         balancer.tick(at(now), &mut Vec::new());
     }
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(12_200));
-    assert!(resets(&send(&mut balancer, 3, denial, at(12_210))));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(12_200));
+    assert!(resets(&deliver_message(
+        &mut balancer,
+        3,
+        denial,
+        at(12_210)
+    )));
 }
 
 #[test]
 fn packets_that_let_targets_decide_are_bounded_in_each_tick() {
-    let mut balancer = wide_balancer();
+    let mut balancer = large_table_balancer();
     for agent in [2, 3] {
-        tell(&mut balancer, agent, &report(agent, 1), at(10_000));
+        deliver_report(&mut balancer, agent, &report(agent, 1), at(10_000));
     }
     let mut handed = 0;
     for port in 1..=900 {
-        arrive(&mut balancer, &data(flow(port), 1, 1), at(10_600));
+        deliver_caller_packet(&mut balancer, &data(flow(port), 1, 1), at(10_600));
         let undecided = PeerMessage::MayBeHeld {
             keys: vec![flow(port)],
         };
-        handed += handed_to(&send(&mut balancer, 2, undecided, at(10_601))).len();
+        handed += handed_to(&deliver_message(&mut balancer, 2, undecided, at(10_601))).len();
     }
     assert_eq!(handed, 256);
 }
@@ -178,7 +183,7 @@
 /// A flow is proven to be gone at any number of agents.
 #[test]
 fn a_flow_is_reset_when_each_of_many_agents_has_denied() {
-    let mut balancer = wide_balancer();
+    let mut balancer = large_table_balancer();
     let address = |number: u16| {
         let [high, low] = number.to_be_bytes();
         SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 7000)
@@ -186,16 +191,16 @@
     let mut actions = Vec::new();
     for number in 1..=900 {
         let report = PeerMessage::Report(report(2, 1));
-        balancer.message(address(number), report, None, at(10_000), &mut actions);
+        balancer.handle_message(address(number), report, None, at(10_000), &mut actions);
     }
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     actions.clear();
     for number in 1..=900 {
         assert!(!resets(&actions), "after {number}");
         let denial = PeerMessage::NotHeld {
             keys: vec![flow(1)],
         };
-        balancer.message(address(number), denial, None, at(10_610), &mut actions);
+        balancer.handle_message(address(number), denial, None, at(10_610), &mut actions);
     }
     assert!(resets(&actions));
 }
@@ -205,12 +210,12 @@
 #[test]
 fn an_agent_that_stopped_after_its_target_is_no_possible_holder() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
-    send(&mut balancer, 3, PeerMessage::Farewell, at(10_605));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    deliver_message(&mut balancer, 3, PeerMessage::TargetEnded, at(10_605));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
-    let actions = send(&mut balancer, 2, denial, at(10_610));
+    let actions = deliver_message(&mut balancer, 2, denial, at(10_610));
     assert!(
         matches!(actions[..], [BalancerAction::Reset(_)]),
         "{actions:?}"
@@ -223,24 +228,24 @@
 fn a_balancer_that_no_other_has_told_of_agents_listens_longer_before_a_reset() {
     let reset_at = |snapshot_is_complete: Option<bool>| {
         let mut balancer = empty_balancer();
-        balancer.configuration(configuration(1));
-        tell(&mut balancer, 2, &report(2, 1), at(10));
+        balancer.adopt_store_configuration(configuration(1));
+        deliver_report(&mut balancer, 2, &report(2, 1), at(10));
         if let Some(knows_all_agents) = snapshot_is_complete {
             let snapshot = Snapshot {
                 agents: vec![node(2)],
                 knows_all_agents,
                 ..Snapshot::default()
             };
-            balancer.snapshot(node(5), snapshot, at(20), &mut Vec::new());
+            balancer.handle_snapshot(node(5), snapshot, at(20), &mut Vec::new());
         }
-        arrive(&mut balancer, &data(flow(1), 1, 77), at(30));
+        deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(30));
         let denial = PeerMessage::NotHeld {
             keys: vec![flow(1)],
         };
         let mut reset_at = None;
-        assert!(!resets(&send(&mut balancer, 2, denial, at(31))));
+        assert!(!resets(&deliver_message(&mut balancer, 2, denial, at(31))));
         for (sequence, time) in (2..).zip((50..1000).step_by(25)) {
-            let mut actions = tell(&mut balancer, 2, &report(2, sequence), at(time));
+            let mut actions = deliver_report(&mut balancer, 2, &report(2, sequence), at(time));
             balancer.tick(at(time), &mut actions);
             if resets(&actions) {
                 reset_at.get_or_insert(time);
@@ -257,10 +262,10 @@
 #[test]
 fn a_balancer_asks_others_until_one_knows_all_agents() {
     let mut balancer = empty_balancer();
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     for peer in 20..24 {
-        let greeting = PeerMessage::Greeting(peer_greeting());
-        send(&mut balancer, peer, greeting, at(10));
+        let greeting = PeerMessage::Hello(peer_greeting());
+        deliver_message(&mut balancer, peer, greeting, at(10));
     }
     let mut asked = Vec::new();
     for (now, knows_all_agents) in [(30, false), (60, false), (90, true), (120, true)] {
@@ -276,7 +281,7 @@
             knows_all_agents,
             ..Snapshot::default()
         };
-        balancer.snapshot(from, snapshot, at(now + 5), &mut Vec::new());
+        balancer.handle_snapshot(from, snapshot, at(now + 5), &mut Vec::new());
         asked.extend(fetched);
     }
     assert_eq!(asked.len(), 2, "{asked:?}");
--- a/crates/woodladder-core/tests/flow_gone_exploration.rs
+++ b/crates/woodladder-core/tests/flow_gone_exploration.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashSet;
 
-use flow_exploration_world::{HOLDER, OTHER, TICKS, Telling, World, agent_on};
+use flow_exploration_world::{FlowAnnouncements, HOLDER, OTHER, TICKS, World, agent_on};
 use flow_support::*;
 
 /// Most states that are visited, as a guard against an endless test.
@@ -89,11 +89,14 @@
 
 /// What agents tell of their flows: rightly, wrongly, or nothing, by agents whose reports
 /// say that they know all their flows or that they do not.
-fn tellings() -> Vec<Telling> {
+fn tellings() -> Vec<FlowAnnouncements> {
     let mut tellings = Vec::new();
-    for teller in [None, Some(HOLDER), Some(OTHER)] {
+    for announcer in [None, Some(HOLDER), Some(OTHER)] {
         for know_all in [false, true] {
-            tellings.push(Telling { teller, know_all });
+            tellings.push(FlowAnnouncements {
+                announcer,
+                know_all,
+            });
         }
     }
     tellings
@@ -105,11 +108,11 @@
     for telling in tellings() {
         let without_loss = World {
             losses_left: 0,
-            ..World::telling(true, Some(telling))
+            ..World::with_announcements(true, Some(telling))
         };
         let with_loss = World {
             ticks_left: TICKS - 1,
-            ..World::telling(true, Some(telling))
+            ..World::with_announcements(true, Some(telling))
         };
         for start in [without_loss, with_loss] {
             let (states, any_reset) = explore(start, false);
@@ -124,7 +127,7 @@
 #[test]
 fn a_flow_that_nobody_holds_is_reset_whatever_agents_tell() {
     for telling in tellings() {
-        let mut world = World::telling(false, Some(telling));
+        let mut world = World::with_announcements(false, Some(telling));
         for _ in 0..TICKS {
             while !world.under_way.is_empty() {
                 let message = world.under_way.remove(0);
@@ -149,7 +152,7 @@
     let mut world = World::new(true);
     let mut mistaken = agent_on(HOLDER, 50, world.now);
     mistaken
-        .heartbeat(&beat(HOLDER.into(), 1), at(world.now))
+        .handle_heartbeat(&heartbeat(HOLDER.into(), 1), at(world.now))
         .expect("heartbeat");
     world.agents[World::index(HOLDER)] = mistaken;
     world.restarts_left = 0;
@@ -161,10 +164,10 @@
 #[test]
 fn the_exploration_finds_a_living_flow_that_is_reset_where_agents_tell() {
     for telling in tellings() {
-        let mut world = World::telling(true, Some(telling));
+        let mut world = World::with_announcements(true, Some(telling));
         let mut mistaken = agent_on(HOLDER, 50, world.now);
         mistaken
-            .heartbeat(&beat(HOLDER.into(), 1), at(world.now))
+            .handle_heartbeat(&heartbeat(HOLDER.into(), 1), at(world.now))
             .expect("heartbeat");
         world.agents[World::index(HOLDER)] = mistaken;
         world.restarts_left = 0;
--- a/crates/woodladder-core/tests/flow_held_exploration.rs
+++ b/crates/woodladder-core/tests/flow_held_exploration.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
-use woodladder_core::flow::agent::{Agent, AgentAction, Delivery, Heartbeat};
+use woodladder_core::flow::agent::{Agent, AgentAction, ForwardDecision, Heartbeat};
 use woodladder_core::flow::configuration::{Configuration, Route, RoutePart, RouteTerms};
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::message::{ForwardPurpose, Snapshot};
@@ -60,7 +60,7 @@
     Route {
         address: route_address(number),
         parts: vec![RoutePart {
-            service: kitchen(),
+            service: main_service(),
             weight: 1,
         }],
         terms: RouteTerms {
@@ -83,13 +83,13 @@
         }),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, flow_support::at(0));
+    agent.apply_snapshot(node(1), snapshot, flow_support::at(0));
     let beat = Heartbeat {
-        capacity: SLOTS,
-        ..beat(1, 1)
+        slots: SLOTS,
+        ..heartbeat(1, 1)
     };
     agent
-        .heartbeat(&beat, flow_support::at(0))
+        .handle_heartbeat(&beat, flow_support::at(0))
         .expect("heartbeat");
     agent
 }
@@ -103,8 +103,8 @@
                 service: route_address(1 + u8::from(port % 3 == 0)),
                 ..flow(port)
             };
-            open_at(&mut agent, key, at(0));
-            agent.departing(&data(key, 5001, 1101), None, at(1));
+            open_flow_at(&mut agent, key, at(0));
+            agent.handle_target_packet(&data(key, 5001, 1101), None, at(1));
             callers.push(Caller {
                 key,
                 next: 1101,
@@ -134,7 +134,7 @@
             if now % 25 == 0 {
                 self.agent.tick(at(now), &mut actions);
             }
-            self.agent.serve_queue(at(now), &mut actions);
+            self.agent.dispatch_queued(at(now), &mut actions);
             self.carry_out(actions, now);
             self.check_work_conserving(now);
         }
@@ -165,12 +165,12 @@
     fn forward(&mut self, balancer: u8, packet: &FlowPacket, now: u64) {
         let header = header(1, ForwardPurpose::Established);
         let bytes = bytes_of(packet);
-        let delivery = self
-            .agent
-            .forwarded(node(balancer), &header, packet, &bytes, at(now));
+        let delivery =
+            self.agent
+                .handle_forwarded_packet(node(balancer), &header, packet, &bytes, at(now));
         match delivery {
-            Delivery::Deliver { .. } => self.arrive(packet.key, packet.sequence, false, now),
-            Delivery::Drop => {}
+            ForwardDecision::Deliver { .. } => self.arrive(packet.key, packet.sequence, false, now),
+            ForwardDecision::Drop => {}
             other => panic!("seed {}: {other:?}", self.seed),
         }
     }
@@ -221,7 +221,7 @@
             self.target.answers.remove(&port);
             let caller = &mut self.callers[usize::from(port) - 1];
             let answer = packet(caller.key, PacketKind::Data, 5101, caller.next, 100);
-            self.agent.departing(&answer, None, at(now));
+            self.agent.handle_target_packet(&answer, None, at(now));
             caller.packets.clear();
             caller.sends = 0;
             caller.send_at = now + self.random.random_range(0..60);
@@ -262,7 +262,7 @@
     for seed in 0..SEEDS {
         let mut world = World::new(seed);
         world.run();
-        held += world.agent.counters().requests_held;
+        held += world.agent.counters().requests_queued;
         for caller in &world.callers {
             let answered = caller.next - 1101;
             assert!(
@@ -282,8 +282,8 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut agent = ordering_agent();
         for port in 1..=4 {
-            open_at(&mut agent, flow(port), at(0));
-            agent.departing(&data(flow(port), 5001, 1101), None, at(1));
+            open_flow_at(&mut agent, flow(port), at(0));
+            agent.handle_target_packet(&data(flow(port), 5001, 1101), None, at(1));
         }
         let header = header(1, ForwardPurpose::Established);
         for port in 1..=HANDED_OVER {
@@ -296,12 +296,12 @@
         for sequence in sequences {
             let packet = data(flow(4), sequence, 5101);
             let bytes = bytes_of(&packet);
-            let delivery = agent.forwarded(node(1), &header, &packet, &bytes, at(20));
-            assert_eq!(delivery, Delivery::Drop);
+            let delivery = agent.handle_forwarded_packet(node(1), &header, &packet, &bytes, at(20));
+            assert_eq!(delivery, ForwardDecision::Drop);
         }
-        agent.departing(&data(flow(1), 5101, 1201), None, at(40));
+        agent.handle_target_packet(&data(flow(1), 5101, 1201), None, at(40));
         let mut actions = Vec::new();
-        agent.serve_queue(at(40), &mut actions);
+        agent.dispatch_queued(at(40), &mut actions);
         let left: Vec<u32> = actions
             .iter()
             .filter_map(|action| match action {
--- a/crates/woodladder-core/tests/flow_held_flows.rs
+++ b/crates/woodladder-core/tests/flow_held_flows.rs
@@ -14,7 +14,7 @@
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, FlowIndex, WorkBudget};
 use woodladder_core::flow::configuration::Configuration;
 use woodladder_core::flow::held_flows::{
-    FlowFingerprint, FlowStatement, MOST_TOLD_FLOWS, StatementCoverage,
+    AnnouncementCoverage, FlowAnnouncement, FlowFingerprint, MAXIMUM_ANNOUNCED_FLOWS,
 };
 use woodladder_core::flow::identity::{FlowKey, Incarnation, NodeAddress};
 use woodladder_core::flow::message::{PeerMessage, TargetReport, TargetState};
@@ -32,11 +32,11 @@
         .collect()
 }
 
-fn complete(flows: &[FlowKey]) -> FlowStatement {
-    FlowStatement {
-        coverage: StatementCoverage::Complete,
-        first: 0,
-        last: 0,
+fn complete(flows: &[FlowKey]) -> FlowAnnouncement {
+    FlowAnnouncement {
+        coverage: AnnouncementCoverage::Complete,
+        base_change: 0,
+        last_change: 0,
         open: flows.iter().map(FlowFingerprint::of).collect(),
         closed: Vec::new(),
     }
@@ -55,14 +55,14 @@
 /// first `tellers` of them tell these flows.
 fn locating_balancer(agents: &[u8], tellers: &[(u8, &[FlowKey])]) -> Balancer {
     let mut balancer = empty_balancer();
-    balancer.configuration(locating_configuration().into());
+    balancer.adopt_store_configuration(locating_configuration().into());
     for agent in agents {
         let mut report = report(*agent, 1);
         report.knows_all_flows = true;
         let told = tellers.iter().find(|(teller, _)| teller == agent);
         let flows = complete(told.map_or(&[], |(_, flows)| *flows));
         let message = PeerMessage::ReportWithFlows { report, flows };
-        send(&mut balancer, *agent, message, at(10_000));
+        deliver_message(&mut balancer, *agent, message, at(10_000));
     }
     balancer
 }
@@ -117,32 +117,32 @@
 #[test]
 fn a_packet_goes_only_to_the_agent_that_tells_its_flow() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert_eq!(receivers(&routing), vec![node(3)]);
     assert!(asked(&tick(&mut balancer, 10_510)).is_empty());
-    let actions = send(&mut balancer, 3, located(flow(1)), at(10_512));
+    let actions = deliver_message(&mut balancer, 3, located(flow(1)), at(10_512));
     assert!(handed(&actions).is_empty(), "the packet was sent twice");
-    assert_eq!(balancer.counters().located_by_list, 1);
+    assert_eq!(balancer.counters().flows_located_by_list, 1);
 }
 
 /// The summary is missing, or older than the flow.
 #[test]
 fn a_flow_that_nobody_tells_is_asked_for_and_its_holder_is_handed_the_packet() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[]);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert!(receivers(&routing).is_empty());
     assert!(balancer.tick_interval() <= Duration::from_millis(5));
     assert_eq!(asked(&tick(&mut balancer, 10_504)).len(), 3);
-    let actions = send(&mut balancer, 4, located(flow(1)), at(10_506));
+    let actions = deliver_message(&mut balancer, 4, located(flow(1)), at(10_506));
     assert_eq!(handed(&actions), vec![node(4)]);
-    assert_eq!(balancer.counters().located_by_question, 1);
+    assert_eq!(balancer.counters().flows_located_by_query, 1);
 }
 
 #[test]
 fn a_kept_packet_is_not_handed_over_when_its_answer_is_of_no_use_any_more() {
     let mut balancer = locating_balancer(&[2, 3], &[]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
-    let actions = send(&mut balancer, 3, located(flow(1)), at(11_900));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    let actions = deliver_message(&mut balancer, 3, located(flow(1)), at(11_900));
     assert!(handed(&actions).is_empty());
 }
 
@@ -150,10 +150,10 @@
 #[test]
 fn when_the_agent_that_tells_the_flow_denies_all_others_are_asked_at_once() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
-    send(&mut balancer, 3, not_held(flow(1)), at(10_502));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_message(&mut balancer, 3, not_held(flow(1)), at(10_502));
     assert_eq!(asked(&tick(&mut balancer, 10_506)), vec![node(2), node(4)]);
-    let actions = send(&mut balancer, 2, located(flow(1)), at(10_508));
+    let actions = deliver_message(&mut balancer, 2, located(flow(1)), at(10_508));
     assert_eq!(handed(&actions), vec![node(2)]);
 }
 
@@ -161,7 +161,7 @@
 #[test]
 fn when_the_agent_that_tells_the_flow_is_silent_all_are_asked_before_the_caller_repeats() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert!(asked(&tick(&mut balancer, 10_540)).is_empty());
     assert_eq!(asked(&tick(&mut balancer, 10_565)).len(), 3);
 }
@@ -170,15 +170,15 @@
 #[test]
 fn no_list_proves_that_a_flow_is_gone() {
     let mut balancer = locating_balancer(&[2, 3], &[]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(11_000));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(11_000));
     assert!(!has_reset(&tick(&mut balancer, 11_010)));
-    assert!(!has_reset(&send(
+    assert!(!has_reset(&deliver_message(
         &mut balancer,
         2,
         not_held(flow(1)),
         at(11_020)
     )));
-    assert!(has_reset(&send(
+    assert!(has_reset(&deliver_message(
         &mut balancer,
         3,
         not_held(flow(1)),
@@ -199,15 +199,20 @@
         report: silent,
         flows: complete(&[]),
     };
-    send(&mut balancer, 3, message, at(10_480));
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_message(&mut balancer, 3, message, at(10_480));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let mut any_reset = false;
     for (sequence, now) in (10_504..until).step_by(25).enumerate() {
         any_reset |= has_reset(&tick(&mut balancer, now));
         let mut living = report(2, 2 + sequence as u64);
         living.knows_all_flows = true;
-        any_reset |= has_reset(&tell(&mut balancer, 2, &living, at(now)));
-        any_reset |= has_reset(&send(&mut balancer, 2, not_held(flow(1)), at(now)));
+        any_reset |= has_reset(&deliver_report(&mut balancer, 2, &living, at(now)));
+        any_reset |= has_reset(&deliver_message(
+            &mut balancer,
+            2,
+            not_held(flow(1)),
+            at(now),
+        ));
     }
     any_reset
 }
@@ -238,22 +243,22 @@
 fn an_agent_of_another_service_is_not_handed_the_packet() {
     let mut balancer = locating_balancer(&[2], &[]);
     let mut other = report(3, 1);
-    other.service = print();
+    other.service = other_service();
     let flows = complete(&[flow(1)]);
     let message = PeerMessage::ReportWithFlows {
         report: other,
         flows,
     };
-    send(&mut balancer, 3, message, at(10_000));
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_message(&mut balancer, 3, message, at(10_000));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert!(receivers(&routing).is_empty());
 }
 
 #[test]
 fn an_agent_known_to_be_undecided_is_handed_the_packet_without_a_question() {
     let mut balancer = locating_balancer(&[2], &[]);
-    tell(&mut balancer, 3, &report(3, 1), at(10_000));
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_report(&mut balancer, 3, &report(3, 1), at(10_000));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let actions = tick(&mut balancer, 10_504);
     assert_eq!(asked(&actions), vec![node(2)]);
     assert_eq!(handed(&actions), vec![node(3)]);
@@ -262,17 +267,17 @@
 #[test]
 fn what_a_former_start_of_an_agent_has_told_is_forgotten() {
     let mut index = FlowIndex::default();
-    let statement = |open: &[u32]| FlowStatement {
-        coverage: StatementCoverage::Complete,
-        first: 0,
-        last: 5,
+    let statement = |open: &[u32]| FlowAnnouncement {
+        coverage: AnnouncementCoverage::Complete,
+        base_change: 0,
+        last_change: 5,
         open: prints(open.iter().copied()),
         closed: Vec::new(),
     };
-    index.stated(node(2), 1, &statement(&[1, 2]));
-    index.stated(node(2), 2, &statement(&[3]));
+    index.apply_statement(node(2), 1, &statement(&[1, 2]));
+    index.apply_statement(node(2), 2, &statement(&[3]));
     assert_eq!(told_by(&index, node(2), 10), BTreeSet::from([3]));
-    index.forget(node(2));
+    index.remove_agent(node(2));
     assert!(index.is_empty());
 }
 
@@ -284,10 +289,10 @@
     let first = statements.statement_for(node(1));
     statements.look(prints([2]).into_iter(), at(200));
     let second = statements.statement_for(node(1));
-    index.stated(node(9), EPOCH, &second);
-    index.stated(node(9), EPOCH, &first);
-    index.stated(node(9), EPOCH, &second);
-    index.stated(node(9), EPOCH, &first);
+    index.apply_statement(node(9), EPOCH, &second);
+    index.apply_statement(node(9), EPOCH, &first);
+    index.apply_statement(node(9), EPOCH, &second);
+    index.apply_statement(node(9), EPOCH, &first);
     assert_eq!(told_by(&index, node(9), 10), BTreeSet::from([2]));
 }
 
@@ -301,7 +306,7 @@
         statements.look(prints(round..round + 5).into_iter(), at(now));
         let statement = statements.statement_for(node(1));
         if round % 2 == 0 {
-            index.stated(node(9), EPOCH, &statement);
+            index.apply_statement(node(9), EPOCH, &statement);
             assert!(index.is_complete(node(9)), "round {round}");
             let open: BTreeSet<u32> = (round..round + 5).collect();
             assert_eq!(told_by(&index, node(9), 40), open);
@@ -313,7 +318,7 @@
 fn a_gap_is_noticed_and_the_list_is_asked_for_once_in_a_while() {
     let mut statements = FlowStatements::new(EPOCH, at(0));
     let mut index = FlowIndex::default();
-    index.stated(node(9), EPOCH, &statements.statement_for(node(1)));
+    index.apply_statement(node(9), EPOCH, &statements.statement_for(node(1)));
     for round in 1..4_u32 {
         statements.look(
             prints(round..round + 5).into_iter(),
@@ -321,16 +326,17 @@
         );
         let statement = statements.statement_for(node(1));
         if round == 3 {
-            index.stated(node(9), EPOCH, &statement);
+            index.apply_statement(node(9), EPOCH, &statement);
         }
     }
     assert!(!index.is_complete(node(9)));
-    let ask =
-        |index: &mut FlowIndex, now: u64| index.take_incomplete([node(9)].into_iter(), 4, at(now));
+    let ask = |index: &mut FlowIndex, now: u64| {
+        index.take_agents_to_list([node(9)].into_iter(), 4, at(now))
+    };
     assert_eq!(ask(&mut index, 1000), vec![node(9)]);
     assert!(ask(&mut index, 1100).is_empty());
     for part in statements.list(at(1100)) {
-        index.list_part(node(9), part);
+        index.add_list_part(node(9), part);
     }
     assert!(index.is_complete(node(9)));
     assert_eq!(told_by(&index, node(9), 40), (3..8).collect());
@@ -367,7 +373,7 @@
         let mut open = BTreeSet::new();
         let mut statements = FlowStatements::new(epoch, at(now));
         let mut index = FlowIndex::default();
-        let mut sent: Vec<(u64, FlowStatement)> = Vec::new();
+        let mut sent: Vec<(u64, FlowAnnouncement)> = Vec::new();
         for step in steps {
             now += 150;
             match step {
@@ -379,7 +385,7 @@
                     let statement = statements.statement_for(node(1));
                     sent.push((epoch, statement.clone()));
                     if !is_lost {
-                        index.stated(node(9), epoch, &statement);
+                        index.apply_statement(node(9), epoch, &statement);
                         if index.is_complete(node(9)) {
                             prop_assert_eq!(&told_by(&index, node(9), 40), &open);
                         }
@@ -387,7 +393,7 @@
                 }
                 Step::Late(back) => {
                     if let Some((epoch, statement)) = sent.iter().rev().nth(back) {
-                        index.stated(node(9), *epoch, statement);
+                        index.apply_statement(node(9), *epoch, statement);
                     }
                 }
                 Step::Restart => {
@@ -398,7 +404,7 @@
                 Step::AskForList { is_lost } => {
                     let parts = statements.list(at(now));
                     for part in parts.into_iter().filter(|_| !is_lost) {
-                        index.list_part(node(9), part);
+                        index.add_list_part(node(9), part);
                     }
                 }
             }
@@ -409,16 +415,16 @@
 #[test]
 fn an_agent_with_too_many_flows_tells_none() {
     let mut statements = FlowStatements::new(EPOCH, at(0));
-    let flows = u32::try_from(MOST_TOLD_FLOWS).expect("a small number") + 1;
+    let flows = u32::try_from(MAXIMUM_ANNOUNCED_FLOWS).expect("a small number") + 1;
     statements.look(prints(0..flows).into_iter(), at(0));
     let statement = statements.statement_for(node(1));
-    assert_eq!(statement.coverage, StatementCoverage::Nothing);
+    assert_eq!(statement.coverage, AnnouncementCoverage::Nothing);
     assert!(statements.list(at(0)).is_empty());
     let mut index = FlowIndex::default();
-    index.stated(node(9), EPOCH, &statement);
+    index.apply_statement(node(9), EPOCH, &statement);
     assert!(
         index
-            .take_incomplete([node(9)].into_iter(), 1, at(10))
+            .take_agents_to_list([node(9)].into_iter(), 1, at(10))
             .is_empty()
     );
 }
@@ -472,8 +478,8 @@
     const SECONDS: u64 = 10;
     const BYTES_A_SECOND: u64 = 62_500;
     for (agents, asks) in [(100_u32, true), (160, true), (1000, false), (4000, false)] {
-        let mut balancer = wide_balancer();
-        balancer.configuration(std::sync::Arc::new(Configuration {
+        let mut balancer = large_table_balancer();
+        balancer.adopt_store_configuration(std::sync::Arc::new(Configuration {
             version: 2,
             ..locating_configuration()
         }));
@@ -514,10 +520,10 @@
         let mut report = report(2, sequence + 1);
         report.load.flows = flows;
         report.interval_ms = 1000;
-        let statement = FlowStatement {
-            coverage: StatementCoverage::Changes,
-            first: 50,
-            last: 50,
+        let statement = FlowAnnouncement {
+            coverage: AnnouncementCoverage::Changes,
+            base_change: 50,
+            last_change: 50,
             open: Vec::new(),
             closed: Vec::new(),
         };
@@ -525,7 +531,7 @@
             report,
             flows: statement,
         };
-        balancer.message(address, message, None, now, &mut Vec::new());
+        balancer.handle_message(address, message, None, now, &mut Vec::new());
     }
 }
 
@@ -533,10 +539,10 @@
 /// microseconds each.
 #[test]
 fn questions_are_bounded_by_the_processor() {
-    let mut budget = WorkBudget::of_questions(90, at(0));
+    let mut budget = WorkBudget::for_queries(90, at(0));
     let mut asked = 0;
     for step in 0..1000_u64 {
-        if budget.has_left(at(step * 10)) {
+        if budget.has_remaining(at(step * 10)) {
             budget.spend(100);
             asked += 100;
         }
@@ -551,22 +557,22 @@
         configuration: Some(locating_configuration()),
         ..Default::default()
     };
-    agent.snapshot(node(1), snapshot, at(0));
-    agent.listed(&[node(1)], at(0));
-    open_at(&mut agent, flow(1), at(1000));
+    agent.apply_snapshot(node(1), snapshot, at(0));
+    agent.add_listed_balancers(&[node(1)], at(0));
+    open_flow_at(&mut agent, flow(1), at(1000));
     assert_eq!(stated(&mut agent, 1200), Some(Vec::new()));
     assert_eq!(
         stated(&mut agent, 3000),
         Some(vec![FlowFingerprint::of(&flow(1))])
     );
     let mut actions = Vec::new();
-    agent.message(node(1), &PeerMessage::ListFlows, at(3100), &mut actions);
+    agent.handle_message(node(1), &PeerMessage::ListFlows, at(3100), &mut actions);
     let is_list = |action: &AgentAction| {
         matches!(action, AgentAction::Send { message: PeerMessage::FlowList(part), .. }
             if part.open == vec![FlowFingerprint::of(&flow(1))])
     };
     assert!(actions.iter().any(is_list));
-    agent.departing(
+    agent.handle_target_packet(
         &packet(flow(1), PacketKind::Reset, 5001, 1201, 0),
         None,
         at(3200),
@@ -606,7 +612,7 @@
     let mut balancer = locating_balancer(&many, &[]);
     assert!(!balancer.locates_flows());
     let unknown = data(flow(1), 1001, 5001);
-    let routing = arrive(&mut balancer, &unknown, at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &unknown, at(10_010));
     let sent = receivers(&routing).len();
-    assert_eq!(sent, woodladder_core::flow::balancer::FIRST_ASKED);
+    assert_eq!(sent, woodladder_core::flow::balancer::SEARCH_FANOUT);
 }
--- a/crates/woodladder-core/tests/flow_held_requests.rs
+++ b/crates/woodladder-core/tests/flow_held_requests.rs
@@ -8,7 +8,8 @@
 use flow_support::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, Delivery, HELD_BYTES, HELD_FLOWS, Heartbeat, Held, HeldRequests, HeldTerms,
+    Agent, AgentAction, ForwardDecision, HELD_BYTES, HELD_FLOWS, Heartbeat, Held, HeldRequests,
+    HeldTerms,
 };
 use woodladder_core::flow::configuration::{Configuration, Route, RoutePart, RouteTerms};
 use woodladder_core::flow::identity::FlowKey;
@@ -32,7 +33,7 @@
     Route {
         address: route_address(number),
         parts: vec![RoutePart {
-            service: kitchen(),
+            service: main_service(),
             weight: 1,
         }],
         terms: RouteTerms {
@@ -56,13 +57,13 @@
         }),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, flow_support::at(0));
+    agent.apply_snapshot(node(1), snapshot, flow_support::at(0));
 }
 
 fn small_beat(incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
-        capacity: 2,
-        ..beat(incarnation, sequence)
+        slots: 2,
+        ..heartbeat(incarnation, sequence)
     }
 }
 
@@ -70,7 +71,7 @@
     let mut agent = empty_agent();
     adopt(&mut agent, 1, priorities);
     agent
-        .heartbeat(&small_beat(1, 1), flow_support::at(0))
+        .handle_heartbeat(&small_beat(1, 1), flow_support::at(0))
         .expect("heartbeat");
     agent
 }
@@ -90,14 +91,14 @@
 /// The answer to it.
 fn answer(agent: &mut Agent, key: FlowKey, number: u32, now: u64) {
     let packet = data(key, 5001 + LENGTH * number, 1101 + LENGTH * number);
-    agent.departing(&packet, None, at(now));
+    agent.handle_target_packet(&packet, None, at(now));
 }
 
 /// Sends a packet whose bytes are the flow's port and the packet's number.
-fn send_packet(agent: &mut Agent, packet: &FlowPacket, now: u64) -> Delivery {
+fn send_packet(agent: &mut Agent, packet: &FlowPacket, now: u64) -> ForwardDecision {
     let header = header(1, ForwardPurpose::Established);
     let bytes = bytes_of(packet);
-    agent.forwarded(node(1), &header, packet, &bytes, at(now))
+    agent.handle_forwarded_packet(node(1), &header, packet, &bytes, at(now))
 }
 
 fn bytes_of(packet: &FlowPacket) -> Vec<u8> {
@@ -117,7 +118,7 @@
 /// a request.
 fn served(agent: &mut Agent, now: u64) -> Vec<(u16, u32)> {
     let mut actions = Vec::new();
-    agent.serve_queue(at(now), &mut actions);
+    agent.dispatch_queued(at(now), &mut actions);
     delivered(&actions)
 }
 
@@ -133,7 +134,7 @@
 fn rested(priorities: [u8; 2]) -> Agent {
     let mut agent = agent_of(priorities);
     for port in 1..=6 {
-        open_at(&mut agent, flow(port), at(0));
+        open_flow_at(&mut agent, flow(port), at(0));
         answer(&mut agent, flow(port), 0, 30);
     }
     agent
@@ -163,7 +164,7 @@
 fn a_request_waits_while_the_target_is_full_and_goes_once_it_has_room() {
     let mut agent = full([2, 1]);
     let delivery = send_packet(&mut agent, &request(flow(4), 1), 110);
-    assert_eq!(delivery, Delivery::Drop);
+    assert_eq!(delivery, ForwardDecision::Drop);
     assert_eq!((agent.load().busy, agent.load().queued), (HANDED_OVER, 1));
     assert_eq!(served(&mut agent, 120), []);
     answer(&mut agent, flow(1), 1, 130);
@@ -185,16 +186,16 @@
     let mut agent = full([2, 1]);
     for now in [110, 310, 480] {
         let delivery = send_packet(&mut agent, &request(flow(4), 1), now);
-        assert_eq!(delivery, Delivery::Drop);
+        assert_eq!(delivery, ForwardDecision::Drop);
     }
-    assert_eq!(agent.counters().held_copies, 2);
+    assert_eq!(agent.counters().duplicate_packets_dropped, 2);
     assert_eq!(agent.load().queued, 1);
     answer(&mut agent, flow(1), 1, 490);
     assert_eq!(served(&mut agent, 490), [second(4)]);
     let repeated = send_packet(&mut agent, &request(flow(4), 1), 500);
     let is_no_request = matches!(
         repeated,
-        Delivery::Deliver {
+        ForwardDecision::Deliver {
             begins_request: true,
             ..
         }
@@ -209,10 +210,10 @@
     let mut agent = full([2, 1]);
     for number in [1, 3, 2] {
         let delivery = send_packet(&mut agent, &request(flow(4), number), 110);
-        assert_eq!(delivery, Delivery::Drop);
+        assert_eq!(delivery, ForwardDecision::Drop);
     }
     let close = packet(flow(4), PacketKind::Finish, 1401, 5101, 0);
-    assert_eq!(send_packet(&mut agent, &close, 111), Delivery::Drop);
+    assert_eq!(send_packet(&mut agent, &close, 111), ForwardDecision::Drop);
     assert_eq!(agent.load().queued, 1, "they are one request");
     answer(&mut agent, flow(1), 1, 130);
     let expected = [(4, 1101), (4, 1201), (4, 1301), (4, 1401)];
@@ -248,7 +249,7 @@
     assert_eq!(served(&mut agent, 110), [second(4)]);
     assert_eq!(
         send_packet(&mut agent, &request(flow(1), 2), 111),
-        Delivery::Drop
+        ForwardDecision::Drop
     );
     answer(&mut agent, flow(1), 2, 112);
     assert_eq!(agent.load().queued, 1);
@@ -264,8 +265,12 @@
     };
     let opened = opening(urgent_flow(50), 0);
     let header = header(1, ForwardPurpose::Open(terms));
-    let delivery = agent.forwarded(node(1), &header, &opened, &bytes_of(&opened), at(111));
-    assert!(matches!(delivery, Delivery::Queued(_)), "{delivery:?}");
+    let delivery =
+        agent.handle_forwarded_packet(node(1), &header, &opened, &bytes_of(&opened), at(111));
+    assert!(
+        matches!(delivery, ForwardDecision::Queued(_)),
+        "{delivery:?}"
+    );
     assert_eq!(agent.load().queued, 2);
     answer(&mut agent, flow(1), 1, 130);
     assert_eq!(served(&mut agent, 130), [(50, 1000)]);
@@ -276,7 +281,7 @@
 #[test]
 fn an_urgent_request_on_an_open_flow_goes_before_others() {
     let mut agent = rested([2, 1]);
-    open_at(&mut agent, urgent_flow(50), at(40));
+    open_flow_at(&mut agent, urgent_flow(50), at(40));
     answer(&mut agent, urgent_flow(50), 0, 60);
     for port in 1..=HANDED_OVER {
         send_packet(&mut agent, &request(flow(port), 1), 100);
@@ -295,7 +300,7 @@
 fn overfull_until_timeout() -> Agent {
     let mut agent = agent_of([2, 2]);
     for port in (1..=OVERFULL).chain([200, 201]) {
-        open_at(&mut agent, flow(port), at(0));
+        open_flow_at(&mut agent, flow(port), at(0));
         answer(&mut agent, flow(port), 0, 30);
     }
     overfill_until_timeout(&mut agent, 1, 100);
@@ -313,23 +318,26 @@
     }
     adopt(agent, 2 * u64::from(number) + 1, [2, 1]);
     let last = send_packet(agent, &request(flow(200), number), begin + 10);
-    assert_eq!(last, Delivery::Drop);
-    assert_eq!(agent.counters().requests_held, before.requests_held + 1);
+    assert_eq!(last, ForwardDecision::Drop);
+    assert_eq!(agent.counters().requests_queued, before.requests_queued + 1);
     let end = begin + 10 + u64::from(TIMEOUT_MS);
     for (port, now) in (1..).zip((begin + 20..end).step_by(100)) {
         answer(agent, flow(port), number, now);
         assert_eq!(served(agent, now), []);
     }
-    assert_eq!(agent.counters().held_hopeless, before.held_hopeless);
+    assert_eq!(agent.counters().requests_given_up, before.requests_given_up);
     assert_eq!(served(agent, end), []);
-    assert_eq!(agent.counters().held_hopeless, before.held_hopeless + 1);
+    assert_eq!(
+        agent.counters().requests_given_up,
+        before.requests_given_up + 1
+    );
 }
 
 /// A caller that has left sends nothing any more; its request is not run for nobody.
 #[test]
 fn a_request_is_dropped_when_its_timeout_has_passed() {
     let mut agent = overfull_until_timeout();
-    assert_eq!(agent.counters().held_hopeless, 1);
+    assert_eq!(agent.counters().requests_given_up, 1);
     assert_eq!(agent.load().queued, 0);
     for port in 1..=OVERFULL {
         answer(&mut agent, flow(port), 1, 3200);
@@ -343,12 +351,16 @@
 #[test]
 fn a_dropped_request_that_its_caller_repeats_is_handed_over_once_and_its_flow_goes_on() {
     let mut agent = overfull_until_timeout();
-    let held_before = agent.counters().requests_held;
+    let held_before = agent.counters().requests_queued;
     let repeated = send_packet(&mut agent, &request(flow(200), 1), 3160);
-    assert_eq!(repeated, Delivery::Drop);
-    assert_eq!(agent.counters().requests_held, held_before, "the same one");
+    assert_eq!(repeated, ForwardDecision::Drop);
+    assert_eq!(
+        agent.counters().requests_queued,
+        held_before,
+        "the same one"
+    );
     assert_eq!(served(&mut agent, 3170), []);
-    assert_eq!(agent.counters().held_hopeless, 1, "not given up again");
+    assert_eq!(agent.counters().requests_given_up, 1, "not given up again");
     for port in 1..=OVERFULL {
         answer(&mut agent, flow(port), 1, 3200);
     }
@@ -376,8 +388,9 @@
     let mut agent = overfull_until_timeout();
     let large = request(flow(201), 1);
     let header = header(1, ForwardPurpose::Established);
-    let waits = agent.forwarded(node(1), &header, &large, &vec![0; HELD_BYTES], at(3150));
-    assert_eq!(waits, Delivery::Drop);
+    let waits =
+        agent.handle_forwarded_packet(node(1), &header, &large, &vec![0; HELD_BYTES], at(3150));
+    assert_eq!(waits, ForwardDecision::Drop);
     let repeated = send_packet(&mut agent, &request(flow(200), 1), 3160);
     assert!(is_delivered(&repeated), "{repeated:?}");
     for port in (1..=OVERFULL).chain([200]) {
@@ -439,7 +452,7 @@
     let mut agent = agent_of([2, 1]);
     let flows = u16::try_from(HELD_FLOWS).expect("small") + HANDED_OVER + 1;
     for port in 1..=flows {
-        open_at(&mut agent, flow(port), at(0));
+        open_flow_at(&mut agent, flow(port), at(0));
         answer(&mut agent, flow(port), 0, 1);
     }
     let deliveries: Vec<bool> = (1..=flows)
@@ -460,7 +473,7 @@
     let mut agent = empty_agent();
     adopt(&mut agent, 1, [2, 1]);
     agent
-        .heartbeat(&small_beat(1, 7), at(200))
+        .handle_heartbeat(&small_beat(1, 7), at(200))
         .expect("heartbeat");
     let first = send_packet(&mut agent, &request(flow(4), 1), 310);
     assert!(is_delivered(&first), "{first:?}");
@@ -472,18 +485,18 @@
     let mut agent = full([2, 1]);
     send_packet(&mut agent, &request(flow(4), 1), 110);
     agent
-        .heartbeat(&small_beat(2, 1), at(150))
+        .handle_heartbeat(&small_beat(2, 1), at(150))
         .expect("heartbeat");
     let mut actions = Vec::new();
     agent.tick(at(151), &mut actions);
-    agent.serve_queue(at(151), &mut actions);
+    agent.dispatch_queued(at(151), &mut actions);
     // The new target returns it, which tells its balancer that the flow is gone.
     assert_eq!(delivered(&actions), [second(4)]);
     assert_eq!(agent.load().queued, 0);
-    let returned = agent.departing(&request(flow(4), 1), Some(node(1)), at(152));
+    let returned = agent.handle_target_packet(&request(flow(4), 1), Some(node(1)), at(152));
     let is_not_held = matches!(
         returned,
-        woodladder_core::flow::agent::Departure::Returned {
+        woodladder_core::flow::agent::TargetPacketDecision::Returned {
             message: PeerMessage::Returned {
                 reason: ReturnReason::NotHeld,
                 ..
@@ -531,7 +544,7 @@
     let mut agent = full([2, 1]);
     send_packet(&mut agent, &request(flow(4), 1), 110);
     let reset = packet(flow(1), PacketKind::Reset, 5101, 0, 0);
-    agent.departing(&reset, None, at(120));
+    agent.handle_target_packet(&reset, None, at(120));
     assert_eq!(served(&mut agent, 120), [second(4)]);
 }
 
@@ -542,7 +555,9 @@
     send_packet(&mut agent, &request(flow(4), 1), 110);
     let mut leaving = small_beat(1, 2);
     leaving.leaving = true;
-    agent.heartbeat(&leaving, at(120)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&leaving, at(120))
+        .expect("heartbeat");
     assert_eq!(agent.target_state(), TargetState::Leaving);
     assert_eq!(served(&mut agent, 121), []);
     answer(&mut agent, flow(1), 1, 130);
@@ -554,7 +569,7 @@
 fn an_agent_that_stops_hands_over_what_it_holds() {
     let mut agent = full([2, 1]);
     send_packet(&mut agent, &request(flow(4), 1), 110);
-    agent.leave();
+    agent.begin_shutdown();
     assert_eq!(served(&mut agent, 111), [second(4)]);
 }
 
@@ -571,11 +586,14 @@
         forward_to(agent, &header, &opening(flow(port), 0), at(110))
     };
     let mut agent = full([2, 1]);
-    assert!(matches!(open(&mut agent, 100, 1000), Delivery::Queued(_)));
+    assert!(matches!(
+        open(&mut agent, 100, 1000),
+        ForwardDecision::Queued(_)
+    ));
     let vain = open(&mut agent, 101, 20);
     let is_refused = matches!(
         vain,
-        Delivery::Answer(
+        ForwardDecision::Reply(
             PeerMessage::Returned {
                 reason: ReturnReason::Saturated,
                 ..
@@ -593,7 +611,7 @@
 fn an_opening_of_a_balancer_with_a_stale_report_is_given_back() {
     let open = |agent: &mut Agent, port, believed| {
         let terms = OpeningTerms {
-            believed_load: Some(believed),
+            estimated_load: Some(believed),
             ..opening_terms()
         };
         let header = header(1, ForwardPurpose::Open(terms));
@@ -605,7 +623,7 @@
     }
     assert_eq!(agent.load().requests(), HANDED_OVER + 3);
     let stale = open(&mut agent, 100, HANDED_OVER);
-    assert!(matches!(stale, Delivery::Answer(..)), "{stale:?}");
+    assert!(matches!(stale, ForwardDecision::Reply(..)), "{stale:?}");
     let fresh = open(&mut agent, 101, HANDED_OVER + 3);
-    assert!(matches!(fresh, Delivery::Queued(_)), "{fresh:?}");
+    assert!(matches!(fresh, ForwardDecision::Queued(_)), "{fresh:?}");
 }
--- a/crates/woodladder-core/tests/flow_link_scheduler.rs
+++ b/crates/woodladder-core/tests/flow_link_scheduler.rs
@@ -10,26 +10,28 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::link::LINK_HEADER;
-use woodladder_core::flow::link::scheduler::{LONGEST_QUEUED, LinkScheduler, Placement, Urgency};
+use woodladder_core::flow::link::scheduler::{
+    DatagramInfo, LONGEST_QUEUED, LinkScheduler, TrafficClass,
+};
 
 /// Kilobits a second: a small machine's link.
 const RATE: u32 = 10_000;
 /// Largest datagram, in bytes.
 const LARGEST: usize = 1300;
 
-fn bulk(port: u16) -> Placement {
-    Placement {
-        length: LARGEST,
+fn bulk(port: u16) -> DatagramInfo {
+    DatagramInfo {
+        length_bytes: LARGEST,
         flow: Some(flow(port)),
-        urgency: Urgency::Bulk,
+        class: TrafficClass::Bulk,
     }
 }
 
-fn urgent(port: u16) -> Placement {
-    Placement {
-        length: 90,
+fn urgent(port: u16) -> DatagramInfo {
+    DatagramInfo {
+        length_bytes: 90,
         flow: Some(flow(port)),
-        urgency: Urgency::Urgent,
+        class: TrafficClass::Priority,
     }
 }
 
@@ -163,13 +165,13 @@
         }
         now = next;
         offered_at.push(now);
-        let placement = Placement {
-            length: arrival.length,
+        let placement = DatagramInfo {
+            length_bytes: arrival.length,
             flow: Some(flow(arrival.port)),
-            urgency: if arrival.is_bulk {
-                Urgency::Bulk
+            class: if arrival.is_bulk {
+                TrafficClass::Bulk
             } else {
-                Urgency::Urgent
+                TrafficClass::Priority
             },
         };
         if let Some(number) = scheduler.offer(number, placement, now) {
--- a/crates/woodladder-core/tests/flow_link_share.rs
+++ b/crates/woodladder-core/tests/flow_link_share.rs
@@ -10,7 +10,7 @@
     Balancer, BalancerAction, BalancerOptions, DropReason, Routing,
 };
 use woodladder_core::flow::identity::ZoneKey;
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage, TargetLoad};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage, TargetLoad};
 use woodladder_core::flow::packet::PacketKind;
 
 /// Data of a full packet, in bytes.
@@ -18,26 +18,26 @@
 
 /// A balancer of a core's eighth behind a link of this rate, ten seconds after its
 /// start, that has seen uploads of 40 kilobytes.
-fn balancer_behind(link_rate: Option<u32>) -> Balancer {
+fn balancer_behind(link_rate_kbps: Option<u32>) -> Balancer {
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        capacity: 120,
-        link_rate,
+        cpu_millicores: 120,
+        link_rate_kbps,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
-    tell(&mut balancer, 9, &report(9, 1), at(10_000));
+    balancer.adopt_store_configuration(configuration(1));
+    deliver_report(&mut balancer, 9, &report(9, 1), at(10_000));
     for port in 1..4 {
-        arrive(&mut balancer, &opening(flow(port), 0), at(10_000));
+        deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_000));
         upload(&mut balancer, port, 33, 10_001);
         finish(&mut balancer, port, 10_002);
     }
-    arrive(&mut balancer, &opening(flow(4), 0), at(11_100));
+    deliver_caller_packet(&mut balancer, &opening(flow(4), 0), at(11_100));
     finish(&mut balancer, 4, 11_101);
-    tell(&mut balancer, 9, &report(9, 2), at(11_190));
+    deliver_report(&mut balancer, 9, &report(9, 2), at(11_190));
     balancer
 }
 
@@ -45,20 +45,20 @@
     for number in 0..packets {
         let sequence = 1001 + number * u32::from(FULL);
         let data = packet(flow(port), PacketKind::Data, sequence, 5001, FULL);
-        arrive(balancer, &data, at(now));
+        deliver_caller_packet(balancer, &data, at(now));
     }
 }
 
 fn finish(balancer: &mut Balancer, port: u16, now: u64) {
     let finish = packet(flow(port), PacketKind::Finish, 50_000, 5001, 0);
-    arrive(balancer, &finish, at(now));
+    deliver_caller_packet(balancer, &finish, at(now));
 }
 
 /// Opens flows until one has to wait; returns those that went on.
 fn open_until_one_waits(balancer: &mut Balancer, now: u64) -> Vec<u16> {
     let mut went_on = Vec::new();
     for port in 100..200 {
-        let routing = arrive(balancer, &opening(flow(port), 0), at(now));
+        let routing = deliver_caller_packet(balancer, &opening(flow(port), 0), at(now));
         if routing == Routing::Drop(DropReason::LinkShared) {
             return went_on;
         }
@@ -78,7 +78,7 @@
     for link_rate in [None, Some(200_000), Some(1_000_000)] {
         let mut balancer = balancer_behind(link_rate);
         for port in 100..150 {
-            let routing = arrive(&mut balancer, &opening(flow(port), 0), at(11_200));
+            let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(11_200));
             let waits = Routing::Drop(DropReason::LinkShared);
             assert_ne!(routing, waits, "{link_rate:?}");
         }
@@ -90,11 +90,11 @@
 fn a_waiting_opening_goes_to_a_target_when_a_flow_before_it_ends() {
     let mut balancer = balancer_behind(Some(10_000));
     let went_on = open_until_one_waits(&mut balancer, 11_200);
-    assert_eq!(balancer.counters().put_off_for_link, 1);
-    assert!(!balancer.may_release_openings());
+    assert_eq!(balancer.counters().openings_deferred_for_link, 1);
+    assert!(!balancer.can_release_openings());
     assert!(release(&mut balancer, 11_210).is_empty());
     finish(&mut balancer, went_on[0], 11_220);
-    assert!(balancer.may_release_openings());
+    assert!(balancer.can_release_openings());
     let actions = release(&mut balancer, 11_220);
     let forwarded = matches!(&actions[..], [BalancerAction::Forward { to, .. }] if *to == node(9));
     assert!(forwarded, "{actions:?}");
@@ -103,12 +103,12 @@
 #[test]
 fn a_balancer_that_hands_its_packets_on_holds_openings_too() {
     let mut balancer = balancer_behind(Some(10_000));
-    let larger = BalancerGreeting {
-        capacity: 500,
-        link_rate: Some(200_000),
+    let larger = BalancerHello {
+        cpu_millicores: 500,
+        link_rate_kbps: Some(200_000),
         ..peer_greeting()
     };
-    send(&mut balancer, 2, PeerMessage::Greeting(larger), at(11_190));
+    deliver_message(&mut balancer, 2, PeerMessage::Hello(larger), at(11_190));
     let mut actions = Vec::new();
     balancer.tick(at(11_195), &mut actions);
     let went_on = open_until_one_waits(&mut balancer, 11_200);
@@ -131,7 +131,7 @@
     let actions = release(&mut balancer, 12_400);
     let is_reset = matches!(&actions[..], [BalancerAction::Reset(_)]);
     assert!(is_reset, "{actions:?}");
-    assert_eq!(balancer.counters().refused_for_link, 1);
+    assert_eq!(balancer.counters().openings_refused_for_link, 1);
     assert_eq!(balancer.flow_count(), flows);
 }
 
@@ -143,7 +143,7 @@
         incarnation: None,
         load: TargetLoad::default(),
     };
-    send(balancer, 9, accepted, at(now));
+    deliver_message(balancer, 9, accepted, at(now));
 }
 
 #[test]
@@ -157,18 +157,18 @@
     }
     let actions = release(&mut balancer, 11_300);
     assert!(actions.is_empty(), "{actions:?}");
-    assert!(!balancer.holds_openings());
+    assert!(!balancer.has_openings_waiting_for_link());
 }
 
 #[test]
 fn a_late_duplicate_of_an_open_flows_opening_neither_opens_nor_resets_it() {
     for release_at in [11_500, 12_800] {
         let mut balancer = balancer_behind(Some(10_000));
-        arrive(&mut balancer, &opening(flow(50), 0), at(11_200));
+        deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_200));
         accept(&mut balancer, 50, 11_201);
         upload(&mut balancer, 50, 1, 11_202);
         let went_on = open_until_one_waits(&mut balancer, 11_300);
-        let routing = arrive(&mut balancer, &opening(flow(50), 0), at(11_301));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_301));
         assert_eq!(routing, Routing::Drop(DropReason::LinkShared));
         for now in (11_310..release_at).step_by(40) {
             for port in &went_on {
@@ -186,7 +186,7 @@
         assert!(actions.len() <= 1, "{actions:?}");
         assert!(balancer.flow_count() >= flows);
         let data = packet(flow(50), PacketKind::Data, 2201, 5001, FULL);
-        let routing = arrive(&mut balancer, &data, at(release_at + 101));
+        let routing = deliver_caller_packet(&mut balancer, &data, at(release_at + 101));
         assert_eq!(receivers(&routing), vec![node(9)]);
     }
 }
@@ -194,15 +194,15 @@
 #[test]
 fn a_duplicate_that_is_refused_at_once_does_not_reset_its_open_flow() {
     let mut balancer = balancer_behind(Some(10_000));
-    arrive(&mut balancer, &opening(flow(50), 0), at(11_200));
+    deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_200));
     accept(&mut balancer, 50, 11_201);
     upload(&mut balancer, 50, 1, 11_202);
     open_until_one_waits(&mut balancer, 11_300);
     for port in 200..400 {
-        arrive(&mut balancer, &opening(flow(port), 0), at(11_300));
+        deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(11_300));
     }
-    assert!(balancer.counters().refused_for_link > 0);
-    let routing = arrive(&mut balancer, &opening(flow(50), 0), at(11_301));
+    assert!(balancer.counters().openings_refused_for_link > 0);
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_301));
     assert_eq!(routing, Routing::Drop(DropReason::LinkShared));
 }
 
@@ -212,7 +212,7 @@
     let went_on = open_until_one_waits(&mut balancer, 11_200);
     let waiting = went_on[went_on.len() - 1] + 1;
     finish(&mut balancer, waiting, 11_201);
-    let routing = arrive(&mut balancer, &opening(flow(4), 0), at(11_202));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(4), 0), at(11_202));
     assert_eq!(routing, Routing::Drop(DropReason::LinkShared));
     finish(&mut balancer, went_on[0], 11_220);
     let actions = release(&mut balancer, 11_220);
@@ -225,7 +225,7 @@
     let mut balancer = balancer_behind(Some(10_000));
     let mut hurried = (*configuration(2)).clone();
     hurried.routes[0].terms.timeout_ms = 500;
-    balancer.configuration(std::sync::Arc::new(hurried));
+    balancer.adopt_store_configuration(std::sync::Arc::new(hurried));
     let went_on = open_until_one_waits(&mut balancer, 11_200);
     for now in (11_200..11_700).step_by(40) {
         for port in &went_on {
--- a/crates/woodladder-core/tests/flow_liveness.rs
+++ b/crates/woodladder-core/tests/flow_liveness.rs
@@ -19,14 +19,14 @@
     for agent in [2, 3] {
         let mut report = report(agent, 1);
         report.interval_ms = INTERVAL;
-        tell(&mut balancer, agent, &report, at(10_000));
+        deliver_report(&mut balancer, agent, &report, at(10_000));
     }
     balancer
 }
 
 /// Opens a flow and returns its agent's number.
 fn open(balancer: &mut Balancer, packet: &FlowPacket, now: u64) -> u8 {
-    let routing = arrive(balancer, packet, at(now));
+    let routing = deliver_caller_packet(balancer, packet, at(now));
     let to = receivers(&routing)[0].ip().octets()[3];
     let accepted = PeerMessage::Accepted {
         key: packet.key,
@@ -34,8 +34,8 @@
         incarnation: None,
         load: Default::default(),
     };
-    send(balancer, to, accepted, at(now + 1));
-    arrive(balancer, &data(packet.key, 1001, 5001), at(now + 2));
+    deliver_message(balancer, to, accepted, at(now + 1));
+    deliver_caller_packet(balancer, &data(packet.key, 1001, 5001), at(now + 2));
     to
 }
 
@@ -73,7 +73,7 @@
             if answering.contains(&number) {
                 let mut report = report(number, now);
                 report.interval_ms = INTERVAL;
-                tell(balancer, number, &report, at(now));
+                deliver_report(balancer, number, &report, at(now));
             }
         }
         if resets(&actions) > 0 {
@@ -89,7 +89,7 @@
     for now in (times.0..times.1).step_by(25) {
         let mut report = report(other, now);
         report.interval_ms = INTERVAL;
-        tell(balancer, other, &report, at(now));
+        deliver_report(balancer, other, &report, at(now));
         let (_, reset) = pass(balancer, (now, now + 25), &[]);
         reset_at = reset_at.or(reset);
     }
@@ -101,7 +101,7 @@
     let mut balancer = balancer_with_rare_reports();
     let holder = open(&mut balancer, &opening(flow(1), 0), 10_050);
     let other = 5 - holder;
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
     let reset_at = keep_hearing(&mut balancer, other, (10_300, 12_000)).expect("a reset");
     assert!((11_300..11_500).contains(&reset_at), "{reset_at}");
 }
@@ -112,7 +112,7 @@
     open(&mut balancer, &opening(flow(1), 0), 10_050);
     let mut probes = 0;
     for now in (10_300..14_000).step_by(200) {
-        arrive(&mut balancer, &data(flow(1), 1001, 5001), at(now));
+        deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(now));
         let (sent, reset_at) = pass(&mut balancer, (now, now + 200), &[2, 3]);
         assert_eq!(reset_at, None);
         probes += sent;
@@ -124,7 +124,7 @@
 fn a_balancer_that_hears_nobody_takes_no_agent_for_lost() {
     let mut balancer = balancer_with_rare_reports();
     open(&mut balancer, &opening(flow(1), 0), 10_050);
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
     let (probes, reset_at) = pass(&mut balancer, (10_300, 13_000), &[]);
     assert!(probes > 3);
     assert_eq!(reset_at, None);
@@ -133,13 +133,17 @@
 #[test]
 fn an_agent_that_leaves_an_opening_unanswered_gets_no_further_flow() {
     let mut balancer = balancer_with_rare_reports();
-    let silent = receivers(&arrive(&mut balancer, &opening(flow(1), 0), at(10_050)))[0];
-    let routing = arrive(&mut balancer, &opening(flow(1), 1), at(10_250));
+    let silent = receivers(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_050),
+    ))[0];
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 1), at(10_250));
     assert_ne!(receivers(&routing), vec![silent]);
     let other = 5 - silent.ip().octets()[3];
     keep_hearing(&mut balancer, other, (10_250, 10_700));
     for port in 2..30 {
-        let routing = arrive(&mut balancer, &opening(flow(port), 0), at(10_700));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_700));
         assert_ne!(receivers(&routing), vec![silent]);
     }
 }
@@ -150,7 +154,7 @@
     open(&mut balancer, &opening(flow(1), 0), 10_050);
     let mut sequence = 1101;
     for now in (10_100..11_000).step_by(100) {
-        arrive(&mut balancer, &data(flow(1), sequence, 5001), at(now));
+        deliver_caller_packet(&mut balancer, &data(flow(1), sequence, 5001), at(now));
         sequence += 100;
     }
     let (probes, _) = pass(&mut balancer, (11_000, 11_200), &[]);
@@ -163,7 +167,7 @@
     let mut actions = Vec::new();
     agent.tick(at(5), &mut actions);
     actions.clear();
-    agent.message(node(4), &PeerMessage::Probe, at(10), &mut actions);
+    agent.handle_message(node(4), &PeerMessage::Probe, at(10), &mut actions);
     let reports = actions.iter().filter(|action| {
         matches!(action, AgentAction::Send { to, message: PeerMessage::Report(_) } if *to == node(4))
     });
@@ -181,10 +185,10 @@
         ..Snapshot::default()
     };
     let mut actions = Vec::new();
-    balancer.snapshot(node(5), snapshot, at(10_100), &mut actions);
+    balancer.handle_snapshot(node(5), snapshot, at(10_100), &mut actions);
     let mut greetings = 0;
     for now in (10_100..12_100).step_by(25) {
-        tell(&mut balancer, 2, &report(2, now), at(now));
+        deliver_report(&mut balancer, 2, &report(2, now), at(now));
         balancer.tick(at(now), &mut actions);
         greetings += actions
             .drain(..)
@@ -192,9 +196,12 @@
             .count();
     }
     assert!((6..=9).contains(&greetings), "{greetings}");
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(12_110));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(12_110));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
-    assert_eq!(resets(&send(&mut balancer, 2, denial, at(12_120))), 1);
+    assert_eq!(
+        resets(&deliver_message(&mut balancer, 2, denial, at(12_120))),
+        1
+    );
 }
--- a/crates/woodladder-core/tests/flow_load.rs
+++ b/crates/woodladder-core/tests/flow_load.rs
@@ -3,24 +3,26 @@
 mod flow_support;
 
 use flow_support::*;
-use woodladder_core::flow::agent::{Agent, AnswerBody, Delivery};
+use woodladder_core::flow::agent::{Agent, ForwardDecision, ReplyBody};
 use woodladder_core::flow::message::{
     ForwardPurpose, PeerMessage, ReturnReason, TargetLoad, TargetState,
 };
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 
-fn forward(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) -> Delivery {
+fn forward(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) -> ForwardDecision {
     let header = header(1, ForwardPurpose::Established);
     forward_to(agent, &header, packet, at(milliseconds))
 }
 
 fn depart(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) {
-    agent.departing(packet, None, at(milliseconds));
+    agent.handle_target_packet(packet, None, at(milliseconds));
 }
 
-fn reason(delivery: &Delivery) -> Option<ReturnReason> {
+fn reason(delivery: &ForwardDecision) -> Option<ReturnReason> {
     match delivery {
-        Delivery::Answer(PeerMessage::Returned { reason, .. }, AnswerBody::Packet) => Some(*reason),
+        ForwardDecision::Reply(PeerMessage::Returned { reason, .. }, ReplyBody::Packet) => {
+            Some(*reason)
+        }
         _ => None,
     }
 }
@@ -28,7 +30,7 @@
 #[test]
 fn a_request_is_load_until_the_first_byte_of_its_answer() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
+    open_flow_at(&mut agent, flow(1), at(10));
     assert_eq!((agent.load().busy, agent.load().flows), (1, 1));
     depart(&mut agent, &data(flow(1), 5001, 1101), 60);
     assert_eq!((agent.load().busy, agent.load().flows), (0, 1));
@@ -38,7 +40,7 @@
 #[test]
 fn a_copy_of_an_answered_request_is_no_load() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
+    open_flow_at(&mut agent, flow(1), at(10));
     depart(&mut agent, &data(flow(1), 5001, 1101), 60);
     forward(&mut agent, &data(flow(1), 1001, 5001), 70);
     assert_eq!(agent.load().busy, 0);
@@ -50,7 +52,7 @@
 #[test]
 fn a_request_that_the_target_closes_on_is_no_load() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
+    open_flow_at(&mut agent, flow(1), at(10));
     depart(&mut agent, &data(flow(1), 5001, 1101), 60);
     let last = packet(flow(1), PacketKind::Finish, 1101, 5101, 219);
     forward(&mut agent, &last, 100);
@@ -60,7 +62,7 @@
         agent.load(),
         TargetLoad {
             service_time_us: 50_000,
-            heartbeat: 1,
+            last_heartbeat: 1,
             ..TargetLoad::default()
         }
     );
@@ -70,7 +72,7 @@
 fn a_reset_ends_the_load_of_its_flow() {
     for from_target in [false, true] {
         let mut agent = agent();
-        open_at(&mut agent, flow(1), at(10));
+        open_flow_at(&mut agent, flow(1), at(10));
         let reset = packet(flow(1), PacketKind::Reset, 1101, 0, 0);
         if from_target {
             depart(&mut agent, &reset, 20);
@@ -81,7 +83,7 @@
         // successes that are assumed.
         let expected = TargetLoad {
             failed_percent: if from_target { 25 } else { 0 },
-            heartbeat: 1,
+            last_heartbeat: 1,
             ..TargetLoad::default()
         };
         assert_eq!(agent.load(), expected);
@@ -93,8 +95,8 @@
 fn a_request_begins_with_its_first_byte_and_is_load_from_its_first_packet() {
     let mut agent = agent();
     forward_to(&mut agent, &open_header(1), &opening(flow(1), 0), at(10));
-    let begins = |delivery: &Delivery| match delivery {
-        Delivery::Deliver { begins_request, .. } => *begins_request,
+    let begins = |delivery: &ForwardDecision| match delivery {
+        ForwardDecision::Deliver { begins_request, .. } => *begins_request,
         other => panic!("{other:?}"),
     };
     let later = forward(&mut agent, &data(flow(1), 1101, 5001), 12);
@@ -111,7 +113,9 @@
     assert_eq!(agent.target_state(), TargetState::Unresponsive);
     let delivery = forward_to(&mut agent, &open_header(1), &opening(flow(2), 0), at(510));
     assert_eq!(reason(&delivery), Some(ReturnReason::NoTarget));
-    agent.heartbeat(&beat(1, 2), at(600)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 2), at(600))
+        .expect("heartbeat");
     agent.tick(at(620), &mut Vec::new());
     assert_eq!(agent.target_state(), TargetState::Ready);
 }
--- a/crates/woodladder-core/tests/flow_opened_elsewhere.rs
+++ b/crates/woodladder-core/tests/flow_opened_elsewhere.rs
@@ -4,7 +4,7 @@
 mod flow_support;
 
 use flow_support::*;
-use woodladder_core::flow::agent::{AgentAction, Delivery, Departure};
+use woodladder_core::flow::agent::{AgentAction, ForwardDecision, TargetPacketDecision};
 use woodladder_core::flow::message::{
     ForwardPurpose, PeerMessage, TargetLoad, TargetReport, TargetState,
 };
@@ -16,15 +16,15 @@
 #[test]
 fn a_flow_that_its_supposed_holder_denies_is_searched_for() {
     let mut balancer = balancer(&[2, 3]);
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let supposed = receivers(&routing)[0];
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_050));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_050));
     let denial = PeerMessage::NotHeld {
         keys: vec![flow(1)],
     };
     let number = supposed.ip().octets()[3];
-    send(&mut balancer, number, denial, at(10_060));
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_260));
+    deliver_message(&mut balancer, number, denial, at(10_060));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_260));
     let asked = receivers(&routing);
     assert_eq!(asked.len(), 1, "{routing:?}");
     assert!(!asked.contains(&supposed));
@@ -36,13 +36,13 @@
 #[test]
 fn an_old_opening_does_not_tell_who_holds_the_flow() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     for now in (10_100..=13_000).step_by(100) {
         for agent in [2, 3] {
-            tell(&mut balancer, agent, &report(agent, now), at(now));
+            deliver_report(&mut balancer, agent, &report(agent, now), at(now));
         }
     }
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(13_010));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(13_010));
     assert_eq!(receivers(&routing).len(), 2, "{routing:?}");
 }
 
@@ -51,7 +51,7 @@
 #[test]
 fn an_acceptance_that_the_callers_number_does_not_fit_is_not_the_chosen_one() {
     let mut balancer = balancer(&[2, 3]);
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let accepting = receivers(&routing)[0].ip().octets()[3];
     let accepted = PeerMessage::Accepted {
         key: flow(1),
@@ -59,8 +59,8 @@
         incarnation: None,
         load: TargetLoad::default(),
     };
-    send(&mut balancer, accepting, accepted, at(10_020));
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_050));
+    deliver_message(&mut balancer, accepting, accepted, at(10_020));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_050));
     assert_eq!(receivers(&routing).len(), 2, "{routing:?}");
 }
 
@@ -73,10 +73,10 @@
         state: TargetState::Leaving,
         ..report(2, 2)
     };
-    tell(&mut balancer, 2, &leaving, at(10_010));
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_020));
+    deliver_report(&mut balancer, 2, &leaving, at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_020));
     assert!(receivers(&routing).is_empty());
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
     assert_eq!(receivers(&routing), vec![node(2)]);
 }
 
@@ -85,13 +85,17 @@
 #[test]
 fn a_flow_that_opened_elsewhere_while_its_opening_waits_at_an_agent_is_searched_for() {
     let mut balancer = balancer(&[2, 3]);
-    let asked = receivers(&arrive(&mut balancer, &opening(flow(1), 0), at(10_020)));
+    let asked = receivers(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_020),
+    ));
     let queued = PeerMessage::Queued {
         key: flow(1),
         load: TargetLoad::default(),
     };
-    send(&mut balancer, asked[0].ip().octets()[3], queued, at(10_025));
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
+    deliver_message(&mut balancer, asked[0].ip().octets()[3], queued, at(10_025));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_300));
     assert_eq!(receivers(&routing).len(), 2, "{routing:?}");
 }
 
@@ -101,12 +105,12 @@
     let mut agent = agent();
     forward_to(&mut agent, &open_header(1), &opening(flow(1), 0), at(10));
     let accept = packet(flow(1), PacketKind::Accept, 5000, 1001, 0);
-    agent.departing(&accept, None, at(11));
+    agent.handle_target_packet(&accept, None, at(11));
     let mut actions = Vec::new();
     let query = PeerMessage::Locate {
         keys: vec![flow(1)],
     };
-    agent.message(node(3), &query, at(20), &mut actions);
+    agent.handle_message(node(3), &query, at(20), &mut actions);
     let expected = AgentAction::Send {
         to: node(3),
         message: PeerMessage::MayBeHeld {
@@ -117,14 +121,14 @@
 
     let search = header(1, ForwardPurpose::Search);
     let delivery = forward_from(&mut agent, 3, &search, &data(flow(1), 1001, 9001), at(30));
-    let Delivery::Deliver { tell: None, .. } = delivery else {
+    let ForwardDecision::Deliver { reply: None, .. } = delivery else {
         panic!("{delivery:?}");
     };
     assert_eq!(agent.load().opening, 0);
-    let departure = agent.departing(&data(flow(1), 1001, 9001), Some(node(3)), at(31));
+    let departure = agent.handle_target_packet(&data(flow(1), 1001, 9001), Some(node(3)), at(31));
     assert!(matches!(
         departure,
-        Departure::Returned {
+        TargetPacketDecision::Returned {
             message: PeerMessage::NotHeld { .. },
             ..
         }
@@ -136,11 +140,11 @@
     let mut agent = agent();
     forward_to(&mut agent, &open_header(1), &opening(flow(1), 0), at(10));
     let accept = packet(flow(1), PacketKind::Accept, 5000, 1001, 0);
-    agent.departing(&accept, None, at(11));
+    agent.handle_target_packet(&accept, None, at(11));
     let search = header(1, ForwardPurpose::Search);
     forward_from(&mut agent, 3, &search, &data(flow(1), 1001, 5001), at(30));
-    let departure = agent.departing(&data(flow(1), 5001, 1101), None, at(70));
-    let Departure::ToCaller(Some((to, PeerMessage::Located { .. }))) = departure else {
+    let departure = agent.handle_target_packet(&data(flow(1), 5001, 1101), None, at(70));
+    let TargetPacketDecision::ToCaller(Some((to, PeerMessage::Located { .. }))) = departure else {
         panic!("{departure:?}");
     };
     assert_eq!(to, node(3));
--- a/crates/woodladder-core/tests/flow_opening.rs
+++ b/crates/woodladder-core/tests/flow_opening.rs
@@ -61,7 +61,7 @@
 fn open_many(balancer: &mut Balancer, count: u16) -> BTreeMap<u8, u16> {
     let mut flows = BTreeMap::new();
     for port in 1..=count {
-        let routing = arrive(balancer, &opening(flow(port), 0), at(10_010));
+        let routing = deliver_caller_packet(balancer, &opening(flow(port), 0), at(10_010));
         *flows.entry(number(only_receiver(&routing))).or_default() += 1;
     }
     flows
@@ -77,7 +77,7 @@
 #[test]
 fn new_flows_go_to_the_least_loaded_target() {
     let mut balancer = balancer(&[2, 3]);
-    tell(&mut balancer, 2, &busy_report(2, 2, 6), at(10_001));
+    deliver_report(&mut balancer, 2, &busy_report(2, 2, 6), at(10_001));
     let flows = open_many(&mut balancer, 5);
     assert_eq!(flows, BTreeMap::from([(3, 5)]));
 }
@@ -87,9 +87,9 @@
     let mut balancer = balancer(&[2, 3, 4]);
     let mut leaving = report(2, 2);
     leaving.state = TargetState::Leaving;
-    tell(&mut balancer, 2, &leaving, at(10_400));
-    tell(&mut balancer, 4, &report(4, 2), at(10_400));
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_450));
+    deliver_report(&mut balancer, 2, &leaving, at(10_400));
+    deliver_report(&mut balancer, 4, &report(4, 2), at(10_400));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_450));
     assert_eq!(only_receiver(&routing), node(4));
 }
 
@@ -99,7 +99,7 @@
     for agent in [2, 3, 4] {
         let mut report = report(agent, 2);
         report.load.service_time_us = if agent == 2 { 250_000 } else { 50_000 };
-        tell(&mut balancer, agent, &report, at(10_001));
+        deliver_report(&mut balancer, agent, &report, at(10_001));
     }
     let flows = open_many(&mut balancer, 22);
     assert!(flows.get(&2).copied().unwrap_or(0) <= 2, "{flows:?}");
@@ -109,9 +109,10 @@
 fn an_opening_that_an_agent_gives_back_goes_to_another_at_once() {
     let mut balancer = balancer(&[2, 3]);
     let open = opening(flow(1), 0);
-    let first = only_receiver(&arrive(&mut balancer, &open, at(10_010)));
+    let first = only_receiver(&deliver_caller_packet(&mut balancer, &open, at(10_010)));
     let message = returned(ReturnReason::Leaving);
-    let actions = give_back(&mut balancer, number(first), message, &open, at(10_011));
+    let actions =
+        deliver_message_with_packet(&mut balancer, number(first), message, &open, at(10_011));
     let again = forwarded(&actions);
     assert_eq!(again.len(), 1);
     assert_ne!(again[0], first);
@@ -121,27 +122,47 @@
 fn an_opening_that_is_given_back_twice_by_one_agent_moves_once() {
     let mut balancer = balancer(&[2, 3, 4]);
     let open = opening(flow(1), 0);
-    let first = number(only_receiver(&arrive(&mut balancer, &open, at(10_010))));
+    let first = number(only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &open,
+        at(10_010),
+    )));
     let message = returned(ReturnReason::Leaving);
-    give_back(&mut balancer, first, message.clone(), &open, at(10_011));
-    let actions = give_back(&mut balancer, first, message, &open, at(10_012));
+    deliver_message_with_packet(&mut balancer, first, message.clone(), &open, at(10_011));
+    let actions = deliver_message_with_packet(&mut balancer, first, message, &open, at(10_012));
     assert!(forwarded(&actions).is_empty(), "{actions:?}");
 }
 
 #[test]
 fn a_copy_of_an_unanswered_opening_goes_to_another_target() {
     let mut balancer = balancer(&[2, 3]);
-    let first = only_receiver(&arrive(&mut balancer, &opening(flow(1), 0), at(10_010)));
-    let second = only_receiver(&arrive(&mut balancer, &opening(flow(1), 1), at(10_210)));
+    let first = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_010),
+    ));
+    let second = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 1),
+        at(10_210),
+    ));
     assert_ne!(first, second);
 }
 
 #[test]
 fn a_copy_of_an_accepted_opening_goes_to_the_same_target() {
     let mut balancer = balancer(&[2, 3]);
-    let first = only_receiver(&arrive(&mut balancer, &opening(flow(1), 0), at(10_010)));
-    send(&mut balancer, number(first), accepted(1, 5000), at(10_011));
-    let second = only_receiver(&arrive(&mut balancer, &opening(flow(1), 1), at(10_210)));
+    let first = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_010),
+    ));
+    deliver_message(&mut balancer, number(first), accepted(1, 5000), at(10_011));
+    let second = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 1),
+        at(10_210),
+    ));
     assert_eq!(first, second);
 }
 
@@ -151,11 +172,11 @@
 fn a_flow_belongs_to_the_target_whose_acceptance_the_caller_acknowledges() {
     for (acknowledged, winner) in [(5001, 2), (9001, 3)] {
         let mut balancer = balancer(&[2, 3]);
-        arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
-        arrive(&mut balancer, &opening(flow(1), 1), at(10_210));
-        send(&mut balancer, 2, accepted(1, 5000), at(10_211));
-        send(&mut balancer, 3, accepted(1, 9000), at(10_212));
-        let routing = arrive(
+        deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
+        deliver_caller_packet(&mut balancer, &opening(flow(1), 1), at(10_210));
+        deliver_message(&mut balancer, 2, accepted(1, 5000), at(10_211));
+        deliver_message(&mut balancer, 3, accepted(1, 9000), at(10_212));
+        let routing = deliver_caller_packet(
             &mut balancer,
             &data(flow(1), 1001, acknowledged),
             at(10_220),
@@ -174,24 +195,28 @@
 #[test]
 fn an_opening_waits_for_a_target_and_gets_it_with_the_next_tick() {
     let mut balancer = balancer(&[2]);
-    tell(&mut balancer, 2, &leaving(2, 2), at(10_001));
+    deliver_report(&mut balancer, 2, &leaving(2, 2), at(10_001));
     for (copy, time) in [(0, 10_010), (1, 10_210)] {
-        let routing = arrive(&mut balancer, &opening(flow(1), copy), at(time));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), copy), at(time));
         assert_eq!(routing, Routing::Drop(DropReason::NoTargetYet));
     }
-    assert_eq!(balancer.waiting_count(), 1, "a copy does not wait twice");
-    tell(&mut balancer, 3, &report(3, 1), at(10_220));
+    assert_eq!(
+        balancer.waiting_opening_count(),
+        1,
+        "a copy does not wait twice"
+    );
+    deliver_report(&mut balancer, 3, &report(3, 1), at(10_220));
     let mut actions = Vec::new();
     balancer.tick(at(10_225), &mut actions);
     assert_eq!(forwarded(&actions), vec![node(3)]);
-    assert_eq!(balancer.waiting_count(), 0);
+    assert_eq!(balancer.waiting_opening_count(), 0);
 }
 
 #[test]
 fn an_opening_that_has_waited_too_long_is_refused_at_once() {
     let mut balancer = balancer(&[2]);
-    tell(&mut balancer, 2, &leaving(2, 2), at(10_001));
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_report(&mut balancer, 2, &leaving(2, 2), at(10_001));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let mut refused_at = None;
     for time in (10_025..12_000).step_by(25) {
         let mut actions = Vec::new();
@@ -211,14 +236,14 @@
 
 #[test]
 fn an_opening_that_finds_the_queue_full_is_refused_at_once() {
-    let mut balancer = wide_balancer();
-    tell(&mut balancer, 2, &leaving(2, 1), at(10_000));
+    let mut balancer = large_table_balancer();
+    deliver_report(&mut balancer, 2, &leaving(2, 1), at(10_000));
     let mut resets = 0;
     for port in 1..=2500 {
-        let routing = arrive(&mut balancer, &opening(flow(port), 0), at(10_010));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_010));
         resets += u32::from(matches!(routing, Routing::Reset(_)));
     }
-    assert_eq!((balancer.waiting_count(), resets), (2048, 452));
+    assert_eq!((balancer.waiting_opening_count(), resets), (2048, 452));
 }
 
 /// What the balancer says of an opening that it forwards.
@@ -240,7 +265,7 @@
 fn an_opening_states_its_age_by_the_copies_before_it() {
     for (copy, age_ms) in [(0, 0), (1, 200), (2, 600)] {
         let mut balancer = balancer(&[2]);
-        let routing = arrive(&mut balancer, &opening(flow(1), copy), at(10_010));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), copy), at(10_010));
         assert_eq!(terms_of(routing).age_ms, age_ms);
     }
 }
@@ -249,9 +274,10 @@
 fn an_opening_that_is_offered_again_states_the_time_that_has_passed() {
     let mut balancer = balancer(&[2, 3]);
     let open = opening(flow(1), 0);
-    let first = only_receiver(&arrive(&mut balancer, &open, at(10_010)));
+    let first = only_receiver(&deliver_caller_packet(&mut balancer, &open, at(10_010)));
     let message = returned(ReturnReason::Leaving);
-    let actions = give_back(&mut balancer, number(first), message, &open, at(10_050));
+    let actions =
+        deliver_message_with_packet(&mut balancer, number(first), message, &open, at(10_050));
     let again = actions.iter().find_map(|action| match action {
         BalancerAction::Forward { header, .. } => Some(terms(header)),
         _ => None,
@@ -262,25 +288,26 @@
 #[test]
 fn an_agent_may_object_once_that_its_load_was_underestimated() {
     let mut balancer = balancer(&[2, 3, 4]);
-    tell(&mut balancer, 2, &busy_report(2, 2, 9), at(10_001));
+    deliver_report(&mut balancer, 2, &busy_report(2, 2, 9), at(10_001));
     let open = opening(flow(1), 0);
-    let routing = arrive(&mut balancer, &open, at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &open, at(10_010));
     let first = only_receiver(&routing);
-    assert_eq!(terms_of(routing).believed_load, Some(0));
+    assert_eq!(terms_of(routing).estimated_load, Some(0));
     let message = returned(ReturnReason::Saturated);
-    let actions = give_back(&mut balancer, number(first), message, &open, at(10_011));
+    let actions =
+        deliver_message_with_packet(&mut balancer, number(first), message, &open, at(10_011));
     let again = actions.iter().find_map(|action| match action {
         BalancerAction::Forward { header, .. } => Some(terms(header)),
         _ => None,
     });
-    assert_eq!(again.expect("offered again").believed_load, None);
+    assert_eq!(again.expect("offered again").estimated_load, None);
 }
 
 #[test]
 fn the_only_target_is_asked_to_take_an_opening_whatever_it_holds() {
     let mut balancer = balancer(&[2]);
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
-    assert_eq!(terms_of(routing).believed_load, None);
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
+    assert_eq!(terms_of(routing).estimated_load, None);
 }
 
 fn queued(port: u16) -> PeerMessage {
@@ -293,9 +320,13 @@
 #[test]
 fn a_copy_of_an_opening_that_waits_at_an_agent_goes_to_the_same_agent() {
     let mut balancer = balancer(&[2, 3]);
-    let first = only_receiver(&arrive(&mut balancer, &opening(flow(1), 0), at(10_010)));
-    send(&mut balancer, number(first), queued(1), at(10_011));
-    let copy = arrive(&mut balancer, &opening(flow(1), 1), at(10_210));
+    let first = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_010),
+    ));
+    deliver_message(&mut balancer, number(first), queued(1), at(10_011));
+    let copy = deliver_caller_packet(&mut balancer, &opening(flow(1), 1), at(10_210));
     assert_eq!(only_receiver(&copy), first);
 }
 
@@ -303,11 +334,15 @@
 #[test]
 fn a_copy_of_an_opening_that_waited_at_a_silent_agent_goes_to_another() {
     let mut balancer = balancer(&[2, 3]);
-    let first = only_receiver(&arrive(&mut balancer, &opening(flow(1), 0), at(10_010)));
-    send(&mut balancer, number(first), queued(1), at(10_011));
+    let first = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_010),
+    ));
+    deliver_message(&mut balancer, number(first), queued(1), at(10_011));
     let other = if first == node(2) { 3 } else { 2 };
-    tell(&mut balancer, other, &report(other, 2), at(10_600));
-    let copy = arrive(&mut balancer, &opening(flow(1), 2), at(10_610));
+    deliver_report(&mut balancer, other, &report(other, 2), at(10_600));
+    let copy = deliver_caller_packet(&mut balancer, &opening(flow(1), 2), at(10_610));
     assert_eq!(only_receiver(&copy), node(other));
 }
 
@@ -315,10 +350,11 @@
 fn an_opening_that_has_waited_too_long_at_an_agent_is_refused_at_once() {
     let mut balancer = balancer(&[2, 3]);
     let open = opening(flow(1), 0);
-    let first = only_receiver(&arrive(&mut balancer, &open, at(10_010)));
-    send(&mut balancer, number(first), queued(1), at(10_011));
+    let first = only_receiver(&deliver_caller_packet(&mut balancer, &open, at(10_010)));
+    deliver_message(&mut balancer, number(first), queued(1), at(10_011));
     let message = returned(ReturnReason::Expired);
-    let actions = give_back(&mut balancer, number(first), message, &open, at(11_210));
+    let actions =
+        deliver_message_with_packet(&mut balancer, number(first), message, &open, at(11_210));
     assert!(
         matches!(actions.as_slice(), [BalancerAction::Reset(reset)] if reset.key == flow(1)),
         "{actions:?}"
@@ -331,30 +367,30 @@
     let mut balancer = balancer(&[2]);
     let mut key = flow(1);
     key.service = route_address(9);
-    let routing = arrive(&mut balancer, &opening(key, 0), at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &opening(key, 0), at(10_010));
     assert!(matches!(routing, Routing::Reset(reset) if reset.key == key));
 }
 
 #[test]
 fn nothing_is_refused_before_a_configuration_is_known() {
     let mut balancer = empty_balancer();
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10));
     assert_eq!(routing, Routing::Drop(DropReason::NoConfiguration));
 }
 
 #[test]
 fn parts_of_a_route_get_their_weights() {
     let mut balancer = empty_balancer();
-    let parts = [(kitchen(), 90), (print(), 10)];
-    balancer.configuration(configuration_of(1, &[(1, &parts)]));
+    let parts = [(main_service(), 90), (other_service(), 10)];
+    balancer.adopt_store_configuration(configuration_of(1, &[(1, &parts)]));
     let mut flows: BTreeMap<u8, u16> = BTreeMap::new();
     for port in 1..=200 {
-        for (agent, service) in [(2, kitchen()), (3, print())] {
+        for (agent, service) in [(2, main_service()), (3, other_service())] {
             let mut report = report(agent, port.into());
             report.service = service;
-            tell(&mut balancer, agent, &report, at(10_000));
+            deliver_report(&mut balancer, agent, &report, at(10_000));
         }
-        let routing = arrive(&mut balancer, &opening(flow(port), 0), at(10_010));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_010));
         *flows.entry(number(only_receiver(&routing))).or_default() += 1;
     }
     assert_eq!(flows, BTreeMap::from([(2, 180), (3, 20)]));
@@ -365,19 +401,25 @@
     let mut balancer = balancer(&[2]);
     let accept = packet(flow(1), PacketKind::Accept, 1, 1, 0);
     let forged = Routing::Drop(DropReason::Forged);
-    assert_eq!(arrive(&mut balancer, &accept, at(10_010)), forged);
+    assert_eq!(
+        deliver_caller_packet(&mut balancer, &accept, at(10_010)),
+        forged
+    );
     let mut looped: FlowPacket = opening(flow(1), 0);
     looped.key.caller.set_ip(*node(1).ip());
-    assert_eq!(arrive(&mut balancer, &looped, at(10_010)), forged);
+    assert_eq!(
+        deliver_caller_packet(&mut balancer, &looped, at(10_010)),
+        forged
+    );
 }
 
 #[test]
 fn a_full_table_forgets_the_flows_at_rest_and_finds_them_again() {
     let mut balancer = balancer(&[2, 3]);
     for port in 1..=3000 {
-        arrive(&mut balancer, &opening(flow(port), 0), at(10_010));
+        deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_010));
     }
     assert!(balancer.flow_count() <= 1000, "{}", balancer.flow_count());
-    let routing = arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_020));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_020));
     assert_eq!(receivers(&routing).len(), 2);
 }
--- a/crates/woodladder-core/tests/flow_outcomes.rs
+++ b/crates/woodladder-core/tests/flow_outcomes.rs
@@ -8,8 +8,8 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{Agent, AnswerKind};
 use woodladder_core::flow::balancer::Balancer;
+use woodladder_core::flow::log_event::LogEvent;
 use woodladder_core::flow::message::ForwardPurpose;
-use woodladder_core::flow::note::Note;
 use woodladder_core::flow::packet::PacketKind;
 
 /// Milliseconds of a test, well after the clock's origin.
@@ -19,9 +19,9 @@
 
 /// One request on a flow of its own, which ends as `kind` says.
 fn request(agent: &mut Agent, port: u16, kind: AnswerKind, now: u64) {
-    open_at(agent, flow(port), at(now));
-    agent.answer_begins(&flow(port), kind, at(now));
-    agent.departing(&data(flow(port), 5001, 1101), None, at(now));
+    open_flow_at(agent, flow(port), at(now));
+    agent.record_answer_start(&flow(port), kind, at(now));
+    agent.handle_target_packet(&data(flow(port), 5001, 1101), None, at(now));
     let end = packet(flow(port), PacketKind::Reset, 1101, 0, 0);
     forward_to(
         agent,
@@ -40,7 +40,7 @@
 fn suspicions(agent: &mut Agent) -> Vec<bool> {
     let (notes, _) = agent.take_notes();
     let found = notes.into_iter().filter_map(|note| match note {
-        Note::TargetSuspicion { is_suspect, .. } => Some(is_suspect),
+        LogEvent::TargetSuspicion { is_suspect, .. } => Some(is_suspect),
         _ => None,
     });
     found.collect()
@@ -54,7 +54,7 @@
     requests(&mut agent, 100..120, AnswerKind::Failure, 10);
     let share = agent.load().failed_percent;
     assert!((25..60).contains(&share), "{share}");
-    assert_eq!(agent.counters().failed, 20);
+    assert_eq!(agent.counters().requests_failed, 20);
 }
 
 #[test]
@@ -68,9 +68,9 @@
 fn a_reset_by_the_target_before_an_answer_is_a_failure() {
     let mut agent = agent();
     for port in 1..10 {
-        open_at(&mut agent, flow(port), at(0));
+        open_flow_at(&mut agent, flow(port), at(0));
         let reset = packet(flow(port), PacketKind::Reset, 5001, 1101, 0);
-        agent.departing(&reset, None, at(1));
+        agent.handle_target_packet(&reset, None, at(1));
     }
     assert!(agent.load().failed_percent >= 50);
 }
@@ -80,10 +80,10 @@
 fn an_answer_counts_although_the_end_of_its_flow_came_first() {
     let mut agent = agent();
     for port in 1..10 {
-        open_at(&mut agent, flow(port), at(0));
+        open_flow_at(&mut agent, flow(port), at(0));
         let end = packet(flow(port), PacketKind::Finish, 5101, 1101, 0);
-        agent.departing(&end, None, at(1));
-        agent.answer_begins(&flow(port), AnswerKind::Failure, at(2));
+        agent.handle_target_packet(&end, None, at(1));
+        agent.record_answer_start(&flow(port), AnswerKind::Failure, at(2));
     }
     assert!(agent.load().failed_percent >= 50);
 }
@@ -91,24 +91,24 @@
 #[test]
 fn a_request_counts_once() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(0));
+    open_flow_at(&mut agent, flow(1), at(0));
     for _ in 0..5 {
-        agent.answer_begins(&flow(1), AnswerKind::Failure, at(1));
+        agent.record_answer_start(&flow(1), AnswerKind::Failure, at(1));
     }
-    assert_eq!(agent.counters().failed, 1);
+    assert_eq!(agent.counters().requests_failed, 1);
 }
 
 #[test]
 fn a_request_that_is_turned_away_counts_only_where_slots_were_free() {
     let mut idle = agent();
-    requests(&mut idle, 1..10, AnswerKind::TurnedAway, 0);
+    requests(&mut idle, 1..10, AnswerKind::Rejected, 0);
     assert!(idle.load().failed_percent >= 50);
 
     let mut full = agent();
     for port in 1..=9 {
-        open_at(&mut full, flow(port), at(0));
+        open_flow_at(&mut full, flow(port), at(0));
     }
-    full.answer_begins(&flow(1), AnswerKind::TurnedAway, at(1));
+    full.record_answer_start(&flow(1), AnswerKind::Rejected, at(1));
     assert_eq!(full.load().failed_percent, 0);
 }
 
@@ -155,7 +155,9 @@
 fn a_new_incarnation_begins_without_suspicion() {
     let mut agent = agent();
     requests(&mut agent, 1..20, AnswerKind::Failure, 0);
-    agent.heartbeat(&beat(2, 1), at(100)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(2, 1), at(100))
+        .expect("heartbeat");
     assert_eq!(agent.load().failed_percent, 0);
 }
 
@@ -167,7 +169,7 @@
         let mut report = report(agent, 2);
         report.load.busy = busy;
         report.load.failed_percent = failed_percent;
-        tell(&mut balancer, agent, &report, at(0));
+        deliver_report(&mut balancer, agent, &report, at(0));
     }
     balancer
 }
@@ -175,7 +177,7 @@
 fn flows_of(balancer: &mut Balancer, count: u16) -> BTreeMap<u8, u16> {
     let mut flows = BTreeMap::new();
     for port in 1..=count {
-        let routing = arrive(balancer, &opening(flow(port), 0), at(10));
+        let routing = deliver_caller_packet(balancer, &opening(flow(port), 0), at(10));
         let agent = receivers(&routing)[0].ip().octets()[3];
         *flows.entry(agent).or_default() += 1;
     }
--- a/crates/woodladder-core/tests/flow_promises.rs
+++ b/crates/woodladder-core/tests/flow_promises.rs
@@ -23,7 +23,7 @@
 fn busy_agent() -> Agent {
     let mut agent = agent();
     for port in 1..=HANDED_OVER {
-        open_at(&mut agent, flow(port), at(BEGIN + 10));
+        open_flow_at(&mut agent, flow(port), at(BEGIN + 10));
     }
     assert_eq!(agent.broken_promises(), &BrokenPromises::default());
     agent
@@ -37,11 +37,11 @@
 
 fn answer(agent: &mut Agent, port: u16, now: u64) {
     let answer = FlowPacket {
-        payload: 100,
+        payload_length: 100,
         ..packet(flow(port), PacketKind::Data, 5001, 1101, 0)
     };
-    agent.departing(&answer, None, at(BEGIN + now));
-    agent.serve_queue(at(BEGIN + now), &mut Vec::new());
+    agent.handle_target_packet(&answer, None, at(BEGIN + now));
+    agent.dispatch_queued(at(BEGIN + now), &mut Vec::new());
 }
 
 fn urgent(age_ms: u16) -> OpeningTerms {
@@ -80,7 +80,7 @@
     let route = |number, priority| Route {
         address: route_address(number),
         parts: vec![RoutePart {
-            service: kitchen(),
+            service: main_service(),
             weight: 1,
         }],
         terms: RouteTerms {
@@ -99,7 +99,7 @@
         }),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, at(0));
+    agent.apply_snapshot(node(1), snapshot, at(0));
     offer(&mut agent, 100, opening_terms(), 20);
     for port in 101..=109 {
         offer(&mut agent, port, urgent(0), 20);
@@ -137,7 +137,7 @@
     for (returned_at, broken) in [(300, 0), (321, 1)] {
         let mut agent = busy_agent();
         offer(&mut agent, 100, terms, 20);
-        agent.serve_queue(at(BEGIN + returned_at), &mut Vec::new());
+        agent.dispatch_queued(at(BEGIN + returned_at), &mut Vec::new());
         assert_eq!(agent.load().queued, 0, "it has been given back");
         assert_eq!(agent.broken_promises().held_past_timeout, broken);
     }
@@ -146,26 +146,26 @@
 #[test]
 fn the_wait_of_a_leaving_target_whose_heartbeat_was_not_taken_is_counted() {
     let mut agent = empty_agent();
-    let mut first = beat(1, 1);
-    first.born_ms = Some(9000);
-    agent.heartbeat(&first, at(0)).expect("taken");
-    let mut next = beat(2, 1);
-    next.born_ms = Some(8000);
+    let mut first = heartbeat(1, 1);
+    first.started_unix_ms = Some(9000);
+    agent.handle_heartbeat(&first, at(0)).expect("taken");
+    let mut next = heartbeat(2, 1);
+    next.started_unix_ms = Some(8000);
     next.leaving = true;
-    let refused = agent.heartbeat(&next, at(1000));
+    let refused = agent.handle_heartbeat(&next, at(1000));
     assert_eq!(refused, Err(HeartbeatError::Unproven));
     assert_eq!(agent.broken_promises().unacknowledged_ms, 0);
     next.sequence = 2;
-    agent.heartbeat(&next, at(4000)).expect("taken");
+    agent.handle_heartbeat(&next, at(4000)).expect("taken");
     assert_eq!(agent.broken_promises().unacknowledged_ms, 3000);
 }
 
 #[test]
 fn a_heartbeat_that_is_taken_at_once_keeps_no_leaving_target_waiting() {
     let mut agent = agent();
-    let mut leaving = beat(1, 2);
+    let mut leaving = heartbeat(1, 2);
     leaving.leaving = true;
-    agent.heartbeat(&leaving, at(1000)).expect("taken");
+    agent.handle_heartbeat(&leaving, at(1000)).expect("taken");
     assert_eq!(agent.broken_promises(), &BrokenPromises::default());
 }
 
@@ -180,10 +180,10 @@
 fn balancer_with_waiting_opening() -> woodladder_core::flow::balancer::Balancer {
     let mut balancer = balancer(&[]);
     let leaving = report_of(1, TargetState::Leaving);
-    tell(&mut balancer, 2, &leaving, at(10_000));
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_report(&mut balancer, 2, &leaving, at(10_000));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     assert!(matches!(routing, Routing::Drop(_)), "{routing:?}");
-    assert_eq!(balancer.waiting_count(), 1);
+    assert_eq!(balancer.waiting_opening_count(), 1);
     balancer
 }
 
@@ -193,7 +193,7 @@
     for step in 1..=60 {
         let now = at(10_010 + step * 25);
         let leaving = report_of(1 + step, TargetState::Leaving);
-        tell(&mut balancer, 2, &leaving, now);
+        deliver_report(&mut balancer, 2, &leaving, now);
         balancer.tick(now, &mut Vec::new());
     }
     let broken = *balancer.broken_promises();
@@ -204,28 +204,28 @@
 fn an_opening_that_finds_a_target_while_it_waits_breaks_nothing() {
     let mut balancer = balancer_with_waiting_opening();
     let ready = report_of(2, TargetState::Ready);
-    tell(&mut balancer, 2, &ready, at(10_100));
+    deliver_report(&mut balancer, 2, &ready, at(10_100));
     balancer.tick(at(10_100), &mut Vec::new());
-    assert_eq!(balancer.waiting_count(), 0);
+    assert_eq!(balancer.waiting_opening_count(), 0);
     assert_eq!(balancer.broken_promises(), &BrokenPromises::default());
 }
 
 #[test]
 fn a_flow_that_was_reset_and_is_held_is_counted_once() {
     let mut balancer = balancer(&[2]);
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let acceptance = PeerMessage::Accepted {
         key: flow(1),
         sequence: 5000,
         incarnation: Some(Incarnation(2)),
         load: TargetLoad::default(),
     };
-    send(&mut balancer, 2, acceptance, at(10_011));
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
+    deliver_message(&mut balancer, 2, acceptance, at(10_011));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
     balancer.tick(at(10_040), &mut Vec::new());
     let mut replaced = report(2, 2);
     replaced.incarnation = Some(Incarnation(99));
-    tell(&mut balancer, 2, &replaced, at(10_050));
+    deliver_report(&mut balancer, 2, &replaced, at(10_050));
     assert_eq!(balancer.counters().reset_target_ended, 1);
     assert_eq!(balancer.broken_promises().broken_off, 0);
     for _ in 0..2 {
@@ -234,7 +234,7 @@
             incarnation: None,
             heartbeat: 0,
         };
-        send(&mut balancer, 2, located, at(10_100));
+        deliver_message(&mut balancer, 2, located, at(10_100));
     }
     assert_eq!(balancer.broken_promises().broken_off, 1);
 }
@@ -242,21 +242,21 @@
 #[test]
 fn a_reset_is_forgotten_when_the_flow_is_opened_anew_or_long_past() {
     let mut watch = PromiseWatch::default();
-    watch.reset_as_gone(flow(1), at(0));
-    watch.opened(&flow(1));
-    watch.is_held(&flow(1), at(100));
-    watch.reset_as_gone(flow(2), at(0));
-    watch.is_held(&flow(2), at(5000));
+    watch.record_reset(flow(1), at(0));
+    watch.record_opening(&flow(1));
+    watch.record_held(&flow(1), at(100));
+    watch.record_reset(flow(2), at(0));
+    watch.record_held(&flow(2), at(5000));
     assert_eq!(watch.broken(), &BrokenPromises::default());
 }
 
 #[test]
 fn refusals_are_counted_by_what_was_wrong_with_them() {
     let mut watch = PromiseWatch::default();
-    watch.refused(false, false);
+    watch.record_refusal(false, false);
     assert_eq!(watch.broken(), &BrokenPromises::default());
-    watch.refused(true, false);
-    watch.refused(false, true);
+    watch.record_refusal(true, false);
+    watch.record_refusal(false, true);
     let broken = watch.broken();
     assert_eq!(
         (broken.refused_though_accepted, broken.refused_beside_free),
@@ -272,14 +272,14 @@
         timeout: std::time::Duration::from_millis(1),
         is_urgent: false,
     };
-    watch.handed_over(&opening, true);
-    watch.given_up(&opening);
-    watch.held_to_the_end();
-    watch.refused(true, true);
-    watch.reset_as_gone(flow(1), at(0));
-    watch.is_held(&flow(1), at(1));
-    watch.leaving_not_taken(Incarnation(1), at(0));
-    watch.leaving_taken(Incarnation(1), at(1));
+    watch.record_handover(&opening, true);
+    watch.record_given_up(&opening);
+    watch.record_held_untried();
+    watch.record_refusal(true, true);
+    watch.record_reset(flow(1), at(0));
+    watch.record_held(&flow(1), at(1));
+    watch.record_leaving_rejected(Incarnation(1), at(0));
+    watch.record_leaving_accepted(Incarnation(1), at(1));
     let counts = watch.broken().by_name();
     assert!(counts.iter().all(|(_, count)| *count == 1), "{counts:?}");
     let names: std::collections::BTreeSet<_> = counts.iter().map(|(name, _)| *name).collect();
@@ -290,8 +290,8 @@
 fn an_opening_that_is_refused_while_a_target_has_room_is_counted() {
     let mut balancer = balancer_with_waiting_opening();
     let end = at(11_300);
-    tell(&mut balancer, 2, &report_of(2, TargetState::Ready), end);
+    deliver_report(&mut balancer, 2, &report_of(2, TargetState::Ready), end);
     balancer.tick(end, &mut Vec::new());
-    assert_eq!(balancer.waiting_count(), 0);
+    assert_eq!(balancer.waiting_opening_count(), 0);
     assert_eq!(balancer.broken_promises().refused_beside_free, 1);
 }
--- a/crates/woodladder-core/tests/flow_rebirth.rs
+++ b/crates/woodladder-core/tests/flow_rebirth.rs
@@ -11,7 +11,9 @@
 use woodladder_core::flow::message::{
     ForwardPurpose, PeerMessage, TargetLoad, TargetReport, TargetState,
 };
-use woodladder_core::flow::succession::{PROVEN_BY_SILENCE, Succession, TargetStart};
+use woodladder_core::flow::target_restart::{
+    RestartDetector, SILENCE_BEFORE_SUPERSEDED, TargetStart,
+};
 
 const NAME: &str = "i-7f3a";
 /// When the first start began, in milliseconds of Unix time.
@@ -21,10 +23,10 @@
 fn beat_of(after: i64, sequence: u64) -> Heartbeat {
     let born = BORN.checked_add_signed(after).expect("a time");
     Heartbeat {
-        incarnation: Incarnation::born(NAME, born),
-        name: Incarnation::named(NAME),
-        born_ms: Some(born),
-        ..beat(0, sequence)
+        incarnation: Incarnation::started_at(NAME, born),
+        instance: Incarnation::named(NAME),
+        started_unix_ms: Some(born),
+        ..heartbeat(0, sequence)
     }
 }
 
@@ -34,7 +36,7 @@
     TargetReport {
         epoch,
         incarnation: Some(beat.incarnation),
-        born_ms: beat.born_ms,
+        started_at_ms: beat.started_unix_ms,
         ..report(2, sequence)
     }
 }
@@ -44,7 +46,7 @@
     let mut agent = empty_agent();
     for (sequence, time) in [(1, 0), (2, 1000), (90, 2000)] {
         agent
-            .heartbeat(&beat_of(0, sequence), at(time))
+            .handle_heartbeat(&beat_of(0, sequence), at(time))
             .expect("taken");
     }
     agent
@@ -57,13 +59,13 @@
 #[test]
 fn a_new_start_under_the_former_name_is_taken_at_once_though_its_count_begins_anew() {
     let mut agent = agent_of_first_start();
-    open_at(&mut agent, flow(1), at(1900));
+    open_flow_at(&mut agent, flow(1), at(1900));
     assert_eq!(agent.load().flows, 1);
     let cold = Heartbeat {
-        capacity: 3,
+        slots: 3,
         ..beat_of(3000, 1)
     };
-    agent.heartbeat(&cold, at(3000)).expect("taken");
+    agent.handle_heartbeat(&cold, at(3000)).expect("taken");
     assert_eq!(agent.load().flows, 0);
     let request = header(1, ForwardPurpose::Established);
     let delivery = forward_to(&mut agent, &request, &data(flow(1), 1101, 5001), at(3001));
@@ -73,15 +75,17 @@
 #[test]
 fn a_late_heartbeat_of_the_former_start_changes_nothing_whatever_its_number() {
     let mut agent = agent_of_first_start();
-    agent.heartbeat(&beat_of(3000, 1), at(3000)).expect("taken");
-    open_at(&mut agent, flow(1), at(3100));
+    agent
+        .handle_heartbeat(&beat_of(3000, 1), at(3000))
+        .expect("taken");
+    open_flow_at(&mut agent, flow(1), at(3100));
     for (sequence, time) in [(91, 3200), (4000, 3300), (u64::MAX, 9000)] {
         let late = Heartbeat {
             leaving: true,
             ..beat_of(0, sequence)
         };
         assert_eq!(
-            agent.heartbeat(&late, at(time)),
+            agent.handle_heartbeat(&late, at(time)),
             Err(HeartbeatError::Replaced)
         );
     }
@@ -93,12 +97,16 @@
 #[test]
 fn a_start_between_that_was_never_heard_does_not_take_the_place_of_the_last_one() {
     let mut agent = agent_of_first_start();
-    agent.heartbeat(&beat_of(3000, 1), at(3000)).expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(3000, 1), at(3000))
+        .expect("taken");
     let between = beat_of(2500, 1);
-    let refused = agent.heartbeat(&between, at(3100));
+    let refused = agent.handle_heartbeat(&between, at(3100));
     assert_eq!(refused, Err(HeartbeatError::Unproven));
-    agent.heartbeat(&beat_of(3000, 2), at(4000)).expect("taken");
-    let again = agent.heartbeat(&beat_of(2500, 2), at(9000));
+    agent
+        .handle_heartbeat(&beat_of(3000, 2), at(4000))
+        .expect("taken");
+    let again = agent.handle_heartbeat(&beat_of(2500, 2), at(9000));
     assert_eq!(again, Err(HeartbeatError::Unproven));
     assert_eq!(agent.counters().heartbeats_unproven, 2);
 }
@@ -107,15 +115,15 @@
 fn a_start_whose_clock_went_back_is_taken_once_the_known_one_stays_silent() {
     let mut agent = agent_of_first_start();
     let begin = 3000;
-    let first = agent.heartbeat(&beat_of(-5000, 1), at(begin));
+    let first = agent.handle_heartbeat(&beat_of(-5000, 1), at(begin));
     assert_eq!(first, Err(HeartbeatError::Unproven));
-    let early = begin + milliseconds(PROVEN_BY_SILENCE) - 1;
-    let second = agent.heartbeat(&beat_of(-5000, 2), at(early));
+    let early = begin + milliseconds(SILENCE_BEFORE_SUPERSEDED) - 1;
+    let second = agent.handle_heartbeat(&beat_of(-5000, 2), at(early));
     assert_eq!(second, Err(HeartbeatError::Unproven));
     agent
-        .heartbeat(&beat_of(-5000, 3), at(early + 1))
+        .handle_heartbeat(&beat_of(-5000, 3), at(early + 1))
         .expect("taken");
-    let late = agent.heartbeat(&beat_of(0, 91), at(early + 2));
+    let late = agent.handle_heartbeat(&beat_of(0, 91), at(early + 2));
     assert_eq!(late, Err(HeartbeatError::Replaced));
 }
 
@@ -126,10 +134,10 @@
         leaving: true,
         ..beat_of(0, 91)
     };
-    agent.heartbeat(&leaving, at(3000)).expect("taken");
-    agent.deregister(Incarnation::named(NAME));
+    agent.handle_heartbeat(&leaving, at(3000)).expect("taken");
+    agent.handle_deregistration(Incarnation::named(NAME));
     agent
-        .heartbeat(&beat_of(-5000, 1), at(3100))
+        .handle_heartbeat(&beat_of(-5000, 1), at(3100))
         .expect("taken");
     assert_eq!(agent.target_state(), TargetState::Ready);
 }
@@ -139,26 +147,33 @@
     let mut agent = agent_of_first_start();
     let foreign = Heartbeat {
         incarnation: Incarnation::named(NAME),
-        born_ms: None,
+        started_unix_ms: None,
         ..beat_of(0, 500)
     };
     assert_eq!(
-        agent.heartbeat(&foreign, at(2100)),
+        agent.handle_heartbeat(&foreign, at(2100)),
         Err(HeartbeatError::Unproven)
     );
-    agent.heartbeat(&beat_of(0, 91), at(3000)).expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(0, 91), at(3000))
+        .expect("taken");
     assert_eq!(
-        agent.heartbeat(&foreign, at(9000)),
+        agent.handle_heartbeat(&foreign, at(9000)),
         Err(HeartbeatError::Unproven)
     );
 }
 
 #[test]
 fn a_late_deregistration_of_the_former_start_does_not_make_the_new_one_leave() {
-    for former in [Incarnation::born(NAME, BORN), Incarnation::named(NAME)] {
+    for former in [
+        Incarnation::started_at(NAME, BORN),
+        Incarnation::named(NAME),
+    ] {
         let mut agent = agent_of_first_start();
-        agent.heartbeat(&beat_of(3000, 1), at(3000)).expect("taken");
-        agent.deregister(former);
+        agent
+            .handle_heartbeat(&beat_of(3000, 1), at(3000))
+            .expect("taken");
+        agent.handle_deregistration(former);
         assert_eq!(agent.target_state(), TargetState::Ready);
         assert_eq!(agent.counters().deregistrations_ignored, 1);
     }
@@ -167,21 +182,25 @@
 #[test]
 fn a_deregistration_of_the_present_start_is_heeded() {
     let mut agent = agent_of_first_start();
-    agent.deregister(Incarnation::named(NAME));
+    agent.handle_deregistration(Incarnation::named(NAME));
     assert_eq!(agent.target_state(), TargetState::Leaving);
     let mut agent = agent_of_first_start();
-    agent.heartbeat(&beat_of(3000, 1), at(3000)).expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(3000, 1), at(3000))
+        .expect("taken");
     let start = beat_of(3000, 1).incarnation;
-    agent.deregister(start);
+    agent.handle_deregistration(start);
     assert_eq!(agent.target_state(), TargetState::Leaving);
 }
 
 #[test]
 fn a_deregistration_before_any_heartbeat_names_no_start() {
     let mut agent = empty_agent();
-    agent.deregister(Incarnation::named(NAME));
+    agent.handle_deregistration(Incarnation::named(NAME));
     assert_eq!(agent.target_state(), TargetState::Leaving);
-    agent.heartbeat(&beat_of(0, 40), at(100)).expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(0, 40), at(100))
+        .expect("taken");
     assert_eq!(agent.target_state(), TargetState::Ready);
 }
 
@@ -190,8 +209,12 @@
 #[test]
 fn a_single_late_heartbeat_does_not_make_a_restarted_agent_deny_living_flows() {
     let mut agent = empty_agent();
-    agent.heartbeat(&beat_of(0, 90), at(100)).expect("taken");
-    agent.heartbeat(&beat_of(3000, 40), at(200)).expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(0, 90), at(100))
+        .expect("taken");
+    agent
+        .handle_heartbeat(&beat_of(3000, 40), at(200))
+        .expect("taken");
     let search = header(1, ForwardPurpose::Established);
     let delivery = forward_to(&mut agent, &search, &data(flow(1), 1101, 5001), at(300));
     assert!(is_delivered(&delivery), "{delivery:?}");
@@ -201,21 +224,21 @@
 /// first one.
 fn balancer_with_flow(after: i64) -> Balancer {
     let mut balancer = balancer(&[]);
-    tell(&mut balancer, 2, &report_of(after, 1, 1), at(10_000));
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_report(&mut balancer, 2, &report_of(after, 1, 1), at(10_000));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let acceptance = PeerMessage::Accepted {
         key: flow(1),
         sequence: 5000,
         incarnation: Some(beat_of(after, 1).incarnation),
         load: TargetLoad::default(),
     };
-    send(&mut balancer, 2, acceptance, at(10_011));
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
+    deliver_message(&mut balancer, 2, acceptance, at(10_011));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
     balancer
 }
 
 fn resets(balancer: &mut Balancer, report: &TargetReport, now: Instant) -> usize {
-    let actions = tell(balancer, 2, report, now);
+    let actions = deliver_report(balancer, 2, report, now);
     actions
         .iter()
         .filter(|action| matches!(action, BalancerAction::Reset(_)))
@@ -258,7 +281,7 @@
 #[test]
 fn a_late_report_of_an_agents_former_process_changes_nothing() {
     let mut balancer = balancer_with_flow(0);
-    tell(&mut balancer, 2, &report_of(0, 2, 1), at(10_100));
+    deliver_report(&mut balancer, 2, &report_of(0, 2, 1), at(10_100));
     let late = report_of(-9000, 1, 90);
     assert_eq!(resets(&mut balancer, &late, at(10_200)), 0);
     let late = report_of(9000, 1, 91);
@@ -267,9 +290,9 @@
 
 #[test]
 fn only_one_that_surely_began_later_follows_without_proof() {
-    let start = |number, born_ms| TargetStart {
+    let start = |number, started_at_ms| TargetStart {
         incarnation: Incarnation(number),
-        born_ms,
+        started_at_ms,
     };
     for (known, next, follows) in [
         (None, None, true),
@@ -279,13 +302,13 @@
         (Some(2), Some(1), false),
         (Some(2), None, false),
     ] {
-        let mut succession = Succession::default();
-        let followed = succession.follows(&start(1, known), &start(2, next), 1, at(0));
+        let mut succession = RestartDetector::default();
+        let followed = succession.supersedes(&start(1, known), &start(2, next), 1, at(0));
         assert_eq!(followed, follows, "{known:?} {next:?}");
-        assert_eq!(succession.is_open(), !follows);
+        assert_eq!(succession.is_undecided(), !follows);
         succession.confirm_known();
-        let later = at(milliseconds(PROVEN_BY_SILENCE));
-        let followed = succession.follows(&start(1, known), &start(2, next), 2, later);
+        let later = at(milliseconds(SILENCE_BEFORE_SUPERSEDED));
+        let followed = succession.supersedes(&start(1, known), &start(2, next), 2, later);
         assert_eq!(
             followed, follows,
             "a claim lapses when the known one is heard"
--- a/crates/woodladder-core/tests/flow_record_property.rs
+++ b/crates/woodladder-core/tests/flow_record_property.rs
@@ -12,7 +12,7 @@
 use flow_support::*;
 use proptest::prelude::*;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AgentOptions, Delivery, Departure, Presence,
+    Agent, AgentAction, AgentOptions, ForwardDecision, ListenState, TargetPacketDecision,
 };
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, Routing};
 use woodladder_core::flow::configuration::{Configuration, RouteTerms};
@@ -112,7 +112,7 @@
     let options = AgentOptions {
         address: node(AGENT),
         zone: ZoneKey::named("a"),
-        service: kitchen(),
+        service: main_service(),
         epoch,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
@@ -120,8 +120,8 @@
         warm_up: None,
     };
     let mut agent = Agent::new(options, at(now));
-    agent.presence(Presence::Listening);
-    agent.listed(&[node(1)], at(now));
+    agent.record_listen_state(ListenState::Listening);
+    agent.add_listed_balancers(&[node(1)], at(now));
     agent
 }
 
@@ -137,7 +137,7 @@
     fn new() -> Self {
         let now = 1000;
         let mut balancer = empty_balancer();
-        balancer.configuration(impatient());
+        balancer.adopt_store_configuration(impatient());
         Self {
             now,
             balancer,
@@ -171,7 +171,7 @@
             Event::Report => {
                 let mut actions = Vec::new();
                 self.agent
-                    .message(node(1), &PeerMessage::Probe, at(self.now), &mut actions);
+                    .handle_message(node(1), &PeerMessage::Probe, at(self.now), &mut actions);
                 self.sent_by_agent(actions);
             }
             Event::Tick => {
@@ -210,7 +210,9 @@
         self.opened += 1;
         let first = self.opened.wrapping_mul(0x9E37_79B9);
         let opening = packet(key, PacketKind::Open, first, 0, 0);
-        let Routing::One { header, .. } = arrive(&mut self.balancer, &opening, at(self.now)) else {
+        let Routing::One { header, .. } =
+            deliver_caller_packet(&mut self.balancer, &opening, at(self.now))
+        else {
             return;
         };
         if !is_delivered(&forward_to(
@@ -224,8 +226,8 @@
         self.now += 1;
         let answer = first.wrapping_mul(31);
         let accept = packet(key, PacketKind::Accept, answer, first.wrapping_add(1), 0);
-        let departure = self.agent.departing(&accept, None, at(self.now));
-        let Departure::ToCaller(Some((_, accepted))) = departure else {
+        let departure = self.agent.handle_target_packet(&accept, None, at(self.now));
+        let TargetPacketDecision::ToCaller(Some((_, accepted))) = departure else {
             return;
         };
         self.tell_balancer(accepted);
@@ -236,7 +238,7 @@
 
     fn use_flow(&mut self, key: FlowKey) {
         if let Some(last) = self.target.held.get(&key) {
-            let next = last.sequence.wrapping_add(last.payload.into());
+            let next = last.sequence.wrapping_add(last.payload_length.into());
             let packet = data(key, next, last.acknowledgement.wrapping_add(600));
             self.caller_sends(&packet);
         }
@@ -244,7 +246,7 @@
 
     /// A packet goes through balancer and agent, and the target takes or returns it.
     fn caller_sends(&mut self, packet: &FlowPacket) {
-        let routing = arrive(&mut self.balancer, packet, at(self.now));
+        let routing = deliver_caller_packet(&mut self.balancer, packet, at(self.now));
         let receivers = match routing {
             Routing::One { header, .. } => vec![header],
             Routing::Several(list) => list.into_iter().map(|(_, header)| header).collect(),
@@ -253,21 +255,21 @@
         for header in receivers {
             let delivery = forward_to(&mut self.agent, &header, packet, at(self.now));
             match delivery {
-                Delivery::Deliver { tell, .. } => {
+                ForwardDecision::Deliver { reply, .. } => {
                     // A target that answered an opening holds the flow from now on.
                     self.target.held.insert(packet.key, *packet);
-                    self.to_balancer.extend(tell);
+                    self.to_balancer.extend(reply);
                 }
-                Delivery::Answer(message, _) => self.to_balancer.push(message),
-                Delivery::Queued(_) | Delivery::Drop => {}
+                ForwardDecision::Reply(message, _) => self.to_balancer.push(message),
+                ForwardDecision::Queued(_) | ForwardDecision::Drop => {}
             }
         }
     }
 
     fn beat(&mut self, incarnation: u64, sequence: u64) {
-        let beat = beat(incarnation, sequence);
+        let beat = heartbeat(incarnation, sequence);
         // A late one of an earlier incarnation is refused, which is its end.
-        let _taken = self.agent.heartbeat(&beat, at(self.now));
+        let _taken = self.agent.handle_heartbeat(&beat, at(self.now));
     }
 
     /// The last call of the incarnation before, to the agent that ran then, is taken now.
@@ -295,7 +297,7 @@
         self.target.is_heard = false;
         self.agent = new_agent(self.epoch, self.now);
         if was_absent && self.target.held.is_empty() {
-            self.agent.presence(Presence::Absent);
+            self.agent.record_listen_state(ListenState::NotListening);
         }
     }
 
@@ -303,14 +305,14 @@
         self.now += 30;
         self.denied = 0;
         self.balancer = empty_balancer();
-        self.balancer.configuration(impatient());
+        self.balancer.adopt_store_configuration(impatient());
         let call = self.balancer.next_record_call(self.now, at(self.now));
         assert_eq!(call, NextCall::Now(StoreCall::ReadFlowRecord));
         let (value, revision) = self.stored.clone();
         let mut actions = Vec::new();
         let reply = StoreReply::FlowRecord { value, revision };
         self.balancer
-            .record_reply(reply, self.now, at(self.now), &mut actions);
+            .handle_record_reply(reply, self.now, at(self.now), &mut actions);
         self.sent_by_balancer(actions);
         let mut actions = Vec::new();
         self.balancer.tick(at(self.now), &mut actions);
@@ -338,7 +340,7 @@
             let message = self.to_agent.remove(index);
             let mut actions = Vec::new();
             self.agent
-                .message(node(1), &message, at(self.now), &mut actions);
+                .handle_message(node(1), &message, at(self.now), &mut actions);
             self.sent_by_agent(actions);
         }
         if index < self.to_balancer.len() {
@@ -348,7 +350,7 @@
     }
 
     fn tell_balancer(&mut self, message: PeerMessage) {
-        let actions = send(&mut self.balancer, AGENT, message, at(self.now));
+        let actions = deliver_message(&mut self.balancer, AGENT, message, at(self.now));
         self.sent_by_balancer(actions);
     }
 
--- a/crates/woodladder-core/tests/flow_record_restore.rs
+++ b/crates/woodladder-core/tests/flow_record_restore.rs
@@ -35,28 +35,28 @@
 
 fn starting(now: u64) -> Balancer {
     let mut balancer = empty_balancer();
-    balancer.configuration(impatient(1500));
+    balancer.adopt_store_configuration(impatient(1500));
     balancer.tick(at(now), &mut Vec::new());
     balancer
 }
 
 /// Opens a flow at an agent's target, incarnation and agent having the same number.
 fn open(balancer: &mut Balancer, port: u16, agent: u8, now: u64) {
-    arrive(balancer, &opening(flow(port), 0), at(now));
+    deliver_caller_packet(balancer, &opening(flow(port), 0), at(now));
     let acceptance = PeerMessage::Accepted {
         key: flow(port),
         sequence: 5000,
         incarnation: Some(Incarnation(agent.into())),
         load: report_after(agent, 1, OPENED_AFTER).load,
     };
-    send(balancer, agent, acceptance, at(now + 1));
-    arrive(balancer, &data(flow(port), 1001, 5001), at(now + 2));
+    deliver_message(balancer, agent, acceptance, at(now + 1));
+    deliver_caller_packet(balancer, &data(flow(port), 1001, 5001), at(now + 2));
 }
 
 /// A report of a target whose last heartbeat has this number.
 fn report_after(agent: u8, sequence: u64, heartbeat: u64) -> TargetReport {
     let mut report = report(agent, sequence);
-    report.load.heartbeat = heartbeat;
+    report.load.last_heartbeat = heartbeat;
     report
 }
 
@@ -78,7 +78,7 @@
         value: Some(record.encode()),
         revision: 9,
     };
-    balancer.record_reply(reply, time_of_day, at(now), &mut actions);
+    balancer.handle_record_reply(reply, time_of_day, at(now), &mut actions);
     actions
 }
 
@@ -136,14 +136,14 @@
 #[test]
 fn only_flows_that_a_heartbeat_has_confirmed_are_recorded() {
     let mut balancer = starting(0);
-    tell(&mut balancer, 2, &report(2, 1), at(100));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(100));
     open(&mut balancer, 1, 2, 200);
     for (sequence, heartbeat) in [(2, OPENED_AFTER), (3, OPENED_AFTER + 1)] {
         let report = report_after(2, sequence, heartbeat);
-        tell(&mut balancer, 2, &report, at(5000 * sequence));
+        deliver_report(&mut balancer, 2, &report, at(5000 * sequence));
         assert!(balancer.flow_record(MORNING).is_empty(), "{heartbeat}");
     }
-    tell(
+    deliver_report(
         &mut balancer,
         2,
         &report_after(2, 4, OPENED_AFTER + 2),
@@ -163,19 +163,19 @@
 #[test]
 fn flows_of_an_incarnation_that_is_no_more_are_not_recorded() {
     let mut balancer = starting(0);
-    tell(&mut balancer, 2, &report(2, 1), at(100));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(100));
     open(&mut balancer, 1, 2, 200);
     let mut next = report_after(2, 2, OPENED_AFTER + 2);
     next.incarnation = Some(Incarnation(99));
-    next.former_heard_ms = 5000;
-    tell(&mut balancer, 2, &next, at(2000));
+    next.previous_heartbeat_age_ms = 5000;
+    deliver_report(&mut balancer, 2, &next, at(2000));
     assert!(balancer.flow_record(MORNING).is_empty());
 }
 
 #[test]
 fn nothing_is_read_or_written_where_timeouts_are_long() {
     let mut balancer = empty_balancer();
-    balancer.configuration(impatient(10_000));
+    balancer.adopt_store_configuration(impatient(10_000));
     for now in (0..20_000).step_by(50) {
         let call = balancer.next_record_call(MORNING + now, at(now));
         assert!(matches!(call, NextCall::At(_)), "{call:?}");
@@ -185,10 +185,10 @@
 #[test]
 fn a_record_is_written_under_the_revision_that_was_read() {
     let mut balancer = starting(0);
-    tell(&mut balancer, 2, &report(2, 1), at(5));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(5));
     open(&mut balancer, 1, 2, 6);
     read(&mut balancer, &record(&[]), 10);
-    tell(
+    deliver_report(
         &mut balancer,
         2,
         &report_after(2, 2, OPENED_AFTER + 2),
@@ -214,7 +214,7 @@
     let mut balancer = starting(0);
     let actions = read(&mut balancer, &record(&[(1, 2), (2, 3)]), 10);
     assert_eq!(probes(&actions), [2, 3]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     let mut later = Vec::new();
     for now in (60..60_000).step_by(25) {
         balancer.tick(at(now), &mut later);
@@ -227,12 +227,12 @@
 #[test]
 fn a_recorded_flow_that_its_agent_denies_is_reset_with_the_callers_number() {
     let mut balancer = restored(&[(1, 2), (2, 2), (3, 3)]);
-    let actions = tell(&mut balancer, 2, &report(2, 1), at(50));
+    let actions = deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     assert_eq!(questions(&actions), [(2, vec![flow(1), flow(2)])]);
-    let actions = send(&mut balancer, 2, denial(2, &[1]), at(51));
+    let actions = deliver_message(&mut balancer, 2, denial(2, &[1]), at(51));
     assert_eq!(resets(&actions), [(flow(1), 5001)]);
     assert_eq!(balancer.counters().reset_holder_denied, 1);
-    let again = send(&mut balancer, 2, denial(2, &[1]), at(52));
+    let again = deliver_message(&mut balancer, 2, denial(2, &[1]), at(52));
     assert!(again.is_empty(), "{again:?}");
 }
 
@@ -242,19 +242,19 @@
     let mut other = report(2, 1);
     other.incarnation = Some(Incarnation(99));
     other.knows_all_flows = true;
-    let actions = tell(&mut balancer, 2, &other, at(50));
+    let actions = deliver_report(&mut balancer, 2, &other, at(50));
     assert!(resets(&actions).is_empty(), "{actions:?}");
 }
 
 #[test]
 fn denials_of_another_agent_or_incarnation_or_without_a_question_reset_nothing() {
     let mut balancer = restored(&[(1, 2)]);
-    let unasked = send(&mut balancer, 2, denial(2, &[1]), at(20));
+    let unasked = deliver_message(&mut balancer, 2, denial(2, &[1]), at(20));
     assert!(resets(&unasked).is_empty(), "{unasked:?}");
-    tell(&mut balancer, 2, &report(2, 1), at(50));
-    tell(&mut balancer, 3, &report(3, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 3, &report(3, 1), at(50));
     for (from, named) in [(3, 2), (3, 3), (2, 3)] {
-        let actions = send(&mut balancer, from, denial(named, &[1]), at(51));
+        let actions = deliver_message(&mut balancer, from, denial(named, &[1]), at(51));
         assert!(resets(&actions).is_empty(), "{from} {named}: {actions:?}");
     }
 }
@@ -262,7 +262,7 @@
 #[test]
 fn a_flow_without_an_answer_is_asked_for_again_and_dropped_in_the_end_without_a_reset() {
     let mut balancer = restored(&[(1, 2)]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     let mut actions = Vec::new();
     let end = u64::try_from(ASKS_FOR.as_millis()).expect("some seconds") + 100;
     for now in (60..=end).step_by(50) {
@@ -271,35 +271,35 @@
     assert!(resets(&actions).is_empty(), "{actions:?}");
     assert!(questions(&actions).len() >= 10);
     assert_eq!(balancer.restore_totals().unproven, 1);
-    let late = send(&mut balancer, 2, denial(2, &[1]), at(end + 50));
+    let late = deliver_message(&mut balancer, 2, denial(2, &[1]), at(end + 50));
     assert!(resets(&late).is_empty(), "{late:?}");
 }
 
 #[test]
 fn a_flow_that_its_target_holds_is_in_the_table_without_a_search() {
     let mut balancer = restored(&[(1, 2)]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
-    tell(&mut balancer, 3, &report(3, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 3, &report(3, 1), at(50));
     let located = PeerMessage::Located {
         key: flow(1),
         incarnation: Some(Incarnation(2)),
         heartbeat: 5,
     };
-    send(&mut balancer, 2, located, at(52));
-    let routing = arrive(&mut balancer, &data(flow(1), 1101, 5001), at(60));
+    deliver_message(&mut balancer, 2, located, at(52));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1101, 5001), at(60));
     let Routing::One { to, header } = routing else {
         panic!("{routing:?}");
     };
     assert_eq!((to, header.purpose), (node(2), ForwardPurpose::Established));
-    assert_eq!(balancer.counters().searched, 0);
+    assert_eq!(balancer.counters().searched_packets, 0);
 }
 
 #[test]
 fn a_packet_that_comes_before_the_answer_goes_to_the_recorded_holder_only() {
     let mut balancer = restored(&[(1, 2)]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
-    tell(&mut balancer, 3, &report(3, 1), at(50));
-    let routing = arrive(&mut balancer, &data(flow(1), 1101, 5003), at(51));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 3, &report(3, 1), at(50));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1101, 5003), at(51));
     assert_eq!(receivers(&routing), [node(2)]);
     let returned = PeerMessage::Returned {
         reason: ReturnReason::NotHeld,
@@ -308,53 +308,53 @@
         excluded_zones: Default::default(),
     };
     let packet = data(flow(1), 1101, 5003);
-    let actions = give_back(&mut balancer, 2, returned, &packet, at(53));
+    let actions = deliver_message_with_packet(&mut balancer, 2, returned, &packet, at(53));
     assert_eq!(resets(&actions), [(flow(1), 5003)]);
 }
 
 #[test]
 fn what_only_the_target_can_tell_is_asked_again_when_its_agent_begins_to_know() {
     let mut balancer = restored(&[(1, 2)]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     let unsure = PeerMessage::MayBeHeld {
         keys: vec![flow(1)],
     };
-    let actions = send(&mut balancer, 2, unsure, at(52));
+    let actions = deliver_message(&mut balancer, 2, unsure, at(52));
     assert!(resets(&actions).is_empty(), "{actions:?}");
-    let same = tell(&mut balancer, 2, &report(2, 2), at(400));
+    let same = deliver_report(&mut balancer, 2, &report(2, 2), at(400));
     assert!(questions(&same).is_empty(), "{same:?}");
     let mut knowing = report(2, 3);
     knowing.knows_all_flows = true;
-    let actions = tell(&mut balancer, 2, &knowing, at(500));
+    let actions = deliver_report(&mut balancer, 2, &knowing, at(500));
     assert_eq!(questions(&actions), [(2, vec![flow(1)])]);
-    let actions = send(&mut balancer, 2, denial(2, &[1]), at(501));
+    let actions = deliver_message(&mut balancer, 2, denial(2, &[1]), at(501));
     assert_eq!(resets(&actions), [(flow(1), 5001)]);
 }
 
 #[test]
 fn a_port_that_is_used_again_is_not_reset() {
     let mut opening_anew = restored(&[(1, 2)]);
-    tell(&mut opening_anew, 2, &report(2, 1), at(50));
-    arrive(&mut opening_anew, &opening(flow(1), 0), at(51));
-    let actions = send(&mut opening_anew, 2, denial(2, &[1]), at(52));
+    deliver_report(&mut opening_anew, 2, &report(2, 1), at(50));
+    deliver_caller_packet(&mut opening_anew, &opening(flow(1), 0), at(51));
+    let actions = deliver_message(&mut opening_anew, 2, denial(2, &[1]), at(52));
     assert!(resets(&actions).is_empty(), "{actions:?}");
 
     // Its opening went through another balancer: the numbers are another flow's.
     let mut open_elsewhere = restored(&[(1, 2)]);
-    tell(&mut open_elsewhere, 2, &report(2, 1), at(50));
+    deliver_report(&mut open_elsewhere, 2, &report(2, 1), at(50));
     let far = 5001_u32.wrapping_add(1 << 30);
-    arrive(&mut open_elsewhere, &data(flow(1), 1, far), at(51));
-    let actions = send(&mut open_elsewhere, 2, denial(2, &[1]), at(52));
+    deliver_caller_packet(&mut open_elsewhere, &data(flow(1), 1, far), at(51));
+    let actions = deliver_message(&mut open_elsewhere, 2, denial(2, &[1]), at(52));
     assert!(resets(&actions).is_empty(), "{actions:?}");
 }
 
 #[test]
 fn flows_whose_agent_says_that_its_target_has_ended_are_reset() {
     let mut balancer = restored(&[(1, 2), (2, 3)]);
-    let unknown = send(&mut balancer, 2, PeerMessage::Farewell, at(20));
+    let unknown = deliver_message(&mut balancer, 2, PeerMessage::TargetEnded, at(20));
     assert!(resets(&unknown).is_empty(), "an agent of before the start");
-    tell(&mut balancer, 2, &report(2, 1), at(50));
-    let actions = send(&mut balancer, 2, PeerMessage::Farewell, at(60));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
+    let actions = deliver_message(&mut balancer, 2, PeerMessage::TargetEnded, at(60));
     assert_eq!(resets(&actions), [(flow(1), 5001)]);
 }
 
@@ -363,16 +363,16 @@
 #[test]
 fn restored_flows_are_reset_when_their_target_is_replaced_later() {
     let mut balancer = restored(&[(1, 2), (2, 2)]);
-    tell(&mut balancer, 2, &report(2, 1), at(50));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     let unsure = PeerMessage::MayBeHeld {
         keys: vec![flow(1), flow(2)],
     };
-    send(&mut balancer, 2, unsure, at(52));
+    deliver_message(&mut balancer, 2, unsure, at(52));
     assert_eq!(balancer.flow_count(), 2);
     let mut replaced = report(2, 2);
     replaced.incarnation = Some(Incarnation(99));
-    replaced.former_heard_ms = 200;
-    let actions = tell(&mut balancer, 2, &replaced, at(1000));
+    replaced.previous_heartbeat_age_ms = 200;
+    let actions = deliver_report(&mut balancer, 2, &replaced, at(1000));
     let mut ended: Vec<u16> = resets(&actions)
         .iter()
         .map(|it| it.0.caller.port())
@@ -385,7 +385,7 @@
 fn flows_are_asked_for_a_bounded_number_at_a_time() {
     let flows: Vec<(u16, u8)> = (1..=1000).map(|port| (port, 2)).collect();
     let mut balancer = restored(&flows);
-    let first = tell(&mut balancer, 2, &report(2, 1), at(50));
+    let first = deliver_report(&mut balancer, 2, &report(2, 1), at(50));
     let count = |actions: &[BalancerAction]| -> usize {
         questions(actions).iter().map(|(_, keys)| keys.len()).sum()
     };
@@ -416,7 +416,7 @@
         value: Some(b"something else".to_vec()),
         revision: 9,
     };
-    balancer.record_reply(reply, MORNING, at(5), &mut Vec::new());
+    balancer.handle_record_reply(reply, MORNING, at(5), &mut Vec::new());
     assert_eq!(balancer.restore_totals().recorded, 0);
 }
 
@@ -424,9 +424,9 @@
 fn a_planned_stop_writes_what_is_known_at_once() {
     let mut balancer = starting(0);
     read(&mut balancer, &record(&[]), 10);
-    tell(&mut balancer, 2, &report(2, 1), at(20));
+    deliver_report(&mut balancer, 2, &report(2, 1), at(20));
     open(&mut balancer, 1, 2, 30);
-    tell(
+    deliver_report(
         &mut balancer,
         2,
         &report_after(2, 2, OPENED_AFTER + 2),
@@ -449,17 +449,19 @@
             keys: vec![flow(1)],
         };
         let mut actions = Vec::new();
-        agent.message(node(1), &question, at(100), &mut actions);
+        agent.handle_message(node(1), &question, at(100), &mut actions);
         format!("{actions:?}")
     };
     let mut agent = empty_agent();
     assert!(ask(&mut agent, 7).contains("MayBeHeld"), "nothing heard");
-    agent.deregister(Incarnation(8));
+    agent.handle_deregistration(Incarnation(8));
     assert!(ask(&mut agent, 7).contains("MayBeHeld"), "no heartbeat");
     let mut agent = empty_agent();
-    agent.heartbeat(&beat(8, 5), at(50)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(8, 5), at(50))
+        .expect("heartbeat");
     assert!(ask(&mut agent, 8).contains("MayBeHeld"), "the same");
     assert!(ask(&mut agent, 7).contains("RecordedNotHeld"), "another");
-    open_at(&mut agent, flow(1), at(60));
+    open_flow_at(&mut agent, flow(1), at(60));
     assert!(ask(&mut agent, 7).contains("Located"), "it is in the table");
 }
--- a/crates/woodladder-core/tests/flow_route_terms.rs
+++ b/crates/woodladder-core/tests/flow_route_terms.rs
@@ -19,7 +19,7 @@
     Route {
         address: route_address(number),
         parts: vec![RoutePart {
-            service: kitchen(),
+            service: main_service(),
             weight: 1,
         }],
         terms: RouteTerms {
@@ -32,7 +32,7 @@
 
 fn balancer_of(routes: Vec<Route>) -> Balancer {
     let mut balancer = balancer(&[2]);
-    balancer.configuration(Arc::new(Configuration {
+    balancer.adopt_store_configuration(Arc::new(Configuration {
         services: Vec::new(),
         version: 2,
         routes,
@@ -46,7 +46,7 @@
         service: route_address(route),
         ..flow(port)
     };
-    match arrive(balancer, &opening(key, 0), at(10_010)) {
+    match deliver_caller_packet(balancer, &opening(key, 0), at(10_010)) {
         Routing::One { header, .. } => match header.purpose {
             ForwardPurpose::Open(terms) => terms,
             other => panic!("{other:?}"),
@@ -91,13 +91,13 @@
         state: TargetState::Leaving,
         ..report(2, 2)
     };
-    tell(&mut balancer, 2, &leaving, at(10_000));
+    deliver_report(&mut balancer, 2, &leaving, at(10_000));
     for number in [1, PATIENT_ROUTE] {
         let key = FlowKey {
             service: route_address(number),
             ..flow(9)
         };
-        arrive(&mut balancer, &opening(key, 0), at(10_010));
+        deliver_caller_packet(&mut balancer, &opening(key, 0), at(10_010));
     }
     let mut resets = |now| {
         let mut actions = Vec::new();
--- a/crates/woodladder-core/tests/flow_search.rs
+++ b/crates/woodladder-core/tests/flow_search.rs
@@ -4,8 +4,8 @@
 mod flow_support;
 
 use flow_support::*;
-use woodladder_core::flow::agent::{AgentAction, Delivery, Presence};
-use woodladder_core::flow::balancer::{Balancer, BalancerAction, FIRST_ASKED, SEARCHES_A_TICK};
+use woodladder_core::flow::agent::{AgentAction, ForwardDecision, ListenState};
+use woodladder_core::flow::balancer::{Balancer, BalancerAction, SEARCH_FANOUT, SEARCHES_A_TICK};
 use woodladder_core::flow::identity::{FlowKey, NodeAddress};
 use woodladder_core::flow::message::{ForwardPurpose, PeerMessage};
 
@@ -22,13 +22,15 @@
         &data(flow(1), 1, 1),
         at(10),
     );
-    assert_eq!(delivery, Delivery::Drop);
+    assert_eq!(delivery, ForwardDecision::Drop);
 }
 
 #[test]
 fn a_restarted_agent_hands_unknown_flows_to_a_target_that_was_heard() {
     let mut agent = empty_agent();
-    agent.heartbeat(&beat(1, 20), at(5)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 20), at(5))
+        .expect("heartbeat");
     let purpose = ForwardPurpose::Search;
     let delivery = forward_to(
         &mut agent,
@@ -64,22 +66,22 @@
     );
     assert!(matches!(
         delivery,
-        Delivery::Answer(PeerMessage::NotHeld { .. }, _)
+        ForwardDecision::Reply(PeerMessage::NotHeld { .. }, _)
     ));
 }
 
 #[test]
 fn a_flow_is_found_by_asking_every_target_at_once() {
     let mut balancer = balancer(&[2, 3, 4]);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_600));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     assert_eq!(receivers(&routing).len(), 3);
     let located = PeerMessage::Located {
         key: flow(1),
         incarnation: None,
         heartbeat: 1,
     };
-    send(&mut balancer, 3, located, at(10_610));
-    let routing = arrive(&mut balancer, &data(flow(1), 101, 77), at(10_620));
+    deliver_message(&mut balancer, 3, located, at(10_610));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 101, 77), at(10_620));
     assert_eq!(receivers(&routing), vec![node(3)]);
 }
 
@@ -87,11 +89,11 @@
 #[test]
 fn an_undecided_search_goes_on_without_the_callers_packets() {
     let mut balancer = balancer(&[2, 3]);
-    arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let both = vec![(node(2), vec![flow(1)]), (node(3), vec![flow(1)])];
     assert_eq!(queried_at(&mut balancer, 10_725), both);
-    tell(&mut balancer, 2, &report(2, 9), at(10_840));
-    tell(&mut balancer, 3, &report(3, 9), at(10_840));
+    deliver_report(&mut balancer, 2, &report(2, 9), at(10_840));
+    deliver_report(&mut balancer, 3, &report(3, 9), at(10_840));
     assert_eq!(queried_at(&mut balancer, 10_850), both);
 }
 
@@ -117,8 +119,8 @@
 fn others_are_asked_only_when_the_first_targets_have_had_time_to_answer() {
     let agents: Vec<u8> = (2..=60).collect();
     let mut balancer = balancer(&agents);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
-    assert_eq!(receivers(&routing).len(), FIRST_ASKED);
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    assert_eq!(receivers(&routing).len(), SEARCH_FANOUT);
     assert_eq!(queried_at(&mut balancer, 10_525), vec![]);
     assert_eq!(queried_at(&mut balancer, 10_690), vec![]);
     assert_eq!(queried_at(&mut balancer, 10_700).len(), agents.len());
@@ -128,26 +130,26 @@
 fn others_are_asked_at_once_when_all_first_targets_have_denied() {
     let agents: Vec<u8> = (2..=60).collect();
     let mut balancer = balancer(&agents);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     for first in receivers(&routing) {
         let denial = PeerMessage::NotHeld {
             keys: vec![flow(1)],
         };
-        send(&mut balancer, first.ip().octets()[3], denial, at(10_502));
+        deliver_message(&mut balancer, first.ip().octets()[3], denial, at(10_502));
     }
     let queried = queried_at(&mut balancer, 10_525);
-    assert_eq!(queried.len(), agents.len() - FIRST_ASKED);
+    assert_eq!(queried.len(), agents.len() - SEARCH_FANOUT);
 }
 
 #[test]
 fn an_agent_answers_a_query_without_a_packet() {
     let mut agent = agent();
-    open_at(&mut agent, flow(1), at(10));
+    open_flow_at(&mut agent, flow(1), at(10));
     let query = PeerMessage::Locate {
         keys: vec![flow(1), flow(2)],
     };
     let mut actions = Vec::new();
-    agent.message(node(3), &query, at(20), &mut actions);
+    agent.handle_message(node(3), &query, at(20), &mut actions);
     let messages: Vec<_> = actions
         .into_iter()
         .map(|action| match action {
@@ -167,11 +169,13 @@
 #[test]
 fn an_agent_that_may_not_know_a_flow_says_so() {
     let mut agent = empty_agent();
-    agent.heartbeat(&beat(1, 20), at(5)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 20), at(5))
+        .expect("heartbeat");
     let keys = vec![flow(1)];
     let query = PeerMessage::Locate { keys: keys.clone() };
     let mut actions = Vec::new();
-    agent.message(node(3), &query, at(20), &mut actions);
+    agent.handle_message(node(3), &query, at(20), &mut actions);
     let expected = AgentAction::Send {
         to: node(3),
         message: PeerMessage::MayBeHeld { keys },
@@ -184,8 +188,10 @@
 #[test]
 fn an_agent_whose_target_began_after_it_knows_all_flows() {
     let mut agent = empty_agent();
-    agent.presence(Presence::Absent);
-    agent.heartbeat(&beat(1, 4), at(50)).expect("heartbeat");
+    agent.record_listen_state(ListenState::NotListening);
+    agent
+        .handle_heartbeat(&heartbeat(1, 4), at(50))
+        .expect("heartbeat");
     let purpose = ForwardPurpose::Search;
     let delivery = forward_to(
         &mut agent,
@@ -195,7 +201,7 @@
     );
     assert!(matches!(
         delivery,
-        Delivery::Answer(PeerMessage::NotHeld { .. }, _)
+        ForwardDecision::Reply(PeerMessage::NotHeld { .. }, _)
     ));
 }
 
@@ -205,12 +211,12 @@
     let mut balancer = balancer(&[2, 3]);
     let mut asked = 0;
     for port in 1..=5000 {
-        let routing = arrive(&mut balancer, &data(flow(port), 1, 1), at(10_600));
+        let routing = deliver_caller_packet(&mut balancer, &data(flow(port), 1, 1), at(10_600));
         asked += u32::from(!receivers(&routing).is_empty());
     }
     assert_eq!(asked, SEARCHES_A_TICK);
     balancer.tick(at(10_625), &mut Vec::new());
-    let routing = arrive(&mut balancer, &data(flow(6000), 1, 1), at(10_630));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(6000), 1, 1), at(10_630));
     assert_eq!(receivers(&routing).len(), 2, "the next tick allows more");
 }
 
@@ -221,7 +227,7 @@
 fn further_packets_go_to_targets_beyond_the_first_until_they_deny() {
     let agents: Vec<u8> = (2..62).collect();
     let mut balancer = balancer(&agents);
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_500));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let first = receivers(&routing);
     assert_eq!(first.len(), 24);
     let restarted = agents
@@ -233,12 +239,12 @@
         keys: vec![flow(1)],
     };
     for agent in agents.iter().filter(|agent| **agent != restarted) {
-        send(&mut balancer, *agent, denial.clone(), at(10_530));
+        deliver_message(&mut balancer, *agent, denial.clone(), at(10_530));
     }
     let undecided = PeerMessage::MayBeHeld {
         keys: vec![flow(1)],
     };
-    send(&mut balancer, restarted, undecided, at(10_530));
-    let routing = arrive(&mut balancer, &data(flow(1), 1, 77), at(10_700));
+    deliver_message(&mut balancer, restarted, undecided, at(10_530));
+    let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_700));
     assert_eq!(receivers(&routing), vec![node(restarted)]);
 }
--- a/crates/woodladder-core/tests/flow_small_balancers.rs
+++ b/crates/woodladder-core/tests/flow_small_balancers.rs
@@ -10,39 +10,39 @@
     Balancer, BalancerAction, BalancerOptions, NotReadyReason, Routing,
 };
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage};
-use woodladder_core::flow::zone_members::{Member, ZoneMembers, best_size};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage};
+use woodladder_core::flow::zone_members::{ZoneMember, ZoneMembers, ready_set_size};
 
 const LARGE: u32 = 500;
 const SMALL: u32 = 12;
 
-fn greeting(zone: &str, capacity: u32) -> BalancerGreeting {
-    BalancerGreeting {
+fn greeting(zone: &str, cpu_millicores: u32) -> BalancerHello {
+    BalancerHello {
         zone: ZoneKey::named(zone),
-        capacity,
-        link_rate: None,
+        cpu_millicores,
+        link_rate_kbps: None,
         ..peer_greeting()
     }
 }
 
 /// A balancer on machine 1 that is ready but for its size.
-fn balancer_of(capacity: u32) -> Balancer {
+fn balancer_of(cpu_millicores: u32) -> Balancer {
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        capacity,
-        link_rate: None,
+        cpu_millicores,
+        link_rate_kbps: None,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
-    tell(&mut balancer, 9, &report(9, 1), at(10_000));
+    balancer.adopt_store_configuration(configuration(1));
+    deliver_report(&mut balancer, 9, &report(9, 1), at(10_000));
     balancer
 }
 
-fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerGreeting, now: u64) {
-    send(balancer, from, PeerMessage::Greeting(greeting), at(now));
+fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerHello, now: u64) {
+    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(now));
 }
 
 fn tick(balancer: &mut Balancer, now: u64) {
@@ -69,49 +69,55 @@
 
 #[test]
 fn the_set_that_bears_most_with_equal_shares_is_ready() {
-    assert_eq!(best_size(&[500, 500, 12, 12], 4), 2);
-    assert_eq!(best_size(&[500, 500, 120, 120, 120, 120, 120, 120], 8), 8);
-    assert_eq!(best_size(&[250, 250, 250, 250], 4), 4);
-    assert_eq!(best_size(&[500, 500, 12, 12, 12], 5), 5);
-    assert_eq!(best_size(&[500], 1), 1);
+    assert_eq!(ready_set_size(&[500, 500, 12, 12], 4), 2);
+    assert_eq!(
+        ready_set_size(&[500, 500, 120, 120, 120, 120, 120, 120], 8),
+        8
+    );
+    assert_eq!(ready_set_size(&[250, 250, 250, 250], 4), 4);
+    assert_eq!(ready_set_size(&[500, 500, 12, 12, 12], 5), 5);
+    assert_eq!(ready_set_size(&[500], 1), 1);
 }
 
 #[test]
 fn at_least_half_of_the_known_members_are_ready_even_when_some_are_gone() {
     // Two of six are gone: half of six are three, so a small one must help.
-    assert_eq!(best_size(&[500, 500, 12, 12], 6), 4);
-    assert_eq!(best_size(&[500, 12], 4), 2);
-    assert_eq!(best_size(&[12], 4), 1);
+    assert_eq!(ready_set_size(&[500, 500, 12, 12], 6), 4);
+    assert_eq!(ready_set_size(&[500, 12], 4), 2);
+    assert_eq!(ready_set_size(&[12], 4), 1);
 }
 
 #[test]
 fn a_small_balancer_stands_by_and_a_large_one_does_not() {
     let balancer = small_balancer();
-    assert_eq!(balancer.ready(at(10_000)), Err(NotReadyReason::Standby));
+    assert_eq!(
+        balancer.check_ready(at(10_000)),
+        Err(NotReadyReason::Standby)
+    );
     let mut large = balancer_of(LARGE);
     hear(&mut large, 2, greeting("a", LARGE), 10_000);
     hear(&mut large, 3, greeting("a", SMALL), 10_000);
     hear(&mut large, 4, greeting("a", SMALL), 10_000);
-    assert_eq!(large.ready(at(10_000)), Ok(()));
+    assert_eq!(large.check_ready(at(10_000)), Ok(()));
 }
 
 #[test]
 fn a_small_balancer_is_ready_when_a_large_one_leaves_or_falls_silent() {
     let mut leaving = small_balancer();
-    let farewell = BalancerGreeting {
-        leaving: true,
+    let farewell = BalancerHello {
+        is_leaving: true,
         ..greeting("a", LARGE)
     };
     hear(&mut leaving, 2, farewell, 10_050);
-    assert_eq!(leaving.ready(at(10_060)), Ok(()));
+    assert_eq!(leaving.check_ready(at(10_060)), Ok(()));
 
     let mut silent = small_balancer();
     for now in [10_300, 10_600, 10_900] {
         hear(&mut silent, 3, greeting("a", LARGE), now);
         hear(&mut silent, 4, greeting("a", SMALL), now);
-        tell(&mut silent, 9, &report(9, now), at(now));
+        deliver_report(&mut silent, 9, &report(9, now), at(now));
     }
-    assert_eq!(silent.ready(at(10_910)), Ok(()));
+    assert_eq!(silent.check_ready(at(10_910)), Ok(()));
 }
 
 #[test]
@@ -119,20 +125,20 @@
     let mut balancer = balancer_of(SMALL);
     hear(&mut balancer, 2, greeting("b", LARGE), 10_000);
     hear(&mut balancer, 3, greeting("b", LARGE), 10_000);
-    assert_eq!(balancer.ready(at(10_000)), Ok(()));
+    assert_eq!(balancer.check_ready(at(10_000)), Ok(()));
 }
 
 #[test]
 fn a_small_balancer_hands_each_packet_of_a_flow_to_the_same_large_one() {
     let mut balancer = small_balancer();
     for port in 1..50 {
-        let first = arrive(&mut balancer, &opening(flow(port), 0), at(10_010));
-        let later = arrive(&mut balancer, &data(flow(port), 1001, 5001), at(10_020));
+        let first = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(10_010));
+        let later = deliver_caller_packet(&mut balancer, &data(flow(port), 1001, 5001), at(10_020));
         assert_eq!(relay_receiver(&first), relay_receiver(&later));
         assert!([node(2), node(3)].contains(&relay_receiver(&first)));
     }
     assert_eq!(balancer.flow_count(), 0);
-    assert_eq!(balancer.counters().relayed, 98);
+    assert_eq!(balancer.counters().relayed_packets, 98);
 }
 
 #[test]
@@ -141,7 +147,7 @@
     hear(&mut balancer, 2, greeting("b", LARGE), 10_000);
     hear(&mut balancer, 3, greeting("a", SMALL), 10_000);
     tick(&mut balancer, 10_000);
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     assert_eq!(relay_receiver(&routing), node(2));
 }
 
@@ -149,21 +155,21 @@
 fn a_small_balancer_decides_itself_when_the_large_ones_are_gone() {
     let mut balancer = small_balancer();
     for now in (10_100..=13_100).step_by(100) {
-        tell(&mut balancer, 9, &report(9, now), at(now));
+        deliver_report(&mut balancer, 9, &report(9, now), at(now));
         tick(&mut balancer, now);
     }
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(13_110));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(13_110));
     assert_eq!(receivers(&routing), vec![node(9)]);
 }
 
 #[test]
 fn a_relaying_balancer_holds_no_flows_and_resets_none_when_an_agent_falls_silent() {
     let mut balancer = balancer_of(SMALL);
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_000));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_000));
     assert_eq!(balancer.flow_count(), 1);
     hear(&mut balancer, 2, greeting("a", LARGE), 10_010);
     tick(&mut balancer, 10_010);
-    arrive(&mut balancer, &data(flow(2), 1001, 5001), at(10_020));
+    deliver_caller_packet(&mut balancer, &data(flow(2), 1001, 5001), at(10_020));
     assert_eq!(balancer.flow_count(), 0);
 }
 
@@ -172,7 +178,7 @@
     let mut balancer = balancer_of(LARGE);
     hear(&mut balancer, 2, greeting("a", LARGE * 8), 10_000);
     tick(&mut balancer, 10_000);
-    let actions = give_back(
+    let actions = deliver_message_with_packet(
         &mut balancer,
         4,
         PeerMessage::Relay,
@@ -183,25 +189,28 @@
         .iter()
         .any(|action| matches!(action, BalancerAction::Forward { to, .. } if *to == node(9)));
     assert!(forwarded, "{actions:?}");
-    assert_eq!(balancer.counters().taken_over, 1);
+    assert_eq!(balancer.counters().relayed_packets_received, 1);
 }
 
 #[test]
 fn a_member_is_forgotten_after_long_silence_and_forgiven_a_stall() {
     let mut members = ZoneMembers::default();
-    let member = Member {
-        capacity: LARGE,
-        link_rate: None,
-        is_able: true,
+    let member = ZoneMember {
+        cpu_millicores: LARGE,
+        link_rate_kbps: None,
+        can_serve: true,
     };
     // What a larger balancer says to those that hand it their packets.
     let greets_within = Duration::from_millis(150);
-    members.greeted(node(2), member, greets_within, at(0));
-    members.forgive_silence(at(20_000));
+    members.record_hello(node(2), member, greets_within, at(0));
+    members.restart_silence_timers(at(20_000));
     members.tick(at(40_000));
     assert_eq!(members.len(), 1);
-    assert_eq!(members.able_from(SMALL, at(20_449)), vec![node(2)]);
-    assert_eq!(members.able_from(SMALL, at(20_450)), vec![]);
+    assert_eq!(
+        members.serving_with_at_least(SMALL, at(20_449)),
+        vec![node(2)]
+    );
+    assert_eq!(members.serving_with_at_least(SMALL, at(20_450)), vec![]);
     members.tick(at(50_001));
     assert!(members.is_empty());
 }
--- a/crates/woodladder-core/tests/flow_store_duty.rs
+++ b/crates/woodladder-core/tests/flow_store_duty.rs
@@ -10,7 +10,7 @@
     Balancer, BalancerAction, BalancerOptions, REGISTERED, WATCHERS,
 };
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage};
 
 /// Balancers of the tests' fleet.
 const FLEET: u8 = 90;
@@ -19,24 +19,24 @@
     let options = BalancerOptions {
         address: node(number),
         zone: ZoneKey::named("a"),
-        capacity: CAPACITY,
-        link_rate: None,
+        cpu_millicores: CAPACITY,
+        link_rate_kbps: None,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     Balancer::new(options, at(0))
 }
 
-fn greeting(version: u64, confirmed_ago_ms: Option<u32>) -> BalancerGreeting {
-    BalancerGreeting {
+fn greeting(version: u64, confirmed_ago_ms: Option<u32>) -> BalancerHello {
+    BalancerHello {
         version,
         confirmed_ago_ms,
         ..peer_greeting()
     }
 }
 
-fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerGreeting, now: u64) {
-    send(balancer, from, PeerMessage::Greeting(greeting), at(now));
+fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerHello, now: u64) {
+    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(now));
 }
 
 /// A fleet in which every balancer has heard every other, and has a
@@ -45,11 +45,11 @@
     (1..=FLEET)
         .map(|number| {
             let mut balancer = balancer_on(number);
-            balancer.configuration(configuration(1));
+            balancer.adopt_store_configuration(configuration(1));
             for other in (1..=FLEET).filter(|other| *other != number) {
                 hear(&mut balancer, other, greeting(1, None), confirmed);
             }
-            balancer.store_confirmed(at(confirmed));
+            balancer.record_store_confirmation(at(confirmed));
             balancer
         })
         .collect()
@@ -58,7 +58,7 @@
 fn watching(fleet: &[Balancer], now: u64) -> usize {
     fleet
         .iter()
-        .filter(|balancer| balancer.store_watch(at(now)).is_some())
+        .filter(|balancer| balancer.store_watch_wait(at(now)).is_some())
         .count()
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(watching(&fleet, 10_100), WATCHERS);
     let listed = fleet
         .iter()
-        .filter(|balancer| balancer.registers(at(10_100)))
+        .filter(|balancer| balancer.should_register(at(10_100)))
         .count();
     assert_eq!(listed, REGISTERED);
 }
@@ -77,7 +77,7 @@
 fn every_balancer_of_a_small_deployment_watches() {
     let mut fleet: Vec<Balancer> = (1..=4).map(balancer_on).collect();
     for (index, balancer) in fleet.iter_mut().enumerate() {
-        balancer.configuration(configuration(1));
+        balancer.adopt_store_configuration(configuration(1));
         for other in (1..=4).filter(|other| usize::from(*other) != index + 1) {
             hear(balancer, other, greeting(1, Some(0)), 10_000);
         }
@@ -100,10 +100,10 @@
 fn a_confirmation_that_another_has_heard_spares_a_call() {
     let mut fleet = fleet(10_000);
     for balancer in &mut fleet {
-        let former = balancer.confirmed_ago(at(12_000));
+        let former = balancer.confirmation_age(at(12_000));
         hear(balancer, 200, greeting(1, Some(300)), 12_000);
         assert_eq!(former, Some(Duration::from_millis(2000)));
-        let ago = balancer.confirmed_ago(at(12_000));
+        let ago = balancer.confirmation_age(at(12_000));
         assert_eq!(ago, Some(Duration::from_millis(300)));
     }
     assert!(watching(&fleet, 14_600) <= WATCHERS);
@@ -113,12 +113,12 @@
 #[test]
 fn a_confirmation_of_a_later_version_counts_once_that_is_adopted() {
     let mut balancer = balancer_on(1);
-    balancer.configuration(configuration(3));
+    balancer.adopt_store_configuration(configuration(3));
     hear(&mut balancer, 2, greeting(5, Some(200)), 1000);
-    balancer.configuration(configuration(4));
-    assert_eq!(balancer.confirmed_ago(at(1100)), None);
-    balancer.configuration(configuration(5));
-    let ago = balancer.confirmed_ago(at(1100));
+    balancer.adopt_store_configuration(configuration(4));
+    assert_eq!(balancer.confirmation_age(at(1100)), None);
+    balancer.adopt_store_configuration(configuration(5));
+    let ago = balancer.confirmation_age(at(1100));
     assert_eq!(ago, Some(Duration::from_millis(300)));
 }
 
@@ -127,18 +127,18 @@
 #[test]
 fn a_confirmation_of_a_later_version_says_nothing_of_the_own_one() {
     let mut balancer = balancer_on(1);
-    balancer.configuration(configuration(3));
+    balancer.adopt_store_configuration(configuration(3));
     hear(&mut balancer, 2, greeting(4, Some(0)), 100);
-    assert_eq!(balancer.confirmed_ago(at(100)), None);
+    assert_eq!(balancer.confirmation_age(at(100)), None);
     hear(&mut balancer, 2, greeting(0, Some(0)), 100);
-    assert_eq!(balancer.confirmed_ago(at(100)), None);
+    assert_eq!(balancer.confirmation_age(at(100)), None);
     hear(&mut balancer, 2, greeting(3, Some(0)), 100);
-    assert_eq!(balancer.confirmed_ago(at(100)), Some(Duration::ZERO));
+    assert_eq!(balancer.confirmation_age(at(100)), Some(Duration::ZERO));
 }
 
 fn seeded(number: u8, seeds: &[NodeAddress]) -> Balancer {
     let mut balancer = balancer_on(number);
-    balancer.seeded(seeds, at(0), &mut Vec::new());
+    balancer.add_seed_balancers(seeds, at(0), &mut Vec::new());
     balancer
 }
 
@@ -148,14 +148,14 @@
     let mut fleet: Vec<Balancer> = (1..=FLEET).map(|number| seeded(number, &seeds)).collect();
     assert_eq!(watching(&fleet, 20), seeds.len());
     for balancer in &mut fleet {
-        balancer.configuration(configuration(1));
+        balancer.adopt_store_configuration(configuration(1));
         for other in 1..=FLEET {
             hear(balancer, other, greeting(1, Some(10)), 60);
         }
     }
     let listing = fleet
         .iter()
-        .filter(|balancer| balancer.registers(at(900)))
+        .filter(|balancer| balancer.should_register(at(900)))
         .count();
     assert_eq!(listing, 0);
     assert!(watching(&fleet, 600) <= WATCHERS);
@@ -164,10 +164,10 @@
 #[test]
 fn a_balancer_whose_seeds_are_gone_asks_the_store() {
     let balancer = seeded(7, &[node(1), node(2)]);
-    assert!(balancer.store_watch(at(100)).is_none());
-    assert!(balancer.store_watch(at(600)).is_some());
+    assert!(balancer.store_watch_wait(at(100)).is_none());
+    assert!(balancer.store_watch_wait(at(600)).is_some());
     let alone = seeded(7, &[]);
-    assert!(alone.store_watch(at(0)).is_some());
+    assert!(alone.store_watch_wait(at(0)).is_some());
 }
 
 /// After a loss of all power the store's list still names those that were
@@ -175,27 +175,27 @@
 #[test]
 fn a_balancer_that_the_list_names_reads_the_configuration_at_once() {
     let mut balancer = seeded(7, &[node(1), node(2)]);
-    balancer.listed(&[node(5), node(6)], at(10), &mut Vec::new());
-    assert!(balancer.store_watch(at(10)).is_none());
-    balancer.listed(&[node(5), node(7)], at(20), &mut Vec::new());
-    assert!(balancer.store_watch(at(20)).is_some());
+    balancer.add_listed_balancers(&[node(5), node(6)], at(10), &mut Vec::new());
+    assert!(balancer.store_watch_wait(at(10)).is_none());
+    balancer.add_listed_balancers(&[node(5), node(7)], at(20), &mut Vec::new());
+    assert!(balancer.store_watch_wait(at(20)).is_some());
 }
 
 #[test]
 fn a_configuration_from_the_store_is_told_to_all_that_lack_it_at_once() {
     let mut balancer = balancer_on(1);
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     for other in 2..=FLEET {
         let version = if other % 2 == 0 { 1 } else { 2 };
         hear(&mut balancer, other, greeting(version, None), 10_000);
     }
     balancer.tick(at(10_010), &mut Vec::new());
-    balancer.configuration(configuration(2));
+    balancer.adopt_store_configuration(configuration(2));
     let mut actions = Vec::new();
     balancer.tick(at(10_020), &mut actions);
     for other in (2..=FLEET).filter(|other| other % 2 == 0) {
         let is_told = actions.iter().any(|action| {
-            matches!(action, BalancerAction::Send { to, message: PeerMessage::Greeting(greeting) }
+            matches!(action, BalancerAction::Send { to, message: PeerMessage::Hello(greeting) }
                 if *to == node(other) && greeting.version == 2)
         });
         assert!(is_told, "{other}");
@@ -205,11 +205,11 @@
 #[test]
 fn the_clock_of_another_machine_does_not_make_the_configuration_newer() {
     let mut balancer = balancer_on(1);
-    balancer.configuration(configuration(1));
-    balancer.store_confirmed(at(5000));
+    balancer.adopt_store_configuration(configuration(1));
+    balancer.record_store_confirmation(at(5000));
     hear(&mut balancer, 2, greeting(1, Some(u32::MAX)), 6000);
     assert_eq!(
-        balancer.confirmed_ago(at(6000)),
+        balancer.confirmation_age(at(6000)),
         Some(Duration::from_secs(1))
     );
 }
--- a/crates/woodladder-core/tests/flow_store_session.rs
+++ b/crates/woodladder-core/tests/flow_store_session.rs
@@ -7,8 +7,8 @@
 
 use flow_support::*;
 use woodladder_core::flow::store_session::{
-    BalancerList, BalancerRegistration, ConfigurationWatch, ListNeed, NextCall, StoreCall,
-    StoreReply, ZoneStatement,
+    BalancerDiscovery, BalancerRegistration, ConfigurationWatch, ListNeed, NextCall, StoreCall,
+    StoreReply, ZoneUpdate,
 };
 
 /// The longest wait of one watch.
@@ -18,7 +18,7 @@
 fn configuration_reply(revision: u64) -> StoreReply {
     StoreReply::OperatorState {
         configuration: None,
-        zones: ZoneStatement::Changes(Vec::new()),
+        zones: ZoneUpdate::Changes(Vec::new()),
         revision,
     }
 }
@@ -43,7 +43,7 @@
     assert_eq!(call(watch.next(WAIT, at(0))), StoreCall::ReadConfiguration);
     let read = StoreReply::OperatorState {
         configuration: Some((*configuration(3)).clone()),
-        zones: ZoneStatement::All(BTreeSet::new()),
+        zones: ZoneUpdate::All(BTreeSet::new()),
         revision: 40,
     };
     let state = watch.reply(read, at(5)).expect("the store has answered");
@@ -61,7 +61,7 @@
     watch.next(WAIT, at(0));
     let changed = |version, revision| StoreReply::OperatorState {
         configuration: Some((*configuration(version)).clone()),
-        zones: ZoneStatement::Changes(Vec::new()),
+        zones: ZoneUpdate::Changes(Vec::new()),
         revision,
     };
     watch.reply(changed(3, 40), at(5));
@@ -90,7 +90,7 @@
         watch.next(WAIT, at(0));
         let read = StoreReply::OperatorState {
             configuration: None,
-            zones: ZoneStatement::All(BTreeSet::new()),
+            zones: ZoneUpdate::All(BTreeSet::new()),
             revision: 40,
         };
         watch.reply(read, at(5));
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_list_is_read_often_only_while_no_balancer_is_heard() {
-    let mut list = BalancerList::new(1, true, at(0));
+    let mut list = BalancerDiscovery::new(1, true, at(0));
     assert_eq!(
         call(list.next(at(0))),
         StoreCall::ListBalancers { stale: true }
@@ -187,7 +187,7 @@
         vec![node(2)]
     );
     assert!(waits_until(list.next(at(5))) <= Duration::from_millis(700));
-    list.needed_for(ListNeed::Safeguard, at(5));
+    list.set_need(ListNeed::Safeguard, at(5));
     list.next(at(700));
     list.reply(StoreReply::Balancers(vec![node(2)]), at(705));
     assert!(waits_until(list.next(at(705))) >= Duration::from_secs(15));
@@ -197,8 +197,8 @@
 /// a tenth.
 #[test]
 fn lists_may_be_old_once_balancers_are_listed_and_heard() {
-    let mut list = BalancerList::new(1, false, at(0));
-    list.needed_for(ListNeed::Safeguard, at(0));
+    let mut list = BalancerDiscovery::new(1, false, at(0));
+    list.set_need(ListNeed::Safeguard, at(0));
     assert_eq!(
         call(list.next(at(0))),
         StoreCall::ListBalancers { stale: false }
@@ -210,7 +210,7 @@
         StoreCall::ListBalancers { stale: true }
     );
     list.reply(StoreReply::NoAnswer, at(due + 2));
-    list.needed_for(ListNeed::Urgent, at(due + 3));
+    list.set_need(ListNeed::Urgent, at(due + 3));
     assert_eq!(
         call(list.next(at(due + 800))),
         StoreCall::ListBalancers { stale: false }
@@ -220,23 +220,23 @@
 /// At a start the list is empty, and balancers are heard before it is read again.
 #[test]
 fn a_balancer_that_is_heard_puts_the_next_list_off() {
-    let mut list = BalancerList::new(1, true, at(0));
+    let mut list = BalancerDiscovery::new(1, true, at(0));
     list.next(at(0));
     list.reply(StoreReply::Balancers(vec![]), at(5));
-    list.needed_for(ListNeed::Safeguard, at(100));
+    list.set_need(ListNeed::Safeguard, at(100));
     assert!(waits_until(list.next(at(700))) >= Duration::from_secs(15));
-    list.needed_for(ListNeed::Urgent, at(800));
+    list.set_need(ListNeed::Urgent, at(800));
     assert!(matches!(list.next(at(1500)), NextCall::Now(_)));
 }
 
 #[test]
 fn a_list_that_the_store_refuses_is_not_repeated_while_balancers_are_heard() {
-    let mut list = BalancerList::new(1, true, at(0));
+    let mut list = BalancerDiscovery::new(1, true, at(0));
     list.next(at(0));
-    list.needed_for(ListNeed::Safeguard, at(3));
+    list.set_need(ListNeed::Safeguard, at(3));
     list.reply(StoreReply::Refused, at(5));
     assert!(waits_until(list.next(at(5))) >= Duration::from_secs(15));
-    let mut alone = BalancerList::new(1, true, at(0));
+    let mut alone = BalancerDiscovery::new(1, true, at(0));
     alone.next(at(0));
     alone.reply(StoreReply::Refused, at(5));
     assert!(waits_until(alone.next(at(5))) <= Duration::from_millis(100));
@@ -246,23 +246,23 @@
 /// when they hear nobody.
 #[test]
 fn a_node_that_hears_balancers_leaves_the_list_to_a_few() {
-    let mut list = BalancerList::new(1, true, at(0));
+    let mut list = BalancerDiscovery::new(1, true, at(0));
     list.next(at(0));
     list.reply(StoreReply::Balancers(vec![node(2)]), at(5));
-    list.needed_for(ListNeed::Nothing, at(10));
+    list.set_need(ListNeed::Nothing, at(10));
     assert!(waits_until(list.next(at(600_000))) > Duration::from_secs(600));
-    list.needed_for(ListNeed::Urgent, at(600_000));
+    list.set_need(ListNeed::Urgent, at(600_000));
     assert!(matches!(list.next(at(600_700)), NextCall::Now(_)));
 }
 
 #[test]
 fn an_agent_that_is_greeted_soon_after_its_start_reads_no_list() {
-    let mut list = BalancerList::after_others(1, at(0));
+    let mut list = BalancerDiscovery::with_initial_delay(1, at(0));
     assert!(waits_until(list.next(at(0))) >= Duration::from_millis(300));
-    list.needed_for(ListNeed::Nothing, at(50));
+    list.set_need(ListNeed::Nothing, at(50));
     assert!(waits_until(list.next(at(2000))) >= Duration::from_secs(15));
-    let mut alone = BalancerList::after_others(1, at(0));
-    alone.needed_for(ListNeed::Urgent, at(50));
+    let mut alone = BalancerDiscovery::with_initial_delay(1, at(0));
+    alone.set_need(ListNeed::Urgent, at(50));
     assert!(matches!(alone.next(at(600)), NextCall::Now(_)));
 }
 
--- a/crates/woodladder-core/tests/flow_support/mod.rs
+++ b/crates/woodladder-core/tests/flow_support/mod.rs
@@ -6,13 +6,15 @@
 use std::time::Duration;
 
 use woodladder_core::clock::Instant;
-use woodladder_core::flow::agent::{Agent, AgentOptions, Delivery, Departure, Heartbeat};
+use woodladder_core::flow::agent::{
+    Agent, AgentOptions, ForwardDecision, Heartbeat, TargetPacketDecision,
+};
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, BalancerOptions, Routing};
 use woodladder_core::flow::configuration::{Configuration, Route, RoutePart, RouteTerms};
 use woodladder_core::flow::excluded_zones::ExcludedZones;
 use woodladder_core::flow::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey, ZoneKey};
 use woodladder_core::flow::message::{
-    BalancerGreeting, ForwardHeader, ForwardPurpose, OpeningTerms, PeerMessage, TargetLoad,
+    BalancerHello, ForwardHeader, ForwardPurpose, OpeningTerms, PeerMessage, TargetLoad,
     TargetReport, TargetState,
 };
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
@@ -38,12 +40,12 @@
 }
 
 /// The service that the tests use.
-pub fn kitchen() -> ServiceKey {
+pub fn main_service() -> ServiceKey {
     ServiceKey::named("kitchen")
 }
 
-/// A service whose packets must not reach [`kitchen`].
-pub fn print() -> ServiceKey {
+/// A service whose packets must not reach [`main_service`].
+pub fn other_service() -> ServiceKey {
     ServiceKey::named("print")
 }
 
@@ -71,20 +73,20 @@
     kind: PacketKind,
     sequence: u32,
     acknowledgement: u32,
-    payload: u16,
+    payload_length: u16,
 ) -> FlowPacket {
     FlowPacket {
         key,
         kind,
         sequence,
         acknowledgement,
-        payload,
+        payload_length,
     }
 }
 
-/// A configuration whose first route leads to [`kitchen`].
+/// A configuration whose first route leads to [`main_service`].
 pub fn configuration(version: u64) -> Arc<Configuration> {
-    configuration_of(version, &[(1, &[(kitchen(), 1)])])
+    configuration_of(version, &[(1, &[(main_service(), 1)])])
 }
 
 /// A configuration with these routes.
@@ -113,8 +115,8 @@
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        capacity: CAPACITY,
-        link_rate: None,
+        cpu_millicores: CAPACITY,
+        link_rate_kbps: None,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
@@ -122,17 +124,17 @@
 }
 
 /// A balancer with room for many flows and a configuration.
-pub fn wide_balancer() -> Balancer {
+pub fn large_table_balancer() -> Balancer {
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        capacity: CAPACITY,
-        link_rate: None,
+        cpu_millicores: CAPACITY,
+        link_rate_kbps: None,
         flow_capacity: 100_000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     balancer
 }
 
@@ -140,9 +142,9 @@
 /// it is ten seconds after its start.
 pub fn balancer(agents: &[u8]) -> Balancer {
     let mut balancer = empty_balancer();
-    balancer.configuration(configuration(1));
+    balancer.adopt_store_configuration(configuration(1));
     for agent in agents {
-        tell(&mut balancer, *agent, &report(*agent, 1), at(10_000));
+        deliver_report(&mut balancer, *agent, &report(*agent, 1), at(10_000));
     }
     balancer
 }
@@ -152,14 +154,14 @@
     TargetReport {
         epoch: u64::from(agent),
         sequence,
-        service: kitchen(),
+        service: main_service(),
         incarnation: Some(Incarnation(u64::from(agent))),
-        born_ms: None,
-        former_heard_ms: 0,
+        started_at_ms: None,
+        previous_heartbeat_age_ms: 0,
         knows_all_flows: false,
         zone: ZoneKey::named("a"),
         state: TargetState::Ready,
-        capacity: 7,
+        slots: 7,
         warm_up_ms: 0,
         load: TargetLoad::default(),
         version: 1,
@@ -168,29 +170,29 @@
 }
 
 /// Gives a report to a balancer.
-pub fn tell(
+pub fn deliver_report(
     balancer: &mut Balancer,
     agent: u8,
     report: &TargetReport,
     now: Instant,
 ) -> Vec<BalancerAction> {
-    send(balancer, agent, PeerMessage::Report(*report), now)
+    deliver_message(balancer, agent, PeerMessage::Report(*report), now)
 }
 
 /// Gives a message without a packet to a balancer.
-pub fn send(
+pub fn deliver_message(
     balancer: &mut Balancer,
     agent: u8,
     message: PeerMessage,
     now: Instant,
 ) -> Vec<BalancerAction> {
     let mut actions = Vec::new();
-    balancer.message(node(agent), message, None, now, &mut actions);
+    balancer.handle_message(node(agent), message, None, now, &mut actions);
     actions
 }
 
 /// Gives a message with a packet to a balancer.
-pub fn give_back(
+pub fn deliver_message_with_packet(
     balancer: &mut Balancer,
     agent: u8,
     message: PeerMessage,
@@ -198,7 +200,7 @@
     now: Instant,
 ) -> Vec<BalancerAction> {
     let mut actions = Vec::new();
-    balancer.message(
+    balancer.handle_message(
         node(agent),
         message,
         Some((packet, b"packet")),
@@ -218,12 +220,12 @@
     }
 }
 
-/// An agent of [`kitchen`] on machine 9 that knows nothing.
+/// An agent of [`main_service`] on machine 9 that knows nothing.
 pub fn empty_agent() -> Agent {
     let options = AgentOptions {
         address: node(9),
         zone: ZoneKey::named("a"),
-        service: kitchen(),
+        service: main_service(),
         epoch: 1,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
@@ -236,20 +238,22 @@
 /// An agent whose target began with it.
 pub fn agent() -> Agent {
     let mut agent = empty_agent();
-    agent.heartbeat(&beat(1, 1), at(0)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(1, 1), at(0))
+        .expect("heartbeat");
     agent
 }
 
 /// A heartbeat of a ready target with seven slots.
-pub fn beat(incarnation: u64, sequence: u64) -> Heartbeat {
+pub fn heartbeat(incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         incarnation: Incarnation(incarnation),
-        name: Incarnation(incarnation),
-        born_ms: None,
-        service: kitchen(),
+        instance: Incarnation(incarnation),
+        started_unix_ms: None,
+        service: main_service(),
         leaving: false,
-        capacity: 7,
-        warm_up: Duration::ZERO,
+        slots: 7,
+        warm_up_remaining: Duration::ZERO,
         sequence,
     }
 }
@@ -257,7 +261,7 @@
 /// A header of a balancer with a version.
 pub fn header(version: u64, purpose: ForwardPurpose) -> ForwardHeader {
     ForwardHeader {
-        service: kitchen(),
+        service: main_service(),
         version,
         purpose,
     }
@@ -271,7 +275,7 @@
         aim_ms: 300,
         timeout_ms: u32::MAX,
         is_urgent: false,
-        believed_load: None,
+        estimated_load: None,
     }
 }
 
@@ -281,7 +285,7 @@
     header: &ForwardHeader,
     packet: &FlowPacket,
     now: Instant,
-) -> Delivery {
+) -> ForwardDecision {
     forward_from(agent, 1, header, packet, now)
 }
 
@@ -292,8 +296,8 @@
     header: &ForwardHeader,
     packet: &FlowPacket,
     now: Instant,
-) -> Delivery {
-    agent.forwarded(node(balancer), header, packet, b"packet", now)
+) -> ForwardDecision {
+    agent.handle_forwarded_packet(node(balancer), header, packet, b"packet", now)
 }
 
 /// A header of an opening.
@@ -302,43 +306,47 @@
 }
 
 /// Whether a packet reaches the target.
-pub fn is_delivered(delivery: &Delivery) -> bool {
-    matches!(delivery, Delivery::Deliver { .. })
+pub fn is_delivered(delivery: &ForwardDecision) -> bool {
+    matches!(delivery, ForwardDecision::Deliver { .. })
 }
 
 /// Opens a flow at an agent's target.
-pub fn open_at(agent: &mut Agent, key: FlowKey, now: Instant) {
+pub fn open_flow_at(agent: &mut Agent, key: FlowKey, now: Instant) {
     let delivery = forward_to(agent, &open_header(1), &opening(key, 0), now);
     assert!(is_delivered(&delivery), "{delivery:?}");
     let accept = packet(key, PacketKind::Accept, 5000, 1001, 0);
-    let departure = agent.departing(&accept, None, now);
-    assert!(matches!(departure, Departure::ToCaller(Some(_))));
+    let departure = agent.handle_target_packet(&accept, None, now);
+    assert!(matches!(departure, TargetPacketDecision::ToCaller(Some(_))));
     let first = header(1, ForwardPurpose::Established);
     let delivery = forward_to(agent, &first, &data(key, 1001, 5001), now);
     assert!(is_delivered(&delivery), "{delivery:?}");
 }
 
 /// Gives a caller's packet to a balancer.
-pub fn arrive(balancer: &mut Balancer, packet: &FlowPacket, now: Instant) -> Routing {
-    balancer.caller_packet(packet, b"packet", now)
+pub fn deliver_caller_packet(
+    balancer: &mut Balancer,
+    packet: &FlowPacket,
+    now: Instant,
+) -> Routing {
+    balancer.route_caller_packet(packet, b"packet", now)
 }
 
 /// A greeting of another balancer of the same zone and size, which knows the
 /// first version.
-pub fn peer_greeting() -> BalancerGreeting {
-    BalancerGreeting {
+pub fn peer_greeting() -> BalancerHello {
+    BalancerHello {
         version: 1,
         report_interval_ms: 100,
-        asks_for_report: false,
-        next_within_ms: 500,
+        requests_report: false,
+        next_hello_within_ms: 500,
         confirmed_ago_ms: None,
         excluded_zones: ExcludedZones::default(),
-        leaving: false,
-        hears_agents: true,
+        is_leaving: false,
+        has_agent_contact: true,
         zone: ZoneKey::named("a"),
-        capacity: CAPACITY,
-        link_rate: None,
-        is_able: true,
+        cpu_millicores: CAPACITY,
+        link_rate_kbps: None,
+        can_serve: true,
         balancers: vec![],
     }
 }
--- a/crates/woodladder-core/tests/flow_target_end.rs
+++ b/crates/woodladder-core/tests/flow_target_end.rs
@@ -30,19 +30,23 @@
 fn flows_of_a_target_that_was_replaced_are_reset_and_no_others() {
     let mut balancer = balancer(&[2, 3]);
     for port in 1..=4 {
-        let to = only_receiver(&arrive(&mut balancer, &opening(flow(port), 0), at(10_010)));
+        let to = only_receiver(&deliver_caller_packet(
+            &mut balancer,
+            &opening(flow(port), 0),
+            at(10_010),
+        ));
         let acceptance = PeerMessage::Accepted {
             key: flow(port),
             sequence: 5000,
             incarnation: Some(Incarnation(number(to).into())),
             load: TargetLoad::default(),
         };
-        send(&mut balancer, number(to), acceptance, at(10_011));
-        arrive(&mut balancer, &data(flow(port), 1001, 5001), at(10_012));
+        deliver_message(&mut balancer, number(to), acceptance, at(10_011));
+        deliver_caller_packet(&mut balancer, &data(flow(port), 1001, 5001), at(10_012));
     }
     let mut replaced = report(2, 2);
     replaced.incarnation = Some(Incarnation(99));
-    let actions = tell(&mut balancer, 2, &replaced, at(10_050));
+    let actions = deliver_report(&mut balancer, 2, &replaced, at(10_050));
     let resets = actions
         .iter()
         .filter(|action| matches!(action, BalancerAction::Reset(reset) if reset.sequence == 5001))
@@ -57,20 +61,20 @@
 fn a_flow_opened_after_the_former_incarnation_was_last_heard_is_not_reset() {
     let mut balancer = balancer(&[2]);
     for (port, time) in [(1, 10_010), (2, 10_300)] {
-        arrive(&mut balancer, &opening(flow(port), 0), at(time));
+        deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(time));
         let acceptance = PeerMessage::Accepted {
             key: flow(port),
             sequence: 5000,
             incarnation: Some(Incarnation(2)),
             load: TargetLoad::default(),
         };
-        send(&mut balancer, 2, acceptance, at(time + 1));
-        arrive(&mut balancer, &data(flow(port), 1001, 5001), at(time + 2));
+        deliver_message(&mut balancer, 2, acceptance, at(time + 1));
+        deliver_caller_packet(&mut balancer, &data(flow(port), 1001, 5001), at(time + 2));
     }
     let mut replaced = report(2, 2);
     replaced.incarnation = Some(Incarnation(99));
-    replaced.former_heard_ms = 200;
-    let actions = tell(&mut balancer, 2, &replaced, at(10_400));
+    replaced.previous_heartbeat_age_ms = 200;
+    let actions = deliver_report(&mut balancer, 2, &replaced, at(10_400));
     let resets: Vec<u16> = actions
         .iter()
         .filter_map(|action| match action {
@@ -85,9 +89,13 @@
 fn a_stalled_balancer_takes_no_silence_for_a_loss() {
     let mut balancer = balancer(&[2, 3]);
     balancer.tick(at(10_010), &mut Vec::new());
-    let to = only_receiver(&arrive(&mut balancer, &opening(flow(1), 0), at(10_011)));
-    send(&mut balancer, number(to), accepted(1, 5000), at(10_012));
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_013));
+    let to = only_receiver(&deliver_caller_packet(
+        &mut balancer,
+        &opening(flow(1), 0),
+        at(10_011),
+    ));
+    deliver_message(&mut balancer, number(to), accepted(1, 5000), at(10_012));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_013));
     let mut actions = Vec::new();
     balancer.tick(at(14_000), &mut actions);
     let resets = actions
@@ -104,16 +112,20 @@
     let mut port = 0;
     loop {
         port += 1;
-        let to = only_receiver(&arrive(&mut balancer, &opening(flow(port), 0), at(10_011)));
+        let to = only_receiver(&deliver_caller_packet(
+            &mut balancer,
+            &opening(flow(port), 0),
+            at(10_011),
+        ));
         if to == node(2) {
             break;
         }
     }
-    arrive(&mut balancer, &data(flow(port), 1001, 5001), at(10_013));
+    deliver_caller_packet(&mut balancer, &data(flow(port), 1001, 5001), at(10_013));
     let mut actions = Vec::new();
     for step in 1..=60 {
         let now = 10_010 + step * 25;
-        tell(&mut balancer, 3, &report(3, 1 + step), at(now));
+        deliver_report(&mut balancer, 3, &report(3, 1 + step), at(now));
         balancer.tick(at(now), &mut actions);
     }
     let resets: Vec<_> = actions
@@ -130,20 +142,20 @@
 #[test]
 fn flows_of_an_agent_that_now_stands_for_another_service_are_reset() {
     let mut balancer = balancer(&[2]);
-    arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let acceptance = PeerMessage::Accepted {
         key: flow(1),
         sequence: 5000,
         incarnation: Some(Incarnation(2)),
         load: TargetLoad::default(),
     };
-    send(&mut balancer, 2, acceptance, at(10_011));
-    arrive(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
+    deliver_message(&mut balancer, 2, acceptance, at(10_011));
+    deliver_caller_packet(&mut balancer, &data(flow(1), 1001, 5001), at(10_012));
     let mut other = report(2, 1);
     other.epoch = 77;
-    other.service = print();
+    other.service = other_service();
     other.incarnation = None;
-    let actions = tell(&mut balancer, 2, &other, at(10_300));
+    let actions = deliver_report(&mut balancer, 2, &other, at(10_300));
     let resets: Vec<_> = actions
         .iter()
         .filter(|action| matches!(action, BalancerAction::Reset(_)))
--- a/crates/woodladder-core/tests/flow_tick_interval.rs
+++ b/crates/woodladder-core/tests/flow_tick_interval.rs
@@ -25,7 +25,7 @@
 fn an_agent_that_has_met_a_balancer_reports_with_a_tick_that_comes_soon() {
     let mut agent = agent();
     agent.tick(at(10_000), &mut Vec::new());
-    agent.listed(&[node(1)], at(10_001));
+    agent.add_listed_balancers(&[node(1)], at(10_001));
     assert_eq!(agent.tick_interval(), SHORT);
 }
 
@@ -33,7 +33,7 @@
 fn a_balancer_ticks_often_while_an_opening_waits_or_a_flow_is_searched_for() {
     let mut searching = balancer(&[2]);
     assert!(searching.tick_interval() > SHORT);
-    arrive(&mut searching, &data(flow(1), 1, 1), at(10_010));
+    deliver_caller_packet(&mut searching, &data(flow(1), 1, 1), at(10_010));
     assert_eq!(searching.tick_interval(), SHORT);
 
     let mut waiting = balancer(&[2]);
@@ -41,7 +41,7 @@
         state: TargetState::Leaving,
         ..report(2, 2)
     };
-    tell(&mut waiting, 2, &leaving, at(10_001));
-    arrive(&mut waiting, &opening(flow(1), 0), at(10_010));
+    deliver_report(&mut waiting, 2, &leaving, at(10_001));
+    deliver_caller_packet(&mut waiting, &opening(flow(1), 0), at(10_010));
     assert_eq!(waiting.tick_interval(), SHORT);
 }
--- a/crates/woodladder-core/tests/flow_unequal_links.rs
+++ b/crates/woodladder-core/tests/flow_unequal_links.rs
@@ -11,7 +11,7 @@
     Balancer, BalancerAction, BalancerOptions, NotReadyReason, Routing,
 };
 use woodladder_core::flow::identity::ZoneKey;
-use woodladder_core::flow::message::{BalancerGreeting, PeerMessage};
+use woodladder_core::flow::message::{BalancerHello, PeerMessage};
 
 /// Processor of each balancer, in thousandths of a core.
 const EQUAL: u32 = 300;
@@ -20,11 +20,11 @@
 /// Kilobits a second.
 const WIDE: u32 = 200_000;
 
-fn greeting(zone: &str, link_rate: u32) -> BalancerGreeting {
-    BalancerGreeting {
+fn greeting(zone: &str, link_rate: u32) -> BalancerHello {
+    BalancerHello {
         zone: ZoneKey::named(zone),
-        capacity: EQUAL,
-        link_rate: Some(link_rate),
+        cpu_millicores: EQUAL,
+        link_rate_kbps: Some(link_rate),
         ..peer_greeting()
     }
 }
@@ -34,25 +34,25 @@
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        capacity: EQUAL,
-        link_rate: Some(link_rate),
+        cpu_millicores: EQUAL,
+        link_rate_kbps: Some(link_rate),
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
     let mut balancer = Balancer::new(options, at(0));
-    balancer.configuration(configuration(1));
-    tell(&mut balancer, 9, &report(9, 1), at(10_000));
+    balancer.adopt_store_configuration(configuration(1));
+    deliver_report(&mut balancer, 9, &report(9, 1), at(10_000));
     balancer
 }
 
-fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerGreeting) -> Vec<BalancerAction> {
-    send(balancer, from, PeerMessage::Greeting(greeting), at(10_000))
+fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerHello) -> Vec<BalancerAction> {
+    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(10_000))
 }
 
 fn first_routing(balancer: &mut Balancer) -> Routing {
     let mut actions = Vec::new();
     balancer.tick(at(10_010), &mut actions);
-    arrive(balancer, &opening(flow(1), 0), at(10_020))
+    deliver_caller_packet(balancer, &opening(flow(1), 0), at(10_020))
 }
 
 #[test]
@@ -70,13 +70,16 @@
         hear(&mut balancer, wide, greeting("a", WIDE));
     }
     hear(&mut balancer, 4, greeting("a", NARROW));
-    assert_eq!(balancer.ready(at(10_010)), Err(NotReadyReason::Standby));
+    assert_eq!(
+        balancer.check_ready(at(10_010)),
+        Err(NotReadyReason::Standby)
+    );
 
     let mut even = balancer_behind(WIDE);
     for wide in [2, 3, 4] {
         hear(&mut even, wide, greeting("a", WIDE));
     }
-    assert_eq!(even.ready(at(10_010)), Ok(()));
+    assert_eq!(even.check_ready(at(10_010)), Ok(()));
 }
 
 #[test]
