--- a/crates/woodladder-core/tests/flow_uneven_targets.rs
+++ b/crates/woodladder-core/tests/flow_uneven_targets.rs
@@ -6,12 +6,12 @@
 
 use flow_support::*;
 use woodladder_core::flow::agent::Agent;
-use woodladder_core::flow::directory::Directory;
+use woodladder_core::flow::directory::AgentDirectory;
 use woodladder_core::flow::excluded_zones::ExcludedZones;
 use woodladder_core::flow::identity::{FlowKey, ZoneKey};
 use woodladder_core::flow::message::{ForwardPurpose, PeerMessage, TargetReport};
 use woodladder_core::flow::packet::PacketKind;
-use woodladder_core::flow::selection::Choice;
+use woodladder_core::flow::selection::TargetSelector;
 
 /// Targets of the service.
 const TARGETS: u8 = 24;
@@ -42,18 +42,18 @@
 
 fn target_report(target: u8, sequence: u64, flows: u32, states_work: bool) -> TargetReport {
     let mut report = report(target, sequence);
-    report.capacity = 2;
+    report.slots = 2;
     report.load.flows = flows;
     report.load.service_time_us = whole(service_time(target) * 1e6);
     let thousandths = u16::try_from(whole(work(target, flows) * 1000.0)).expect("few slots");
-    report.load.resting_work = states_work.then_some(thousandths);
+    report.load.idle_flow_work_millislots = states_work.then_some(thousandths);
     report
 }
 
 /// Places flows one after the other; a report comes after each tenth. Returns the
 /// busiest target's work against the mean.
 fn imbalance(states_work: bool) -> f64 {
-    let mut directory = Directory::default();
+    let mut directory = AgentDirectory::default();
     let mut flows = [0u32; TARGETS as usize];
     let mut changes = Vec::new();
     let mut sequence = 0;
@@ -64,19 +64,19 @@
             for target in 0..TARGETS {
                 let held = flows[usize::from(target)];
                 let report = target_report(target, sequence, held, states_work);
-                directory.report(node(target), &report, at(1000), &mut changes);
+                directory.apply_report(node(target), &report, at(1000), &mut changes);
             }
         }
-        let choice = Choice {
+        let choice = TargetSelector {
             directory: &directory,
             excluded_zones: &zones,
             zone: ZoneKey::named("a"),
             key: flow(number),
-            service: kitchen(),
+            service: main_service(),
             tried: &[],
             bytes_per_flow: 0,
         };
-        let chosen = choice.best(at(1000)).expect("a target");
+        let chosen = choice.select(at(1000)).expect("a target");
         let target = (0..TARGETS)
             .find(|target| node(*target) == chosen.agent)
             .expect("a known target");
@@ -103,7 +103,7 @@
 /// Opens a flow at the agent and lets it ask, with this long between requests and for
 /// each answer.
 fn ask(agent: &mut Agent, key: FlowKey, start: u64, requests: u32, pause: u64, takes: u64) {
-    open_at(agent, key, at(start));
+    open_flow_at(agent, key, at(start));
     let established = header(1, ForwardPurpose::Established);
     let mut next = 2001;
     for number in 0..requests {
@@ -114,14 +114,14 @@
             forward_to(agent, &established, &request, at(asked));
         }
         let answer = packet(key, PacketKind::Data, 5001 + number, next, 1);
-        agent.departing(&answer, None, at(asked + takes));
+        agent.handle_target_packet(&answer, None, at(asked + takes));
     }
 }
 
 fn stated_work(agent: &mut Agent, now: u64) -> Option<u16> {
     let mut actions = Vec::new();
-    agent.message(node(1), &PeerMessage::Probe, at(now), &mut actions);
-    agent.load().resting_work
+    agent.handle_message(node(1), &PeerMessage::Probe, at(now), &mut actions);
+    agent.load().idle_flow_work_millislots
 }
 
 #[test]
@@ -169,6 +169,8 @@
         stated_work(&mut agent, 1990 + second * 1000);
     }
     assert!(stated_work(&mut agent, 11_000).is_some());
-    agent.heartbeat(&beat(2, 1), at(11_001)).expect("heartbeat");
+    agent
+        .handle_heartbeat(&heartbeat(2, 1), at(11_001))
+        .expect("heartbeat");
     assert_eq!(stated_work(&mut agent, 11_010), None);
 }
--- a/crates/woodladder-core/tests/flow_warm_up.rs
+++ b/crates/woodladder-core/tests/flow_warm_up.rs
@@ -9,14 +9,14 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AgentOptions, AnswerBody, Delivery, Heartbeat, WarmUpBounds,
+    Agent, AgentAction, AgentOptions, ForwardDecision, Heartbeat, ReplyBody, WarmUpBounds,
 };
 use woodladder_core::flow::configuration::{Configuration, ServiceTerms};
 use woodladder_core::flow::excluded_zones::ExcludedZones;
 use woodladder_core::flow::identity::ZoneKey;
 use woodladder_core::flow::message::{
-    BalancerGreeting, ForwardPurpose, OpeningTerms, PeerMessage, ReturnReason, Snapshot,
-    TargetLoad, TargetReport, TargetState,
+    BalancerHello, ForwardPurpose, OpeningTerms, PeerMessage, ReturnReason, Snapshot, TargetLoad,
+    TargetReport, TargetState,
 };
 use woodladder_core::flow::packet::PacketKind;
 
@@ -28,7 +28,7 @@
 fn configured(rate: u32) -> Configuration {
     Configuration {
         services: vec![ServiceTerms {
-            service: kitchen(),
+            service: main_service(),
             warm_up_ms: COLD_MS,
             warm_up_rate: rate * 1000,
         }],
@@ -40,7 +40,7 @@
     let options = AgentOptions {
         address: node(9),
         zone: ZoneKey::named("a"),
-        service: kitchen(),
+        service: main_service(),
         epoch: 1,
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
@@ -58,14 +58,14 @@
         configuration: Some(configured(rate)),
         ..Snapshot::default()
     };
-    agent.snapshot(node(1), snapshot, now);
+    agent.apply_snapshot(node(1), snapshot, now);
 }
 
 fn cold_beat(incarnation: u64, sequence: u64, cold_for: u64) -> Heartbeat {
     Heartbeat {
-        warm_up: Duration::from_millis(cold_for),
-        capacity: 100,
-        ..beat(incarnation, sequence)
+        warm_up_remaining: Duration::from_millis(cold_for),
+        slots: 100,
+        ..heartbeat(incarnation, sequence)
     }
 }
 
@@ -76,31 +76,26 @@
     configure(&mut agent, RATE, at(0));
     hear_zones(&mut agent, 1, &[], at(now));
     agent
-        .heartbeat(&cold_beat(1, 1, COLD_MS.into()), at(now))
+        .handle_heartbeat(&cold_beat(1, 1, COLD_MS.into()), at(now))
         .expect("heartbeat");
     agent
 }
 
 fn hear_zones(agent: &mut Agent, revision: u64, names: &[&str], now: Instant) {
-    let greeting = BalancerGreeting {
+    let greeting = BalancerHello {
         excluded_zones: ExcludedZones {
             revision,
             zones: names.iter().map(|name| ZoneKey::named(name)).collect(),
         },
         ..peer_greeting()
     };
-    agent.message(
-        node(1),
-        &PeerMessage::Greeting(greeting),
-        now,
-        &mut Vec::new(),
-    );
+    agent.handle_message(node(1), &PeerMessage::Hello(greeting), now, &mut Vec::new());
 }
 
 /// Offers an opening that may go elsewhere, and so does not wait.
-fn offer(agent: &mut Agent, port: u16, now: u64) -> Delivery {
+fn offer(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
     let terms = OpeningTerms {
-        believed_load: Some(1000),
+        estimated_load: Some(1000),
         ..opening_terms()
     };
     let header = header(1, ForwardPurpose::Open(terms));
@@ -108,14 +103,14 @@
 }
 
 /// Offers an opening that has nowhere else to go.
-fn insist(agent: &mut Agent, port: u16, now: u64) -> Delivery {
+fn insist(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
     forward_to(agent, &open_header(1), &opening(flow(port), 0), at(now))
 }
 
 /// The target answers an opening.
 fn accept(agent: &mut Agent, port: u16, now: u64) {
     let accept = packet(flow(port), PacketKind::Accept, 5000, 1001, 0);
-    agent.departing(&accept, None, at(now));
+    agent.handle_target_packet(&accept, None, at(now));
 }
 
 /// How many of some openings at one moment reach the target.
@@ -165,12 +160,13 @@
     let mut agent = agent_of_cold_target(5000);
     delivered(&mut agent, 1..20, 5010);
     let terms = OpeningTerms {
-        believed_load: Some(0),
+        estimated_load: Some(0),
         ..opening_terms()
     };
     let header = header(1, ForwardPurpose::Open(terms));
     let delivery = forward_to(&mut agent, &header, &opening(flow(50), 0), at(5020));
-    let Delivery::Answer(PeerMessage::Returned { reason, load, .. }, AnswerBody::Packet) = delivery
+    let ForwardDecision::Reply(PeerMessage::Returned { reason, load, .. }, ReplyBody::Packet) =
+        delivery
     else {
         panic!("{delivery:?}");
     };
@@ -182,13 +178,13 @@
 fn a_warm_target_and_one_of_a_service_without_a_figure_have_no_limit() {
     let mut agent = agent_of_cold_target(5000);
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(7000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(7000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 1..30, 7010), 29);
     let mut unlimited = unknowing_agent(at(0));
     configure(&mut unlimited, 0, at(0));
     unlimited
-        .heartbeat(&cold_beat(1, 1, 2000), at(5000))
+        .handle_heartbeat(&cold_beat(1, 1, 2000), at(5000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut unlimited, 1..30, 5010), 29);
 }
@@ -197,7 +193,7 @@
 fn without_a_configuration_a_cold_target_is_handed_nothing() {
     let mut agent = unknowing_agent(at(0));
     agent
-        .heartbeat(&cold_beat(1, 1, 2000), at(5000))
+        .handle_heartbeat(&cold_beat(1, 1, 2000), at(5000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 1..10, 5010), 0);
 }
@@ -206,13 +202,13 @@
 fn a_target_whose_zone_is_taken_back_is_cold_until_it_tells() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
         .expect("heartbeat");
     hear_zones(&mut agent, 5, &["a"], at(3000));
     hear_zones(&mut agent, 6, &[], at(5000));
     assert_eq!(delivered(&mut agent, 1..20, 5010), limit());
     agent
-        .heartbeat(&cold_beat(1, 3, 0), at(5500))
+        .handle_heartbeat(&cold_beat(1, 3, 0), at(5500))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 20..40, 5510), 20);
 }
@@ -221,7 +217,7 @@
 fn a_target_whose_zone_is_taken_back_and_that_tells_nothing_is_warm_in_the_end() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
         .expect("heartbeat");
     hear_zones(&mut agent, 5, &["a"], at(3000));
     hear_zones(&mut agent, 6, &[], at(5000));
@@ -232,7 +228,7 @@
 fn an_agent_that_heard_no_zones_for_long_does_not_trust_an_older_heartbeat() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
         .expect("heartbeat");
     hear_zones(&mut agent, 9, &[], at(9000));
     assert_eq!(delivered(&mut agent, 1..20, 9010), limit());
@@ -243,7 +239,7 @@
     let mut agent = agent_of_cold_target(0);
     hear_zones(&mut agent, 2, &[], at(2500));
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
         .expect("heartbeat");
     offer(&mut agent, 1, 3100);
     for now in (3125..3700).step_by(25) {
@@ -259,7 +255,7 @@
     let mut agent = unknowing_agent(at(5000));
     configure(&mut agent, RATE, at(5000));
     agent
-        .heartbeat(&cold_beat(1, 4, 2000), at(5010))
+        .handle_heartbeat(&cold_beat(1, 4, 2000), at(5010))
         .expect("heartbeat");
     for port in 1..10 {
         assert!(!is_delivered(&insist(&mut agent, port, 5500)));
@@ -279,21 +275,21 @@
 fn further_requests_of_open_flows_use_the_second_up() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
         .expect("heartbeat");
     hear_zones(&mut agent, 2, &[], at(3000));
     for port in 1..=3 {
-        open_at(&mut agent, flow(port), at(3000));
+        open_flow_at(&mut agent, flow(port), at(3000));
         let answer = packet(flow(port), PacketKind::Data, 5001, 1101, 500);
-        agent.departing(&answer, None, at(3050));
+        agent.handle_target_packet(&answer, None, at(3050));
     }
     agent
-        .heartbeat(&cold_beat(2, 1, 2000), at(4500))
+        .handle_heartbeat(&cold_beat(2, 1, 2000), at(4500))
         .expect("heartbeat");
     let established = header(1, ForwardPurpose::Established);
-    open_at(&mut agent, flow(9), at(4510));
+    open_flow_at(&mut agent, flow(9), at(4510));
     let answer = packet(flow(9), PacketKind::Data, 5001, 1101, 500);
-    agent.departing(&answer, None, at(4520));
+    agent.handle_target_packet(&answer, None, at(4520));
     forward_to(
         &mut agent,
         &established,
@@ -306,7 +302,7 @@
 #[test]
 fn a_balancer_sends_a_cold_target_no_more_than_is_left() {
     let mut balancer = balancer(&[]);
-    balancer.configuration(Arc::new(configured(RATE)));
+    balancer.adopt_store_configuration(Arc::new(configured(RATE)));
     let cold = TargetReport {
         load: TargetLoad {
             openings_left: Some(2),
@@ -322,10 +318,10 @@
         },
         ..report(3, 1)
     };
-    tell(&mut balancer, 2, &cold, at(10_000));
-    tell(&mut balancer, 3, &warm, at(10_000));
+    deliver_report(&mut balancer, 2, &cold, at(10_000));
+    deliver_report(&mut balancer, 3, &warm, at(10_000));
     let to_cold = (1..30).filter(|port| {
-        let routing = arrive(&mut balancer, &opening(flow(*port), 0), at(10_010));
+        let routing = deliver_caller_packet(&mut balancer, &opening(flow(*port), 0), at(10_010));
         receivers(&routing) == vec![node(2)]
     });
     assert_eq!(to_cold.count(), 2);
@@ -341,8 +337,8 @@
         },
         ..report(2, 1)
     };
-    tell(&mut balancer, 2, &cold, at(10_000));
-    let routing = arrive(&mut balancer, &opening(flow(1), 0), at(10_010));
+    deliver_report(&mut balancer, 2, &cold, at(10_000));
+    let routing = deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     assert_eq!(receivers(&routing), vec![node(2)]);
 }
 
@@ -361,7 +357,7 @@
             now += gap;
             sequence += 1;
             // It stays cold all the time.
-            agent.heartbeat(&cold_beat(1, sequence, 2000), at(now)).expect("heartbeat");
+            agent.handle_heartbeat(&cold_beat(1, sequence, 2000), at(now)).expect("heartbeat");
             let mut actions = Vec::new();
             if ticks {
                 agent.tick(at(now), &mut actions);
@@ -370,7 +366,7 @@
                 if is_delivered(&insist(&mut agent, port, now)) {
                     handed.push(now);
                 }
-                agent.serve_queue(at(now), &mut actions);
+                agent.dispatch_queued(at(now), &mut actions);
             }
             handed.extend(actions.iter().filter(|it| is_handed_over(it)).map(|_| now));
             for start in &handed {
--- a/crates/woodladder-core/tests/flow_zone_exploration.rs
+++ b/crates/woodladder-core/tests/flow_zone_exploration.rs
@@ -11,7 +11,7 @@
 use woodladder_core::flow::excluded_zones::{ExcludedZones, ZoneChange};
 use woodladder_core::flow::identity::ZoneKey;
 use woodladder_core::flow::store_session::{
-    ConfigurationWatch, NextCall, StoreCall, StoreReply, ZoneStatement,
+    ConfigurationWatch, NextCall, StoreCall, StoreReply, ZoneUpdate,
 };
 
 /// What operators do, one after the other: excluded, taken back, excluded again.
@@ -172,7 +172,7 @@
             panic!("a call is due after {STEP_MS} ms");
         };
         let zones = match call {
-            StoreCall::ReadConfiguration => ZoneStatement::All(truth(self.revision).zones),
+            StoreCall::ReadConfiguration => ZoneUpdate::All(truth(self.revision).zones),
             StoreCall::AwaitConfiguration { after, .. } if after < self.forgotten => {
                 return StoreReply::HistoryGone;
             }
@@ -181,7 +181,7 @@
                     zone: zone(),
                     is_excluded: !truth(revision).zones.is_empty(),
                 });
-                ZoneStatement::Changes(changes.collect())
+                ZoneUpdate::Changes(changes.collect())
             }
             other => panic!("{other:?}"),
         };
--- a/crates/woodladder-core/tests/hop_list.rs
+++ b/crates/woodladder-core/tests/hop_list.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use woodladder_core::identifier::TargetId;
-use woodladder_core::packets::hop_list::{Candidate, MAXIMUM_HOPS, choose, choose_one};
+use woodladder_core::packets::hop_list::{Candidate, MAXIMUM_HOPS, choose, choose_candidate};
 
 use support::target_address;
 
@@ -36,7 +36,7 @@
             prop_assert!(!chosen[..index].contains(target));
             prop_assert!(list.iter().any(|candidate| candidate.target == *target));
         }
-        let one = choose_one(&list, flow).map(|candidate| candidate.target);
+        let one = choose_candidate(&list, flow).map(|candidate| candidate.target);
         prop_assert!(count == 0 || chosen.first().copied() == one);
     }
 
@@ -69,7 +69,7 @@
     let mut drawn = [0_u32; 3];
     for flow in 0..FLOWS {
         let hash = woodladder_core::packets::hop_list::flow_hash(&flow.to_be_bytes());
-        let target = choose_one(&list, hash).expect("a candidate").target;
+        let target = choose_candidate(&list, hash).expect("a candidate").target;
         drawn[target.0 as usize - 1] += 1;
     }
     for (drawn, slots) in drawn.into_iter().zip([10, 20, 50]) {
--- a/crates/woodladder-core/tests/membership.rs
+++ b/crates/woodladder-core/tests/membership.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
 use woodladder_core::control::membership::{
-    HEARD_LATELY, ListedMachine, ListedStanding, Membership, Peer, SILENT_AFTER,
+    HEARD_LATELY, ListedMachine, ListedState, Membership, Peer, SILENT_AFTER,
 };
 use woodladder_core::control::replica::ReplicaTuning;
 
@@ -26,8 +26,8 @@
 
 fn list(indices: impl IntoIterator<Item = usize>) -> Vec<ListedMachine> {
     let machine = |index| ListedMachine {
-        control: address(index),
-        standing: ListedStanding::Live,
+        control_address: address(index),
+        state: ListedState::Live,
     };
     indices.into_iter().map(machine).collect()
 }
--- a/crates/woodladder-core/tests/replica_adoption.rs
+++ b/crates/woodladder-core/tests/replica_adoption.rs
@@ -18,7 +18,7 @@
     CHUNK_LENGTH, ControlMessage, CopyChunk, CopyContent, CopyRequest, Offer, OfferedDelta,
     RecordRequest,
 };
-use woodladder_core::control::replica::{Action, Event, Replica, ReplicaTuning};
+use woodladder_core::control::replica::{Replica, ReplicaAction, ReplicaEvent, ReplicaTuning};
 use woodladder_core::control::store_operation::{
     StoreAnswer, StoreIndex, StoreKey, StoreOperation,
 };
@@ -91,18 +91,18 @@
 struct Subject {
     replica: Replica,
     now: Instant,
-    asked: Vec<Action>,
+    asked: Vec<ReplicaAction>,
     installed: Sequence,
     greatest: Sequence,
 }
 
 impl Subject {
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: ReplicaEvent) {
         self.now = self.now + Duration::from_millis(1);
         for action in self.replica.handle(event, self.now) {
             match action {
-                Action::Refresh(_) => {}
-                Action::Install(installed) => {
+                ReplicaAction::ReplaceDirectory(_) => {}
+                ReplicaAction::Install(installed) => {
                     let expected = &CHAIN[installed.sequence().0 as usize - 1];
                     assert!(installed.sequence() > self.installed);
                     assert_eq!(installed.record, expected.stored.record);
@@ -116,7 +116,7 @@
 
     fn hear(&mut self, message: ControlMessage) {
         let from = address(1);
-        self.event(Event::Message { from, message });
+        self.event(ReplicaEvent::Message { from, message });
     }
 
     /// Answers all that was asked, in the reverse order and each twice.
@@ -132,19 +132,19 @@
 
 /// Answers of a node that has the last roll, and of a service that has
 /// the snapshots only.
-fn answers(action: &Action) -> Vec<Event> {
+fn answers(action: &ReplicaAction) -> Vec<ReplicaEvent> {
     let from = address(1);
-    let message = |message| Event::Message { from, message };
+    let message = |message| ReplicaEvent::Message { from, message };
     match action {
-        Action::Send {
+        ReplicaAction::Send {
             message: ControlMessage::RecordRequest(request),
             ..
         } => vec![message(offer_since(request))],
-        Action::Send {
+        ReplicaAction::Send {
             message: ControlMessage::CopyRequest(request),
             ..
         } => chunks(request).into_iter().map(message).collect(),
-        Action::Store { request, operation } => vec![Event::StoreAnswer {
+        ReplicaAction::Store { request, operation } => vec![ReplicaEvent::StoreAnswer {
             request: *request,
             answer: stored(operation),
         }],
@@ -258,7 +258,7 @@
                 let content = CopyContent::Snapshot(chain[roll].snapshot.digest());
                 subject.hear(damaged_last_chunk(content, &chain[roll]));
             }
-            Heard::StoreValue { roll } => subject.event(Event::StoreAnswer {
+            Heard::StoreValue { roll } => subject.event(ReplicaEvent::StoreAnswer {
                 request: woodladder_core::control::store_operation::StoreRequestId(1_000),
                 answer: StoreAnswer::Value {
                     index: StoreIndex(roll as u64 + 1),
@@ -268,7 +268,7 @@
             Heard::Answers => subject.answer_all(),
             Heard::Pause(seconds) => {
                 subject.now = subject.now + Duration::from_secs(u64::from(seconds));
-                subject.event(Event::Tick);
+                subject.event(ReplicaEvent::Tick);
             }
         }
         assert_eq!(subject.replica.sequence(), subject.installed);
@@ -282,7 +282,7 @@
         for _ in 0..1_000 {
             subject.answer_all();
             subject.now = subject.replica.next_wakeup().max(subject.now);
-            subject.event(Event::Tick);
+            subject.event(ReplicaEvent::Tick);
         }
         assert!(subject.installed >= subject.greatest);
     }
--- a/crates/woodladder-core/tests/replica_delta.rs
+++ b/crates/woodladder-core/tests/replica_delta.rs
@@ -17,7 +17,7 @@
     CHUNK_LENGTH, ControlMessage, CopyContent, CopyRequest, MAXIMUM_CHUNKS_PER_REQUEST, Offer,
     OfferedDelta, RecordRequest,
 };
-use woodladder_core::control::replica::{Action, Event, Replica, ReplicaTuning};
+use woodladder_core::control::replica::{Replica, ReplicaAction, ReplicaEvent, ReplicaTuning};
 use woodladder_core::identifier::Sequence;
 
 const START: Instant = Instant::ORIGIN;
@@ -37,9 +37,9 @@
 
 fn exchange(replica: &mut Replica, message: ControlMessage, now: Instant) -> Vec<ControlMessage> {
     let from = address(1);
-    let actions = replica.handle(Event::Message { from, message }, now);
+    let actions = replica.handle(ReplicaEvent::Message { from, message }, now);
     let sent = actions.into_iter().filter_map(|action| match action {
-        Action::Send { to, message } if to == from => Some(message),
+        ReplicaAction::Send { to, message } if to == from => Some(message),
         _ => None,
     });
     sent.collect()
@@ -86,7 +86,7 @@
         OfferedDelta::None => None,
         OfferedDelta::Inline(delta) => Some(*delta),
         OfferedDelta::Chunked { base, length } => {
-            let result = offer.record.statement.snapshot;
+            let result = offer.record.statement.snapshot_digest;
             let content = CopyContent::Delta { base, result };
             let bytes = fetched(replica, content, length, now);
             Some(SnapshotDelta::try_from_slice(&bytes).unwrap())
--- a/crates/woodladder-core/tests/replica_faults.rs
+++ b/crates/woodladder-core/tests/replica_faults.rs
@@ -8,7 +8,7 @@
 use control_world::network::{World, address};
 use woodladder_core::configuration::roll_record::RollRecord;
 use woodladder_core::control::control_message::{ControlMessage, Offer};
-use woodladder_core::control::replica::{Event, ReplicaTuning};
+use woodladder_core::control::replica::{ReplicaEvent, ReplicaTuning};
 use woodladder_core::control::store_operation::StoreKey;
 use woodladder_core::identifier::Sequence;
 
@@ -30,9 +30,9 @@
     ControlMessage::Offer(Box::new(Offer::fitting(record, delta)))
 }
 
-fn message(from: usize, message: ControlMessage) -> Event {
+fn message(from: usize, message: ControlMessage) -> ReplicaEvent {
     let from = address(from);
-    Event::Message { from, message }
+    ReplicaEvent::Message { from, message }
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let trusted = |world: &World| !world.nodes[3].replica.is_suspect(world.now);
     assert!(world.run_until(LIMIT, trusted));
     assert_eq!(world.nodes[3].replica.sequence(), Sequence(2));
-    assert_eq!(world.nodes[3].replica.counters().pauses, 1);
+    assert_eq!(world.nodes[3].replica.counters().pauses_detected, 1);
     world.assert_never_reverted();
 }
 
@@ -157,7 +157,7 @@
     let second = roll(Some(&first), bundle(2, 0..100, 9), 2);
     world.store.put_roll(&second);
     assert!(world.run_until(LIMIT, |world| world.all_have(Sequence(2))));
-    let by_delta = |index: usize| world.nodes[index].replica.counters().adopted_by_delta;
+    let by_delta = |index: usize| world.nodes[index].replica.counters().rolls_adopted_by_delta;
     assert!((0..20).all(|index| by_delta(index) == 1));
 }
 
@@ -174,7 +174,7 @@
     assert_eq!(world.nodes[0].replica.sequence(), Sequence(1));
     world.cut_at = None;
     assert!(world.run_until(LIMIT, |world| world.all_have(Sequence(6))));
-    assert_eq!(world.nodes[0].replica.counters().adopted_by_delta, 1);
+    assert_eq!(world.nodes[0].replica.counters().rolls_adopted_by_delta, 1);
     let installed = world.nodes[0].replica.installed().unwrap();
     assert_eq!(installed.snapshot, last.snapshot);
 }
--- a/crates/woodladder-core/tests/replica_spread.rs
+++ b/crates/woodladder-core/tests/replica_spread.rs
@@ -31,7 +31,7 @@
     world.store.put_roll(&second);
     assert!(world.run_until(LIMIT, |world| world.all_have(Sequence(2))));
     for node in &world.nodes {
-        assert_eq!(node.replica.counters().adopted_by_delta, 1);
+        assert_eq!(node.replica.counters().rolls_adopted_by_delta, 1);
     }
     world.assert_never_reverted();
 }
--- a/crates/woodladder-core/tests/request.rs
+++ b/crates/woodladder-core/tests/request.rs
@@ -120,7 +120,7 @@
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     arrive(&mut table, 2, Some(at(300)), at(0));
-    assert_eq!(table.next_wake(), Some(at(300)));
+    assert_eq!(table.next_wakeup(), Some(at(300)));
     let actions = table.handle(RequestEvent::Tick, at(300));
     assert_eq!(refusal(&actions, 2), Some(RefusalReason::WaitedTooLong));
 }
@@ -132,7 +132,7 @@
     arrive(&mut table, 2, Some(at(300)), at(0));
     connect(&mut table, 1, at(1));
     let actions = table.handle(RequestEvent::Tick, at(300));
-    assert!(actions.contains(&RequestAction::CloseBackEnd(RequestId(1))));
+    assert!(actions.contains(&RequestAction::CloseBackEndConnection(RequestId(1))));
     assert!(actions.contains(&RequestAction::Fail {
         id: RequestId(1),
         reason: UnknownReason::DeadlinePassed,
@@ -163,7 +163,7 @@
     connect(&mut table, 1, at(1));
     table.handle(head(1, false), at(2));
     let expected = [
-        RequestAction::CloseBackEnd(RequestId(1)),
+        RequestAction::CloseBackEndConnection(RequestId(1)),
         RequestAction::ResetCaller {
             id: RequestId(1),
             reason: UnknownReason::AnswerTruncated,
--- a/crates/woodladder-core/tests/request_lifecycle.rs
+++ b/crates/woodladder-core/tests/request_lifecycle.rs
@@ -185,7 +185,7 @@
             "a slot is free while requests wait"
         );
         assert!(
-            self.table.next_wake().is_none_or(|at| at > now),
+            self.table.next_wakeup().is_none_or(|at| at > now),
             "a late request is kept"
         );
     }
--- a/crates/woodladder-core/tests/roll_command.rs
+++ b/crates/woodladder-core/tests/roll_command.rs
@@ -92,7 +92,10 @@
         assert_eq!(outcome.roll.bundle_version, version);
         let copy = store.value(StoreKey::Snapshot(outcome.snapshot));
         assert!(copy.is_some());
-        assert_eq!(current(&store).record.statement.snapshot, outcome.snapshot);
+        assert_eq!(
+            current(&store).record.statement.snapshot_digest,
+            outcome.snapshot
+        );
     }
 }
 
@@ -195,7 +198,7 @@
         }
         Some(store.answer(operation))
     });
-    let Err(RollError::OtherWon {
+    let Err(RollError::LostRace {
         winner: Some(known),
         in_doubt: false,
     }) = verdict
--- a/crates/woodladder-core/tests/roll_command_races.rs
+++ b/crates/woodladder-core/tests/roll_command_races.rs
@@ -194,7 +194,7 @@
             return;
         }
         let stored = StoredRoll::try_from_slice(value).unwrap();
-        let copy = StoreKey::Snapshot(stored.record.statement.snapshot);
+        let copy = StoreKey::Snapshot(stored.record.statement.snapshot_digest);
         assert!(self.store.value(copy).is_some());
         self.in_force.push(stored.record);
     }
@@ -248,7 +248,7 @@
     }
 
     fn check_winner(&self, error: &RollError) {
-        let RollError::OtherWon {
+        let RollError::LostRace {
             winner: Some(winner),
             ..
         } = error
@@ -295,7 +295,7 @@
         prop_assert!(!race.in_force.is_empty());
         for operator in &race.operators {
             let verdict = operator.verdict.as_ref().unwrap();
-            let known = matches!(verdict, Ok(_) | Err(RollError::OtherWon { winner: Some(_), in_doubt: false }));
+            let known = matches!(verdict, Ok(_) | Err(RollError::LostRace { winner: Some(_), in_doubt: false }));
             prop_assert!(known, "{:?}", verdict);
         }
     }
--- a/crates/woodladder-core/tests/roll_command_rollout.rs
+++ b/crates/woodladder-core/tests/roll_command_rollout.rs
@@ -14,7 +14,7 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::configuration::bundle::SignedBundle;
 use woodladder_core::control::control_message::ControlMessage;
-use woodladder_core::control::replica::{Action, Event, Replica, ReplicaTuning};
+use woodladder_core::control::replica::{Replica, ReplicaAction, ReplicaEvent, ReplicaTuning};
 use woodladder_core::control::roll_command::{
     RollAction, RollCommand, RollEvent, RollOutcome, RollProgress, RollRequest,
 };
@@ -81,20 +81,20 @@
 
     fn run_nodes(&mut self, events: &mut VecDeque<RollEvent>) {
         for index in 0..self.nodes.len() {
-            self.handle(index, Event::Tick);
+            self.handle(index, ReplicaEvent::Tick);
         }
         while let Some((from, to, message)) = self.letters.pop_front() {
             if to == address(OPERATOR) {
                 events.push_back(RollEvent::Message { from, message });
             } else if let Some(index) = (0..self.nodes.len()).find(|index| address(*index) == to) {
-                self.handle(index, Event::Message { from, message });
+                self.handle(index, ReplicaEvent::Message { from, message });
             }
         }
     }
 
-    fn handle(&mut self, index: usize, event: Event) {
+    fn handle(&mut self, index: usize, event: ReplicaEvent) {
         for action in self.nodes[index].handle(event, self.now) {
-            if let Action::Send { to, message } = action {
+            if let ReplicaAction::Send { to, message } = action {
                 self.letters.push_back((address(index), to, message));
             }
         }
--- a/crates/woodladder-core/tests/router.rs
+++ b/crates/woodladder-core/tests/router.rs
@@ -7,9 +7,11 @@
 use proptest::prelude::*;
 use woodladder_core::configuration::bundle::TargetState;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::envelope::Route;
-use woodladder_core::packets::router::{DEFAULT_HOPS, DropReason, Forward, Inbound, Router};
+use woodladder_core::packets::router::{
+    DEFAULT_HOPS, DropReason, Forward, InboundDatagram, Router,
+};
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use support::{
     ARCHIVE, ORDERS, active, caller, directory, first_datagram, keys, service_address,
@@ -17,19 +19,19 @@
 };
 
 fn route(
-    directory: &Arc<Directory>,
+    directory: &Arc<RoutingTable>,
     service: ServiceId,
     datagram: &[u8],
 ) -> Result<Forward, DropReason> {
     let router = Router::new(Arc::clone(directory), keys(1), DEFAULT_HOPS);
-    router.route(&Inbound {
+    router.route(&InboundDatagram {
         caller: caller(),
         service_address: service_address(service),
         datagram,
     })
 }
 
-fn both_services() -> Arc<Directory> {
+fn both_services() -> Arc<RoutingTable> {
     directory(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
 }
 
@@ -44,7 +46,7 @@
         let service = if to_archive { ARCHIVE } else { ORDERS };
         let directory = both_services();
         let forward = route(&directory, service, &first_datagram(&id)).expect("a target");
-        let Route::First(first) = &forward.envelope.route else {
+        let Route::NewFlow(first) = &forward.envelope.route else {
             return Err(TestCaseError::fail("not routed as a first packet"));
         };
         prop_assert_eq!(first.hops.len(), DEFAULT_HOPS);
@@ -75,7 +77,7 @@
 fn established_flows_reach_removed_targets_and_new_ones_do_not() {
     let before = snapshot(None, active(1..4, ORDERS));
     let after = snapshot(Some(&before), active(2..4, ORDERS));
-    let directory = Arc::new(Directory::new(Sequence(2), &after));
+    let directory = Arc::new(RoutingTable::new(Sequence(2), &after));
     let token = keys(1).issue(TargetId(1), [0; 7]);
     let forward = route(&directory, ORDERS, &short_datagram(&token)).expect("a lingering target");
     assert_eq!(forward.to, target_address(TargetId(1)));
--- a/crates/woodladder-core/tests/support/mod.rs
+++ b/crates/woodladder-core/tests/support/mod.rs
@@ -13,8 +13,8 @@
 use woodladder_core::configuration::bundle::{Bundle, Service, SignedBundle, Target, TargetState};
 use woodladder_core::configuration::snapshot::{DEFAULT_LINGER, Snapshot};
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 
@@ -81,9 +81,9 @@
     Snapshot::following(previous, signed, 0, DEFAULT_LINGER).expect("targets keep their service")
 }
 
-pub fn directory(sequence: u64, targets: Vec<Target>) -> Arc<Directory> {
+pub fn directory(sequence: u64, targets: Vec<Target>) -> Arc<RoutingTable> {
     let snapshot = snapshot(None, targets);
-    Arc::new(Directory::new(Sequence(sequence), &snapshot))
+    Arc::new(RoutingTable::new(Sequence(sequence), &snapshot))
 }
 
 /// A datagram that opens a flow (an Initial of QUIC version 1).
--- a/crates/woodladder-core/tests/support/request_monitor.rs
+++ b/crates/woodladder-core/tests/support/request_monitor.rs
@@ -73,7 +73,7 @@
                 assert!(history.dispatched && !history.sent, "sent out of turn");
                 history.sent = true;
             }
-            RequestAction::CloseBackEnd(_) => assert!(history.dispatched),
+            RequestAction::CloseBackEndConnection(_) => assert!(history.dispatched),
             RequestAction::Refuse { id, refusal } => {
                 let by_back_end = matches!(
                     event,
--- a/crates/woodladder-core/tests/support/target_model.rs
+++ b/crates/woodladder-core/tests/support/target_model.rs
@@ -4,13 +4,13 @@
 
 use woodladder_core::clock::Instant;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
-use woodladder_core::packets::carrier::classify;
-use woodladder_core::packets::directory::Directory;
-use woodladder_core::packets::envelope::{Envelope, FirstRoute, Route};
+use woodladder_core::packets::envelope::{Envelope, NewFlowRoute, Route};
 use woodladder_core::packets::hop_list::Hop;
+use woodladder_core::packets::quic_header::parse_header;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::TOKEN_LENGTH;
 use woodladder_core::target::admission::{
-    Admission, AdmissionOptions, Conditions, Decision, Identity,
+    Admission, AdmissionOptions, Decision, TargetConditions, TargetIdentity,
 };
 use woodladder_core::target::load::Usage;
 use woodladder_core::target::slow_start::EffectiveSlots;
@@ -21,12 +21,12 @@
 
 pub struct TargetModel {
     pub admission: Admission,
-    pub conditions: Conditions,
+    pub conditions: TargetConditions,
 }
 
 impl TargetModel {
-    pub fn new(id: u32, directory: &Arc<Directory>, options: AdmissionOptions) -> Self {
-        let identity = Identity {
+    pub fn new(id: u32, directory: &Arc<RoutingTable>, options: AdmissionOptions) -> Self {
+        let identity = TargetIdentity {
             target: TargetId(id),
             service: ORDERS,
         };
@@ -39,7 +39,7 @@
             open_connections: 0,
             connection_limit: 2000,
         };
-        let conditions = Conditions {
+        let conditions = TargetConditions {
             usage,
             takes_new_flows: true,
         };
@@ -55,7 +55,7 @@
     }
 
     pub fn handle(&mut self, envelope: Envelope, datagram: &[u8], now: Instant) -> Decision {
-        let packet = classify(datagram, TOKEN_LENGTH).expect("a packet");
+        let packet = parse_header(datagram, TOKEN_LENGTH).expect("a packet");
         let conditions = self.conditions;
         self.admission.handle(envelope, &packet, &conditions, now)
     }
@@ -71,21 +71,21 @@
     }
 }
 
-pub fn first_route(targets: &[u32], position: u8, last: bool) -> FirstRoute {
+pub fn first_route(targets: &[u32], position: u8, must_decide: bool) -> NewFlowRoute {
     let hops = targets.iter().map(|id| Hop {
         target: TargetId(*id),
         address: target_address(TargetId(*id)),
         load: None,
     });
-    FirstRoute {
+    NewFlowRoute {
         hops: hops.collect(),
         position,
-        last,
+        must_decide,
     }
 }
 
 /// The envelope of a first packet to the first of these targets.
 pub fn first_envelope(sequence: u64, targets: &[u32]) -> Envelope {
     let route = first_route(targets, 0, targets.len() == 1);
-    envelope(ORDERS, sequence, Route::First(route))
+    envelope(ORDERS, sequence, Route::NewFlow(route))
 }
--- a/crates/woodladder-core/tests/unavailable_targets.rs
+++ b/crates/woodladder-core/tests/unavailable_targets.rs
@@ -7,10 +7,10 @@
 use proptest::prelude::*;
 use rustc_hash::FxHashSet;
 use woodladder_core::identifier::TargetId;
-use woodladder_core::packets::directory::{Directory, Standing};
 use woodladder_core::packets::envelope::Route;
 use woodladder_core::packets::hop_list::MAXIMUM_HOPS;
-use woodladder_core::packets::router::{Forward, Inbound, Router};
+use woodladder_core::packets::router::{Forward, InboundDatagram, Router};
+use woodladder_core::packets::routing_table::{RoutingTable, TargetStatus};
 use woodladder_core::target::admission::{AdmissionOptions, FENCE_GRACE, Verdict};
 
 use support::target_model::{TargetModel, first_envelope};
@@ -21,17 +21,17 @@
 
 const FLOW: [u8; 8] = [7; 8];
 
-fn whole() -> Arc<Directory> {
+fn whole() -> Arc<RoutingTable> {
     directory(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
 }
 
-fn without(marked: &[u32], own: Option<u32>) -> Arc<Directory> {
+fn without(marked: &[u32], own: Option<u32>) -> Arc<RoutingTable> {
     let marked: FxHashSet<TargetId> = marked.iter().copied().map(TargetId).collect();
     Arc::new(whole().with_unavailable(&marked, own.map(TargetId)))
 }
 
-fn route(directory: Arc<Directory>, datagram: &[u8]) -> Forward {
-    let inbound = Inbound {
+fn route(directory: Arc<RoutingTable>, datagram: &[u8]) -> Forward {
+    let inbound = InboundDatagram {
         caller: caller(),
         service_address: service_address(ORDERS),
         datagram,
@@ -41,7 +41,7 @@
 }
 
 fn named(forward: &Forward) -> Vec<u32> {
-    let Route::First(first) = &forward.envelope.route else {
+    let Route::NewFlow(first) = &forward.envelope.route else {
         panic!("not a first packet");
     };
     first.hops.iter().map(|hop| hop.target.0).collect()
@@ -52,7 +52,7 @@
     let Verdict::HandOn(forward) = decision.verdict else {
         return None;
     };
-    let Route::First(first) = forward.envelope.route else {
+    let Route::NewFlow(first) = forward.envelope.route else {
         return None;
     };
     first.current().map(|hop| hop.target)
@@ -86,7 +86,7 @@
             let after = changed.target(TargetId(id)).expect("known");
             prop_assert_eq!(before.address, after.address);
             let may_change = marked.contains(&id) && id != own;
-            let has_changed = matches!(after.standing, Standing::Unavailable(_));
+            let has_changed = matches!(after.status, TargetStatus::Unavailable(_));
             prop_assert!(may_change || !has_changed);
         }
     }
@@ -123,7 +123,7 @@
     let later = directory(6, active(1..8, ORDERS));
     model.admission.refresh(Arc::clone(&later), at(0));
     model.admission.refresh(without(&[2], Some(1)), at(0));
-    assert!(Arc::ptr_eq(model.admission.directory(), &later));
+    assert!(Arc::ptr_eq(model.admission.routing_table(), &later));
     let beyond = at(1) + FENCE_GRACE;
     let same = directory(6, active(1..8, ORDERS));
     model.admission.refresh(same, beyond);
--- a/crates/woodladder-lab/src/flow_simulation/caller.rs
+++ b/crates/woodladder-lab/src/flow_simulation/caller.rs
@@ -139,14 +139,20 @@
         self.send(PacketKind::Data, self.sequence, self.awaited, REQUEST)
     }
 
-    fn send(&self, kind: PacketKind, sequence: u32, acknowledgement: u32, payload: u16) -> Step {
+    fn send(
+        &self,
+        kind: PacketKind,
+        sequence: u32,
+        acknowledgement: u32,
+        payload_length: u16,
+    ) -> Step {
         Step {
             packet: Some(FlowPacket {
                 key: self.key,
                 kind,
                 sequence,
                 acknowledgement,
-                payload,
+                payload_length,
             }),
             ..Step::default()
         }
@@ -193,7 +199,7 @@
 
     fn answered(&mut self, packet: &FlowPacket, now: Instant) -> Step {
         self.sequence += u32::from(REQUEST);
-        self.awaited += u32::from(packet.payload);
+        self.awaited += u32::from(packet.payload_length);
         self.state = State::Resting { until: now + PAUSE };
         let mut step = Step {
             answered: true,
--- a/crates/woodladder-lab/src/flow_simulation/packet_bytes.rs
+++ b/crates/woodladder-lab/src/flow_simulation/packet_bytes.rs
@@ -25,7 +25,7 @@
             .unwrap_or_default(),
         packet.sequence,
         packet.acknowledgement,
-        packet.payload,
+        packet.payload_length,
     );
     borsh::to_vec(&fields).expect("writing to memory does not fail")
 }
@@ -36,12 +36,12 @@
 /// When the bytes are not those of a packet: a node has changed them.
 pub fn read(bytes: &[u8]) -> FlowPacket {
     let fields: Fields = borsh::from_slice(bytes).expect("nodes leave packets as they are");
-    let (caller, service, kind, sequence, acknowledgement, payload) = fields;
+    let (caller, service, kind, sequence, acknowledgement, payload_length) = fields;
     FlowPacket {
         key: FlowKey { caller, service },
         kind: KINDS[usize::from(kind)],
         sequence,
         acknowledgement,
-        payload,
+        payload_length,
     }
 }
--- a/crates/woodladder-lab/src/flow_simulation/target.rs
+++ b/crates/woodladder-lab/src/flow_simulation/target.rs
@@ -92,8 +92,8 @@
                 flow.is_closed = true;
                 Reaction::Nothing
             }
-            _ if packet.payload > 0 && packet.sequence == flow.awaited => {
-                flow.awaited += u32::from(packet.payload);
+            _ if packet.payload_length > 0 && packet.sequence == flow.awaited => {
+                flow.awaited += u32::from(packet.payload_length);
                 Reaction::Begin
             }
             _ => Reaction::Nothing,
@@ -119,7 +119,7 @@
             kind: PacketKind::Accept,
             sequence: flow.first,
             acknowledgement: flow.awaited,
-            payload: 0,
+            payload_length: 0,
         }
     }
 
@@ -135,7 +135,7 @@
             kind: PacketKind::Data,
             sequence: flow.sent,
             acknowledgement: flow.awaited,
-            payload: LENGTH,
+            payload_length: LENGTH,
         };
         flow.sent += u32::from(LENGTH);
         Some(packet)
--- a/crates/woodladder-lab/src/flow_simulation/world/actions.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/actions.rs
@@ -64,7 +64,7 @@
             _ if !passes => None,
             (Some(index), _) => self.balancers[index]
                 .as_ref()
-                .map(|node| node.answer_snapshot(&request)),
+                .map(|node| node.answer_snapshot_request(&request)),
             (_, Some(index)) => self.agents[index]
                 .as_ref()
                 .map(|node| node.answer_snapshot(&request)),
@@ -75,8 +75,8 @@
             && let Some(node) = self.balancers[index].as_mut()
         {
             match snapshot {
-                Some(snapshot) => node.snapshot(from, snapshot, self.now, &mut actions),
-                None => node.snapshot_failed(from),
+                Some(snapshot) => node.handle_snapshot(from, snapshot, self.now, &mut actions),
+                None => node.handle_snapshot_failure(from),
             }
             return self.carry_out(to, actions);
         }
@@ -84,8 +84,8 @@
             && let Some(node) = self.agents[index].as_mut()
         {
             match snapshot {
-                Some(snapshot) => node.snapshot(from, snapshot, self.now),
-                None => node.snapshot_failed(from),
+                Some(snapshot) => node.apply_snapshot(from, snapshot, self.now),
+                None => node.handle_snapshot_failure(from),
             }
         }
     }
--- a/crates/woodladder-lab/src/flow_simulation/world/callers.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/callers.rs
@@ -11,7 +11,7 @@
                 continue;
             };
             if self.store_is_up {
-                balancer.configuration(Arc::clone(&self.configuration));
+                balancer.adopt_store_configuration(Arc::clone(&self.configuration));
             }
             let mut actions = Vec::new();
             balancer.tick(self.now, &mut actions);
@@ -28,7 +28,7 @@
             let mut actions = Vec::new();
             agent.tick(self.now, &mut actions);
             agent.take_notes();
-            let version = agent.version();
+            let version = agent.configuration_version();
             self.carry_out_agent(address, actions);
             self.check_version(address, version);
         }
@@ -55,7 +55,7 @@
             .filter(|index| {
                 self.balancers[*index]
                     .as_ref()
-                    .is_some_and(|balancer| balancer.ready(self.now).is_ok())
+                    .is_some_and(|balancer| balancer.check_ready(self.now).is_ok())
             })
             .collect();
         if ready.len() * 2 < BALANCERS {
@@ -68,7 +68,7 @@
         let Some(balancer) = self.balancers[index].as_mut() else {
             return;
         };
-        match balancer.caller_packet(packet, &packet_bytes::write(packet), self.now) {
+        match balancer.route_caller_packet(packet, &packet_bytes::write(packet), self.now) {
             Routing::One { to, header } => self.forward(address, to, header, packet),
             Routing::Several(receivers) => {
                 for (to, header) in receivers {
@@ -127,7 +127,7 @@
             kind: PacketKind::Reset,
             sequence: reset.sequence,
             acknowledgement: 0,
-            payload: 0,
+            payload_length: 0,
         };
         self.events
             .push(self.now + Duration::from_millis(1), Event::ToCaller(packet));
--- a/crates/woodladder-lab/src/flow_simulation/world/checks.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/checks.rs
@@ -40,7 +40,7 @@
             .agents
             .iter()
             .flatten()
-            .any(|agent| agent.version() < latest);
+            .any(|agent| agent.configuration_version() < latest);
         if behind || agents_behind {
             self.breach(Breach::NotConverged);
         }
--- a/crates/woodladder-lab/src/flow_simulation/world/delivery.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/delivery.rs
@@ -17,7 +17,7 @@
             let mut actions = Vec::new();
             let bytes = packet.as_ref().map(packet_bytes::write);
             let packet = packet.as_ref().zip(bytes.as_deref());
-            balancer.message(from, message, packet, self.now, &mut actions);
+            balancer.handle_message(from, message, packet, self.now, &mut actions);
             return self.carry_out(to, actions);
         }
         let Some(index) = (0..AGENTS).find(|index| agent_address(*index) == to) else {
@@ -32,7 +32,7 @@
                     return;
                 };
                 let mut actions = Vec::new();
-                agent.message(from, &message, self.now, &mut actions);
+                agent.handle_message(from, &message, self.now, &mut actions);
                 self.carry_out_agent(to, actions);
             }
         }
@@ -49,35 +49,36 @@
             return;
         };
         let bytes = packet_bytes::write(packet);
-        let mut delivery = agent.forwarded(from, &header, packet, &bytes, self.now);
+        let mut delivery = agent.handle_forwarded_packet(from, &header, packet, &bytes, self.now);
         let is_search = header.purpose == ForwardPurpose::Search;
         if self.mutation == Mutation::AgentsDenyAll && is_search {
             let keys = vec![packet.key];
-            delivery = Delivery::Answer(PeerMessage::NotHeld { keys }, AnswerBody::Nothing);
+            delivery = ForwardDecision::Reply(PeerMessage::NotHeld { keys }, ReplyBody::Empty);
         }
         let is_open = packet.kind == PacketKind::Open;
         let ignores_drain = self.mutation == Mutation::AgentsIgnoreDrain && is_open;
         if ignores_drain || self.mutation == Mutation::AgentsDeliverAll {
-            delivery = Delivery::Deliver {
-                tell: None,
+            delivery = ForwardDecision::Deliver {
+                reply: None,
                 begins_request: false,
             };
         }
         let address = agent_address(index);
         match delivery {
-            Delivery::Deliver { tell, .. } => {
-                if let Some(message) = tell {
+            ForwardDecision::Deliver { reply, .. } => {
+                if let Some(message) = reply {
                     self.send(address, from, message, None);
                 }
                 self.deliver(index, from, packet);
             }
-            Delivery::Answer(message, AnswerBody::Packet) => {
+            ForwardDecision::Reply(message, ReplyBody::Packet) => {
                 self.send(address, from, message, Some(*packet));
             }
-            Delivery::Queued(message) | Delivery::Answer(message, AnswerBody::Nothing) => {
+            ForwardDecision::Queued(message)
+            | ForwardDecision::Reply(message, ReplyBody::Empty) => {
                 self.send(address, from, message, None);
             }
-            Delivery::Drop => {}
+            ForwardDecision::Drop => {}
         }
         self.serve_queue(index);
     }
@@ -87,7 +88,7 @@
             return;
         };
         let mut actions = Vec::new();
-        agent.serve_queue(self.now, &mut actions);
+        agent.dispatch_queued(self.now, &mut actions);
         self.carry_out_agent(agent_address(index), actions);
     }
 
@@ -157,8 +158,8 @@
         let Some(agent) = self.agents[index].as_mut() else {
             return;
         };
-        match agent.departing(packet, returned_to, self.now) {
-            Departure::ToCaller(tell) => {
+        match agent.handle_target_packet(packet, returned_to, self.now) {
+            TargetPacketDecision::ToCaller(tell) => {
                 if let Some((to, message)) = tell {
                     self.send(address, to, message, None);
                 }
@@ -167,8 +168,8 @@
                     Event::ToCaller(*packet),
                 );
             }
-            Departure::Returned { to, message, body } => {
-                let packet = (body == AnswerBody::Packet).then_some(*packet);
+            TargetPacketDecision::Returned { to, message, body } => {
+                let packet = (body == ReplyBody::Packet).then_some(*packet);
                 self.send(address, to, message, packet);
             }
         }
--- a/crates/woodladder-lab/src/flow_simulation/world/mod.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/mod.rs
@@ -16,7 +16,8 @@
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AgentOptions, AnswerBody, Delivery, Departure, Heartbeat, Presence,
+    Agent, AgentAction, AgentOptions, ForwardDecision, Heartbeat, ListenState, ReplyBody,
+    TargetPacketDecision,
 };
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, BalancerOptions, Routing};
 use woodladder_core::flow::configuration::{Configuration, Route, RoutePart, RouteTerms};
@@ -186,7 +187,7 @@
             let target = world.new_target(index);
             world.targets.push(target);
             let mut agent = world.new_agent(index);
-            agent.presence(Presence::Absent);
+            agent.record_listen_state(ListenState::NotListening);
             world.agents.push(Some(agent));
         }
         world
@@ -204,8 +205,8 @@
         self.check_convergence();
         for balancer in self.balancers.iter().flatten() {
             let counters = balancer.counters();
-            self.report.searches += counters.searched;
-            self.report.relayed += counters.relayed;
+            self.report.searches += counters.searched_packets;
+            self.report.relayed += counters.relayed_packets;
             self.report.resets += counters.reset_target_ended + counters.reset_held_nowhere;
         }
         self.report
--- a/crates/woodladder-lab/src/flow_simulation/world/nodes.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/nodes.rs
@@ -7,19 +7,19 @@
         let options = BalancerOptions {
             address: balancer_address(index),
             zone: ZoneKey::default(),
-            capacity: self.capacities[index],
-            link_rate: None,
+            cpu_millicores: self.capacities[index],
+            link_rate_kbps: None,
             flow_capacity: 10_000,
             flow_retention: Duration::from_secs(30),
         };
         let mut balancer = Balancer::new(options, self.now);
         let mut actions = Vec::new();
         if self.store_is_up {
-            balancer.configuration(Arc::clone(&self.configuration));
+            balancer.adopt_store_configuration(Arc::clone(&self.configuration));
             let all: Vec<NodeAddress> = (0..BALANCERS).map(balancer_address).collect();
-            balancer.listed(&all, self.now, &mut actions);
+            balancer.add_listed_balancers(&all, self.now, &mut actions);
         }
-        balancer.listed(&[balancer_address(0)], self.now, &mut actions);
+        balancer.add_listed_balancers(&[balancer_address(0)], self.now, &mut actions);
         self.versions.remove(&options.address);
         self.carry_out(options.address, actions);
         balancer
@@ -39,7 +39,7 @@
         let mut agent = Agent::new(options, self.now);
         let known = if self.store_is_up { BALANCERS } else { 1 };
         let balancers: Vec<NodeAddress> = (0..known).map(balancer_address).collect();
-        agent.listed(&balancers, self.now);
+        agent.add_listed_balancers(&balancers, self.now);
         self.versions.remove(&options.address);
         agent
     }
@@ -85,15 +85,15 @@
         target.beats += 1;
         let beat = Heartbeat {
             incarnation: target.incarnation,
-            name: target.incarnation,
-            born_ms: None,
+            instance: target.incarnation,
+            started_unix_ms: None,
             service: target.service,
             leaving: target.leaving,
-            capacity: 7,
-            warm_up: Duration::ZERO,
+            slots: 7,
+            warm_up_remaining: Duration::ZERO,
             sequence: target.beats,
         };
-        if agent.heartbeat(&beat, self.now).is_ok() && target.leaving {
+        if agent.handle_heartbeat(&beat, self.now).is_ok() && target.leaving {
             target.leaving_acknowledged = true;
         }
     }
--- a/crates/woodladder-lab/src/flow_simulation/world/strikes.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/strikes.rs
@@ -16,11 +16,11 @@
                 self.disturb(agent_address(index));
                 let mut agent = self.new_agent(index);
                 let presence = if self.targets[index].runs {
-                    Presence::Listening
+                    ListenState::Listening
                 } else {
-                    Presence::Absent
+                    ListenState::NotListening
                 };
-                agent.presence(presence);
+                agent.record_listen_state(presence);
                 self.agents[index] = Some(agent);
             }
             Fault::PowerLoss(index) => {
@@ -83,7 +83,7 @@
         self.targets[index] = target;
         if self.agents[index].is_none() {
             let mut agent = self.new_agent(index);
-            agent.presence(Presence::Absent);
+            agent.record_listen_state(ListenState::NotListening);
             self.agents[index] = Some(agent);
         }
     }
--- a/crates/woodladder-lab/src/measure/datagram.rs
+++ b/crates/woodladder-lab/src/measure/datagram.rs
@@ -1,6 +1,6 @@
 //! Datagrams as the product's router reads them.
 
-use woodladder_core::packets::carrier::MINIMUM_FIRST_DATAGRAM;
+use woodladder_core::packets::quic_header::MINIMUM_INITIAL_DATAGRAM_LENGTH;
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
 /// First byte and version of a first packet (RFC 9000, section 17.2.2).
@@ -19,7 +19,7 @@
 
 impl DatagramWriter {
     pub(crate) fn new(short_length: usize) -> Self {
-        let mut initial = vec![0; MINIMUM_FIRST_DATAGRAM];
+        let mut initial = vec![0; MINIMUM_INITIAL_DATAGRAM_LENGTH];
         initial[..INITIAL_HEADER.len()].copy_from_slice(&INITIAL_HEADER);
         initial[INITIAL_HEADER.len()] = CLIENT_ID_LENGTH.to_be_bytes()[7];
         let mut short = vec![0; short_length.max(1 + TOKEN_LENGTH)];
--- a/crates/woodladder-lab/src/measure/decision.rs
+++ b/crates/woodladder-lab/src/measure/decision.rs
@@ -13,7 +13,7 @@
 };
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
 use woodladder_core::packets::keyed_tag::{TAG_KEY_LENGTH, TagKey};
-use woodladder_core::packets::router::{DEFAULT_HOPS, Inbound, Router};
+use woodladder_core::packets::router::{DEFAULT_HOPS, InboundDatagram, Router};
 use woodladder_core::packets::token::{TOKEN_LENGTH, TOKEN_NONCE_LENGTH};
 use woodladder_core::signature::{KEY_LENGTH, OperatorKey};
 
@@ -80,12 +80,12 @@
 impl Packet {
     /// The datagram as if it had just been received: written into a buffer that
     /// is used again for each.
-    fn inbound<'a>(&self, writer: &'a mut DatagramWriter) -> Inbound<'a> {
+    fn inbound<'a>(&self, writer: &'a mut DatagramWriter) -> InboundDatagram<'a> {
         let datagram = match &self.identifier {
             Identifier::Token(token) => writer.established(token),
             Identifier::Client(client_id) => writer.initial(*client_id),
         };
-        Inbound {
+        InboundDatagram {
             caller: self.caller,
             service_address: self.service_address,
             datagram,
--- a/crates/woodladder-lab/src/measure/deployment.rs
+++ b/crates/woodladder-lab/src/measure/deployment.rs
@@ -9,7 +9,7 @@
 };
 use woodladder_core::configuration::snapshot::{DEFAULT_LINGER, Snapshot};
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::signature::{KEY_LENGTH, OperatorKey};
 
 /// Port of every service address and agent.
@@ -170,8 +170,8 @@
     previous: Option<&Snapshot>,
     signed: SignedBundle,
     sequence: Sequence,
-) -> Option<(Snapshot, Arc<Directory>)> {
+) -> Option<(Snapshot, Arc<RoutingTable>)> {
     let snapshot = Snapshot::following(previous, signed, 0, DEFAULT_LINGER).ok()?;
-    let directory = Arc::new(Directory::new(sequence, &snapshot));
+    let directory = Arc::new(RoutingTable::new(sequence, &snapshot));
     Some((snapshot, directory))
 }
--- a/crates/woodladder-lab/src/measure/world/opening.rs
+++ b/crates/woodladder-lab/src/measure/world/opening.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use rand::Rng as _;
-use woodladder_core::packets::carrier;
 use woodladder_core::packets::envelope::Envelope;
+use woodladder_core::packets::quic_header;
 use woodladder_core::packets::token::{TOKEN_LENGTH, TOKEN_NONCE_LENGTH};
 use woodladder_core::target::admission::Verdict;
 use woodladder_core::target::request::{RequestEvent, RequestId};
@@ -110,7 +110,7 @@
     fn admit(&mut self, flow: FlowIndex, target: TargetIndex, envelope: Envelope) {
         let now = self.queue.now();
         let datagram = self.writer.initial(client_id(flow, self.salt));
-        let Ok(packet) = carrier::classify(datagram, TOKEN_LENGTH) else {
+        let Ok(packet) = quic_header::parse_header(datagram, TOKEN_LENGTH) else {
             return;
         };
         let model = &mut self.targets[target];
--- a/crates/woodladder-lab/src/measure/world/placement.rs
+++ b/crates/woodladder-lab/src/measure/world/placement.rs
@@ -2,9 +2,9 @@
 
 use rand::Rng as _;
 use woodladder_core::identifier::ServiceId;
-use woodladder_core::packets::carrier;
-use woodladder_core::packets::hop_list::{FULL_LOAD, choose_one};
-use woodladder_core::packets::router::{Forward, Inbound};
+use woodladder_core::packets::hop_list::{FULL_LOAD, choose_candidate};
+use woodladder_core::packets::quic_header;
+use woodladder_core::packets::router::{Forward, InboundDatagram};
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
 use super::World;
@@ -32,7 +32,7 @@
     ) -> Option<Forward> {
         let version = self.balancers[balancer].version;
         let datagram = self.writer.initial(client_id(flow, self.salt));
-        let inbound = Inbound {
+        let inbound = InboundDatagram {
             caller: caller_address(flow),
             service_address: service_address(self.flows[flow].service),
             datagram,
@@ -61,7 +61,7 @@
     fn hashed(&self, flow: FlowIndex, version: VersionIndex) -> Option<TargetIndex> {
         let service = self.flows[flow].service;
         let candidates = self.versions[version].candidates(service);
-        let chosen = choose_one(candidates, address_hash(flow, service, self.salt))?;
+        let chosen = choose_candidate(candidates, address_hash(flow, service, self.salt))?;
         self.by_address.get(&chosen.address).copied()
     }
 
@@ -166,7 +166,7 @@
     ) -> Arrival {
         let version = self.balancers[balancer].version;
         let token = self.flows[flow].token;
-        let inbound = Inbound {
+        let inbound = InboundDatagram {
             caller: caller_address(flow),
             service_address: service_address(self.flows[flow].service),
             datagram: self.writer.established(&token),
@@ -190,7 +190,7 @@
             return Arrival::Lost;
         };
         let datagram = self.writer.established(token);
-        let Ok(packet) = carrier::classify(datagram, TOKEN_LENGTH) else {
+        let Ok(packet) = quic_header::parse_header(datagram, TOKEN_LENGTH) else {
             return Arrival::Lost;
         };
         let target = &mut self.targets[reached];
--- a/crates/woodladder-lab/src/measure/world/requests.rs
+++ b/crates/woodladder-lab/src/measure/world/requests.rs
@@ -142,7 +142,7 @@
                 RequestAction::Refuse { refusal, .. } => {
                     self.refusal_travels(request, refusal.retry_after());
                 }
-                RequestAction::CloseBackEnd(_)
+                RequestAction::CloseBackEndConnection(_)
                 | RequestAction::Fail { .. }
                 | RequestAction::ResetCaller { .. }
                 | RequestAction::Forget { .. } => {}
--- a/crates/woodladder-lab/src/measure/world/target.rs
+++ b/crates/woodladder-lab/src/measure/world/target.rs
@@ -10,11 +10,15 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::configuration::bundle::Target;
 use woodladder_core::identifier::{ServiceId, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::hop_list::Load;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::TokenKeys;
-use woodladder_core::target::admission::{Admission, AdmissionOptions, Conditions, Identity};
-use woodladder_core::target::drain::{Activity, DEFAULT_GRACE, Drain, DrainEvent, DrainReason};
+use woodladder_core::target::admission::{
+    Admission, AdmissionOptions, TargetConditions, TargetIdentity,
+};
+use woodladder_core::target::drain::{
+    Activity, DEFAULT_DRAIN_GRACE, Drain, DrainEvent, DrainReason,
+};
 use woodladder_core::target::load::Usage;
 use woodladder_core::target::request::{
     RequestAction, RequestEvent, RequestId, RequestOptions, RequestTable,
@@ -59,7 +63,7 @@
         options: AdmissionOptions,
         cold_since: Option<Instant>,
     ) -> Self {
-        let identity = Identity {
+        let identity = TargetIdentity {
             target: target.id,
             service: target.service,
         };
@@ -77,7 +81,7 @@
             slots: target.slots,
             admission: Admission::new(identity, keys, options),
             requests: RequestTable::new(request_options, target.slots, random),
-            drain: Drain::new(DEFAULT_GRACE),
+            drain: Drain::new(DEFAULT_DRAIN_GRACE),
             open_connections: 0,
             on_the_way: 0,
             published: Load::default(),
@@ -95,21 +99,21 @@
     pub(super) fn adopt(
         &mut self,
         version: VersionIndex,
-        directory: &Arc<Directory>,
+        directory: &Arc<RoutingTable>,
         now: Instant,
     ) -> Vec<RequestAction> {
-        if directory.sequence() <= self.admission.directory().sequence() {
+        if directory.sequence() <= self.admission.routing_table().sequence() {
             return Vec::new();
         }
         self.version = version;
         self.admission.adopt(directory.clone(), now);
         let entry = directory.target(self.id);
-        let stands = entry.is_some_and(|entry| entry.standing.takes_new_flows());
+        let stands = entry.is_some_and(|entry| entry.status.takes_new_flows());
         self.note_activity(now);
         let event = if stands {
-            DrainEvent::Withdraw(DrainReason::Bundle)
+            DrainEvent::RemoveReason(DrainReason::Bundle)
         } else {
-            DrainEvent::Begin(DrainReason::Bundle)
+            DrainEvent::AddReason(DrainReason::Bundle)
         };
         self.drain.handle(event, now);
         self.apply_drain(now)
@@ -171,8 +175,8 @@
         }
     }
 
-    pub(super) fn conditions(&mut self, now: Instant) -> Conditions {
-        Conditions {
+    pub(super) fn conditions(&mut self, now: Instant) -> TargetConditions {
+        TargetConditions {
             usage: self.usage(now),
             takes_new_flows: self.drain.takes_new_flows(),
         }
--- a/crates/woodladder-lab/src/measure/world/versions.rs
+++ b/crates/woodladder-lab/src/measure/world/versions.rs
@@ -5,9 +5,9 @@
 
 use woodladder_core::clock::Instant;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::hop_list::Candidate;
 use woodladder_core::packets::router::Router;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::target::admission::AdmissionOptions;
 
 use super::model_keys;
@@ -17,7 +17,7 @@
 
 /// One roll, laid out for routing.
 pub(super) struct Version {
-    pub(super) directory: Arc<Directory>,
+    pub(super) directory: Arc<RoutingTable>,
     pub(super) router: Router,
 }
 
@@ -31,7 +31,7 @@
     /// Whether a target takes new flows.
     pub(super) fn is_active(&self, target: TargetId) -> bool {
         let entry = self.directory.target(target);
-        entry.is_some_and(|entry| entry.standing.takes_new_flows())
+        entry.is_some_and(|entry| entry.status.takes_new_flows())
     }
 }
 
--- a/crates/woodladder-lab/src/simulation/agent/leaving.rs
+++ b/crates/woodladder-lab/src/simulation/agent/leaving.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use woodladder_core::packets::directory::Directory;
-use woodladder_core::target::admission::Identity;
+use woodladder_core::packets::routing_table::RoutingTable;
+use woodladder_core::target::admission::TargetIdentity;
 use woodladder_core::target::drain::{Activity, DrainAction, DrainEvent, DrainReason};
 use woodladder_core::target::request::RequestEvent;
 
@@ -34,9 +34,9 @@
         };
         self.set_told(!stays, around);
         let event = if stays {
-            DrainEvent::Withdraw(DrainReason::Bundle)
+            DrainEvent::RemoveReason(DrainReason::Bundle)
         } else {
-            DrainEvent::Begin(DrainReason::Bundle)
+            DrainEvent::AddReason(DrainReason::Bundle)
         };
         self.drain(event, back_end, around);
     }
@@ -138,7 +138,7 @@
 }
 
 /// Whether the directory keeps the target; `None` when it never held it.
-fn stays(directory: &Directory, identity: Identity) -> Option<bool> {
+fn stays(directory: &RoutingTable, identity: TargetIdentity) -> Option<bool> {
     let entry = directory.target(identity.target)?;
-    Some(entry.standing.takes_new_flows())
+    Some(entry.status.takes_new_flows())
 }
--- a/crates/woodladder-lab/src/simulation/agent/mod.rs
+++ b/crates/woodladder-lab/src/simulation/agent/mod.rs
@@ -8,17 +8,17 @@
 
 use woodladder_core::clock::Instant;
 use woodladder_core::control::membership::Role;
-use woodladder_core::control::replica::Event;
-use woodladder_core::packets::carrier;
+use woodladder_core::control::replica::ReplicaEvent;
 use woodladder_core::packets::envelope::Envelope;
 use woodladder_core::packets::hop_list::flow_hash;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::quic_header;
 use woodladder_core::packets::router::Forward;
 use woodladder_core::packets::token::{TOKEN_LENGTH, TokenKeys};
 use woodladder_core::target::admission::{
-    Admission, AdmissionOptions, Conditions, Identity, SequenceHint, Verdict,
+    Admission, AdmissionOptions, SequenceHint, TargetConditions, TargetIdentity, Verdict,
 };
-use woodladder_core::target::drain::{DEFAULT_GRACE, Drain, DrainEvent, DrainReason};
+use woodladder_core::target::drain::{DEFAULT_DRAIN_GRACE, Drain, DrainEvent, DrainReason};
 use woodladder_core::target::load::Usage;
 use woodladder_core::target::request::RequestEvent;
 use woodladder_core::target::slow_start::{EffectiveSlots, SlowStart, SlowStartOptions};
@@ -45,7 +45,7 @@
 /// An agent process.
 #[derive(Debug)]
 pub struct Agent {
-    identity: Identity,
+    identity: TargetIdentity,
     node: Node,
     tokens: TokenKeys,
     envelope_key: TagKey,
@@ -65,7 +65,7 @@
 impl Agent {
     /// An agent that has just started.
     #[must_use]
-    pub fn new(identity: Identity, slots: u16, start: &mut Start<'_>) -> Self {
+    pub fn new(identity: TargetIdentity, slots: u16, start: &mut Start<'_>) -> Self {
         let options = AdmissionOptions::default();
         let mut slow_start = SlowStart::new(SlowStartOptions::default(), start.now);
         let effective = slow_start.effective_slots(slots, start.now);
@@ -75,7 +75,7 @@
             tokens: start.secrets.tokens,
             envelope_key: start.secrets.envelope,
             admission: Admission::new(identity, start.secrets.tokens, options),
-            drain: Drain::new(DEFAULT_GRACE),
+            drain: Drain::new(DEFAULT_DRAIN_GRACE),
             slow_start,
             slots: effective,
             slot_count: slots,
@@ -96,7 +96,7 @@
 
     /// Who its back end is.
     #[must_use]
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> TargetIdentity {
         self.identity
     }
 
@@ -104,7 +104,11 @@
     #[must_use]
     pub fn next_wake(&self, now: Instant) -> Instant {
         let transport = (!self.flows.is_empty()).then(|| now + TRANSPORT_TICK);
-        let optional = [transport, self.requests.next_wake(), self.drain.next_wake()];
+        let optional = [
+            transport,
+            self.requests.next_wake(),
+            self.drain.next_wakeup(),
+        ];
         let optional = optional.into_iter().flatten();
         optional.fold(self.node.next_wake(), Instant::min)
     }
@@ -123,7 +127,12 @@
     }
 
     /// Takes an event for the replica in.
-    pub fn handle(&mut self, event: Event, back_end: &mut BackEnd, around: &mut Surroundings<'_>) {
+    pub fn handle(
+        &mut self,
+        event: ReplicaEvent,
+        back_end: &mut BackEnd,
+        around: &mut Surroundings<'_>,
+    ) {
         if self.node.handle(event, around) {
             self.adopt(back_end, around);
         }
@@ -131,7 +140,7 @@
 
     /// Sees to everything that is due.
     pub fn tick(&mut self, back_end: &mut BackEnd, around: &mut Surroundings<'_>) {
-        self.handle(Event::Tick, back_end, around);
+        self.handle(ReplicaEvent::Tick, back_end, around);
         self.update_slots(back_end, around);
         self.requests
             .tick(&mut means(&mut self.flows, back_end, around));
@@ -156,20 +165,20 @@
             around.log.see(Seen::BadEnvelope);
             return;
         };
-        let Ok(packet) = carrier::classify(datagram, TOKEN_LENGTH) else {
+        let Ok(packet) = quic_header::parse_header(datagram, TOKEN_LENGTH) else {
             return;
         };
         let Some(payload) = Payload::read(datagram) else {
             return;
         };
         let conditions = self.conditions(around);
-        let hash = flow_hash(packet.destination);
+        let hash = flow_hash(packet.destination_connection_id);
         let caller = envelope.caller;
         let decision = self
             .admission
             .handle(envelope, &packet, &conditions, around.now);
-        if let Some(SequenceHint::OwnIsBehind(sequence)) = decision.hint {
-            self.handle(Event::SequenceSeen(sequence), back_end, around);
+        if let Some(SequenceHint::AgentIsBehind(sequence)) = decision.hint {
+            self.handle(ReplicaEvent::SequenceSeen(sequence), back_end, around);
         }
         around.log.see(situation(&decision.verdict));
         match decision.verdict {
@@ -209,13 +218,13 @@
                 self.slow_start.restart(around.now);
             }
             self.bad_reports = 0;
-            let event = DrainEvent::Withdraw(DrainReason::BackEndHealth);
+            let event = DrainEvent::RemoveReason(DrainReason::BackEndHealth);
             self.drain(event, back_end, around);
             return;
         }
         self.bad_reports += 1;
         if self.bad_reports >= BAD_REPORTS {
-            let event = DrainEvent::Begin(DrainReason::BackEndHealth);
+            let event = DrainEvent::AddReason(DrainReason::BackEndHealth);
             self.drain(event, back_end, around);
         }
     }
@@ -227,8 +236,8 @@
             around.outputs.push(Output::Ended);
             return;
         }
-        self.handle(Event::Leaving, back_end, around);
-        self.drain(DrainEvent::Begin(DrainReason::Signal), back_end, around);
+        self.handle(ReplicaEvent::Leaving, back_end, around);
+        self.drain(DrainEvent::AddReason(DrainReason::Signal), back_end, around);
     }
 
     /// The mutation that ends the flows which a stopped balancer carried.
@@ -352,10 +361,10 @@
         self.slots = slots;
     }
 
-    fn conditions(&self, around: &Surroundings<'_>) -> Conditions {
+    fn conditions(&self, around: &Surroundings<'_>) -> TargetConditions {
         let counts = self.requests.counts();
         let keeps = around.mutation == Some(Mutation::KeepTakingWork);
-        Conditions {
+        TargetConditions {
             usage: Usage {
                 busy_slots: counts.busy,
                 queued: counts.queued,
--- a/crates/woodladder-lab/src/simulation/agent_requests.rs
+++ b/crates/woodladder-lab/src/simulation/agent_requests.rs
@@ -87,7 +87,7 @@
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
         let held = self.held.iter().map(|held| held.until);
-        held.chain(self.table.next_wake()).min()
+        held.chain(self.table.next_wakeup()).min()
     }
 
     /// Takes a caller's request in.
@@ -201,7 +201,7 @@
             match action {
                 RequestAction::Dispatch(id) => self.dispatch(id, means),
                 RequestAction::Send(permit) => self.send(permit.id(), means),
-                RequestAction::CloseBackEnd(id) => self.close_back_end(id, means),
+                RequestAction::CloseBackEndConnection(id) => self.close_back_end(id, means),
                 RequestAction::Refuse { id, refusal } => self.refuse(id, &refusal, means),
                 RequestAction::Fail { id, reason, .. } => {
                     means.around.log.see(Seen::unknown(reason));
--- a/crates/woodladder-lab/src/simulation/balancer.rs
+++ b/crates/woodladder-lab/src/simulation/balancer.rs
@@ -5,13 +5,13 @@
 
 use woodladder_core::clock::Instant;
 use woodladder_core::control::membership::Role;
-use woodladder_core::control::replica::Event;
-use woodladder_core::packets::carrier;
-use woodladder_core::packets::directory::Directory;
+use woodladder_core::control::replica::ReplicaEvent;
 use woodladder_core::packets::envelope::{Envelope, Route};
-use woodladder_core::packets::hop_list::{choose_one, flow_hash};
+use woodladder_core::packets::hop_list::{choose_candidate, flow_hash};
 use woodladder_core::packets::keyed_tag::TagKey;
-use woodladder_core::packets::router::{DEFAULT_HOPS, Forward, Inbound, Router};
+use woodladder_core::packets::quic_header;
+use woodladder_core::packets::router::{DEFAULT_HOPS, Forward, InboundDatagram, Router};
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TOKEN_LENGTH, TokenKeys};
 
 use super::frame::Payload;
@@ -64,7 +64,7 @@
     /// Begins a planned stop.
     pub fn leave(&mut self, around: &mut Surroundings<'_>) {
         self.leaving = true;
-        self.handle(Event::Leaving, around);
+        self.handle(ReplicaEvent::Leaving, around);
     }
 
     /// Takes a control datagram in.
@@ -80,7 +80,7 @@
     }
 
     /// Takes an event for the replica in.
-    pub fn handle(&mut self, event: Event, around: &mut Surroundings<'_>) {
+    pub fn handle(&mut self, event: ReplicaEvent, around: &mut Surroundings<'_>) {
         if self.node.handle(event, around) {
             self.adopt();
         }
@@ -94,7 +94,7 @@
         datagram: &[u8],
         around: &mut Surroundings<'_>,
     ) {
-        let inbound = Inbound {
+        let inbound = InboundDatagram {
             caller,
             service_address,
             datagram,
@@ -110,9 +110,13 @@
         around.outputs.push(Output::ToAgent { to, bytes });
     }
 
-    fn forward(&self, inbound: &Inbound<'_>, around: &mut Surroundings<'_>) -> Option<Forward> {
+    fn forward(
+        &self,
+        inbound: &InboundDatagram<'_>,
+        around: &mut Surroundings<'_>,
+    ) -> Option<Forward> {
         let router = self.router.as_ref()?;
-        let packet = carrier::classify(inbound.datagram, TOKEN_LENGTH).ok()?;
+        let packet = quic_header::parse_header(inbound.datagram, TOKEN_LENGTH).ok()?;
         if packet.may_open_flow && self.node.is_suspect(around.now) {
             around.log.see(Seen::SuspectBalancer);
             return None;
@@ -125,7 +129,7 @@
             }
         };
         if around.mutation == Some(Mutation::RouteByHash) && !packet.may_open_flow {
-            return hashed(router.directory(), inbound, forward);
+            return hashed(router.routing_table(), inbound, forward);
         }
         Some(forward)
     }
@@ -139,10 +143,14 @@
 }
 
 /// The mutation that hashes each packet's flow over the present targets.
-fn hashed(directory: &Directory, inbound: &Inbound<'_>, forward: Forward) -> Option<Forward> {
+fn hashed(
+    directory: &RoutingTable,
+    inbound: &InboundDatagram<'_>,
+    forward: Forward,
+) -> Option<Forward> {
     let payload = Payload::read(inbound.datagram)?;
     let service = directory.service(forward.envelope.service)?;
-    let choice = choose_one(&service.candidates, flow_hash(&payload.flow))?;
+    let choice = choose_candidate(&service.candidates, flow_hash(&payload.flow))?;
     Some(Forward {
         to: choice.address,
         envelope: Envelope {
--- a/crates/woodladder-lab/src/simulation/forgery.rs
+++ b/crates/woodladder-lab/src/simulation/forgery.rs
@@ -7,7 +7,7 @@
 use woodladder_core::configuration::snapshot::{DEFAULT_LINGER, Snapshot};
 use woodladder_core::configuration::snapshot_delta::SnapshotDelta;
 use woodladder_core::control::control_message::{
-    ControlMessage, FRAME_VERSION, MAXIMUM_DATAGRAM, Offer, OfferedDelta,
+    ControlMessage, FRAME_VERSION, MAXIMUM_DATAGRAM_LENGTH, Offer, OfferedDelta,
 };
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
 use woodladder_core::packets::envelope::{Envelope, Route};
@@ -34,7 +34,7 @@
 
 /// Random bytes in the shape of a control frame, some of them too long.
 pub fn random_frame(random: &mut Random) -> Vec<u8> {
-    let length = 1 + random.below(MAXIMUM_DATAGRAM + MOST_EXCESS);
+    let length = 1 + random.below(MAXIMUM_DATAGRAM_LENGTH + MOST_EXCESS);
     let mut bytes = vec![0; length];
     bytes[0] = FRAME_VERSION + u8::from(random.chance(RANDOM_VERSION));
     for byte in bytes.iter_mut().skip(1) {
@@ -55,10 +55,10 @@
         sequence: FORGED_SEQUENCE,
         nonce: RollNonce([0x77; 16]),
         bundle_version: snapshot.bundle.version,
-        snapshot: snapshot.digest(),
+        snapshot_digest: snapshot.digest(),
         snapshot_length: u32::try_from(snapshot.encode().len()).ok()?,
         operator: "forger".to_owned(),
-        rolled_at: 0,
+        rolled_at_unix_seconds: 0,
     };
     let delta = base.map_or(OfferedDelta::None, |base| {
         OfferedDelta::Inline(Box::new(SnapshotDelta::between(base, &snapshot)))
--- a/crates/woodladder-lab/src/simulation/frame.rs
+++ b/crates/woodladder-lab/src/simulation/frame.rs
@@ -6,7 +6,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use woodladder_core::identifier::ServiceId;
-use woodladder_core::packets::carrier::MINIMUM_FIRST_DATAGRAM;
+use woodladder_core::packets::quic_header::MINIMUM_INITIAL_DATAGRAM_LENGTH;
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
 /// Length of the identifier that a caller draws for a new flow.
@@ -139,7 +139,7 @@
         datagram.push(FIRST_IDENTIFIER_LENGTH as u8);
         datagram.extend_from_slice(&self.flow);
         self.append_to(&mut datagram);
-        let padded = datagram.len().max(MINIMUM_FIRST_DATAGRAM);
+        let padded = datagram.len().max(MINIMUM_INITIAL_DATAGRAM_LENGTH);
         datagram.resize(padded, 0);
         datagram
     }
--- a/crates/woodladder-lab/src/simulation/machine_list.rs
+++ b/crates/woodladder-lab/src/simulation/machine_list.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use woodladder_core::clock::Instant;
-use woodladder_core::control::membership::{ListedMachine, ListedStanding};
+use woodladder_core::control::membership::{ListedMachine, ListedState};
 
 use super::fault::ListFaults;
 use super::topology::Machine;
@@ -43,8 +43,8 @@
             .into_iter()
             .filter(|machine| !faults.omitted.contains(machine))
             .map(|machine| ListedMachine {
-                control: machine.control_address(),
-                standing: ListedStanding::Live,
+                control_address: machine.control_address(),
+                state: ListedState::Live,
             })
             .collect()
     }
--- a/crates/woodladder-lab/src/simulation/node.rs
+++ b/crates/woodladder-lab/src/simulation/node.rs
@@ -8,11 +8,11 @@
 use woodladder_core::control::control_message::ControlMessage;
 use woodladder_core::control::membership::{Locality, Role};
 use woodladder_core::control::replica::{
-    Action, Event, Installed, Replica, ReplicaSettings, ReplicaTuning,
+    InstalledRoll, Replica, ReplicaAction, ReplicaEvent, ReplicaSettings, ReplicaTuning,
 };
 use woodladder_core::identifier::{NodeId, Sequence, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use super::log::{Entry, Log, ProcessRun};
 use super::mutation::Mutation;
@@ -56,9 +56,9 @@
     process: ProcessRun,
     key: TagKey,
     replica: Replica,
-    in_force: Option<Arc<Installed>>,
-    directory: Option<Arc<Directory>>,
-    earlier: Vec<Arc<Installed>>,
+    in_force: Option<Arc<InstalledRoll>>,
+    directory: Option<Arc<RoutingTable>>,
+    earlier: Vec<Arc<InstalledRoll>>,
 }
 
 impl Node {
@@ -72,8 +72,8 @@
             node: NodeId(start.random.number()),
             role,
             locality: Locality::new("region", &zone.to_string()),
-            control: machine.control_address(),
-            served: target.map(|target| ServedTarget { target, run }),
+            control_address: machine.control_address(),
+            served_target: target.map(|target| ServedTarget { target, run }),
             seeds: start.seeds.clone(),
             trusted: start.secrets.trusted.clone(),
             tuning: ReplicaTuning::default(),
@@ -102,13 +102,13 @@
 
     /// The roll in force.
     #[must_use]
-    pub fn in_force(&self) -> Option<&Arc<Installed>> {
+    pub fn in_force(&self) -> Option<&Arc<InstalledRoll>> {
         self.in_force.as_ref()
     }
 
     /// The directory in force, without targets that are unavailable.
     #[must_use]
-    pub fn directory(&self) -> Option<&Arc<Directory>> {
+    pub fn directory(&self) -> Option<&Arc<RoutingTable>> {
         self.directory.as_ref()
     }
 
@@ -149,27 +149,27 @@
                 if around.mutation == Some(Mutation::AdoptLower) && self.go_back(&message, around) {
                     return true;
                 }
-                Event::Message { from, message }
+                ReplicaEvent::Message { from, message }
             }
             Err(error) => {
                 around.log.see(Seen::BadFrame);
-                Event::BadFrame(error)
+                ReplicaEvent::BadFrame(error)
             }
         };
         self.handle(event, around)
     }
 
     /// Takes an event in; true when another roll is in force.
-    pub fn handle(&mut self, event: Event, around: &mut Surroundings<'_>) -> bool {
+    pub fn handle(&mut self, event: ReplicaEvent, around: &mut Surroundings<'_>) -> bool {
         let mut installed = false;
         for action in self.replica.handle(event, around.now) {
             match action {
-                Action::Send { to, message } => self.send(to, &message, around),
-                Action::Store { request, operation } => {
+                ReplicaAction::Send { to, message } => self.send(to, &message, around),
+                ReplicaAction::Store { request, operation } => {
                     around.outputs.push(Output::Store { request, operation });
                 }
-                Action::Install(roll) => installed |= self.install(roll, around),
-                Action::Refresh(directory) => installed |= self.refresh(directory),
+                ReplicaAction::Install(roll) => installed |= self.install(roll, around),
+                ReplicaAction::ReplaceDirectory(directory) => installed |= self.refresh(directory),
             }
         }
         installed
@@ -181,7 +181,7 @@
         }
     }
 
-    fn install(&mut self, roll: Arc<Installed>, around: &mut Surroundings<'_>) -> bool {
+    fn install(&mut self, roll: Arc<InstalledRoll>, around: &mut Surroundings<'_>) -> bool {
         let keeps_first = around.mutation == Some(Mutation::KeepFirstRoll);
         if keeps_first && self.in_force.is_some() {
             return false;
@@ -192,7 +192,7 @@
     }
 
     /// The replica may be ahead of a mutated node.
-    fn refresh(&mut self, directory: Arc<Directory>) -> bool {
+    fn refresh(&mut self, directory: Arc<RoutingTable>) -> bool {
         let is_in_force = directory.sequence() == self.sequence();
         if is_in_force {
             self.directory = Some(directory);
@@ -200,7 +200,7 @@
         is_in_force
     }
 
-    fn put_in_force(&mut self, roll: Arc<Installed>, around: &mut Surroundings<'_>) {
+    fn put_in_force(&mut self, roll: Arc<InstalledRoll>, around: &mut Surroundings<'_>) {
         let entry = Entry::InForce {
             node: self.process,
             sequence: roll.sequence(),
--- a/crates/woodladder-lab/src/simulation/operator.rs
+++ b/crates/woodladder-lab/src/simulation/operator.rs
@@ -169,7 +169,7 @@
 
 fn situation(error: &RollError) -> Seen {
     match error {
-        RollError::OtherWon { .. } => Seen::RollLost,
+        RollError::LostRace { .. } => Seen::RollLost,
         RollError::OutcomeUnknown { .. } => Seen::RollInDoubt,
         _ => Seen::RollNotTaken,
     }
--- a/crates/woodladder-lab/src/simulation/seen.rs
+++ b/crates/woodladder-lab/src/simulation/seen.rs
@@ -2,7 +2,7 @@
 //! brings its fault about is found out.
 
 use woodladder_core::packets::router::DropReason;
-use woodladder_core::target::admission::AdmissionDrop;
+use woodladder_core::target::admission::AdmissionDropReason;
 use woodladder_core::target::request::{RefusalReason, UnknownReason};
 
 macro_rules! situations {
@@ -94,11 +94,11 @@
 impl Seen {
     /// The situation of an agent's drop, when it is counted.
     #[must_use]
-    pub fn agent_drop(reason: AdmissionDrop) -> Option<Self> {
+    pub fn agent_drop(reason: AdmissionDropReason) -> Option<Self> {
         match reason {
-            AdmissionDrop::WrongService => Some(Self::WrongService),
-            AdmissionDrop::WrongTarget => Some(Self::WrongTarget),
-            AdmissionDrop::StaleSequence => Some(Self::StaleSequence),
+            AdmissionDropReason::WrongService => Some(Self::WrongService),
+            AdmissionDropReason::WrongTarget => Some(Self::WrongTarget),
+            AdmissionDropReason::StaleSequence => Some(Self::StaleSequence),
             _ => None,
         }
     }
--- a/crates/woodladder-lab/src/simulation/world/build.rs
+++ b/crates/woodladder-lab/src/simulation/world/build.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use woodladder_core::clock::Instant;
-use woodladder_core::target::admission::Identity;
+use woodladder_core::target::admission::TargetIdentity;
 
 use super::event::Event;
 use super::fabric::{CHECK_INTERVAL, Fabric};
@@ -90,7 +90,7 @@
             .chain(SECOND_AGENTS)
             .chain([SPARE_AGENT])
         {
-            let identity = Identity {
+            let identity = TargetIdentity {
                 target: target_of(number),
                 service: service_of(number),
             };
--- a/crates/woodladder-lab/src/simulation/world/faults.rs
+++ b/crates/woodladder-lab/src/simulation/world/faults.rs
@@ -5,7 +5,7 @@
 
 use woodladder_core::configuration::bundle::Bundle;
 use woodladder_core::identifier::TargetId;
-use woodladder_core::target::admission::Identity;
+use woodladder_core::target::admission::TargetIdentity;
 
 use super::World;
 use super::event::Event;
@@ -42,7 +42,7 @@
                 agent,
                 target,
                 service,
-            } => self.replace(agent, Identity { target, service }),
+            } => self.replace(agent, TargetIdentity { target, service }),
             Fault::BackEndCrash(agent) => self.crash_back_end(agent),
             Fault::BackEndStart(agent) => self.start_back_end(agent),
             Fault::BackEnd(agent, faults) => {
@@ -268,7 +268,7 @@
         }
     }
 
-    fn replace(&mut self, agent: u8, identity: Identity) {
+    fn replace(&mut self, agent: u8, identity: TargetIdentity) {
         self.end_agent(agent);
         let random = self.random.fork();
         if let Some(machine) = self.agents.get_mut(&agent) {
--- a/crates/woodladder-lab/src/simulation/world/handling.rs
+++ b/crates/woodladder-lab/src/simulation/world/handling.rs
@@ -214,12 +214,12 @@
                 command.answered(client.run, request, answer, around);
             });
         } else if self.is_current(process) {
-            let event = replica::Event::StoreAnswer { request, answer };
+            let event = replica::ReplicaEvent::StoreAnswer { request, answer };
             self.replica_event(process.machine, event);
         }
     }
 
-    pub(super) fn replica_event(&mut self, machine: Machine, event: replica::Event) {
+    pub(super) fn replica_event(&mut self, machine: Machine, event: replica::ReplicaEvent) {
         match machine {
             Machine::Balancer(number) => {
                 self.with_balancer(number, |process, around| process.handle(event, around));
@@ -237,7 +237,7 @@
         }
         match process.machine {
             Machine::Balancer(number) => self.with_balancer(number, |process, around| {
-                process.handle(replica::Event::Tick, around);
+                process.handle(replica::ReplicaEvent::Tick, around);
             }),
             Machine::Agent(number) => self.with_agent(number, Agent::tick),
             _ => {}
@@ -268,7 +268,10 @@
             return;
         }
         let machines = self.list.read(&self.list_faults, self.queue.now());
-        self.replica_event(process.machine, replica::Event::Machines(machines));
+        self.replica_event(
+            process.machine,
+            replica::ReplicaEvent::MachineList(machines),
+        );
         self.read_list_later(process);
     }
 
--- a/crates/woodladder-lab/src/simulation/world/mod.rs
+++ b/crates/woodladder-lab/src/simulation/world/mod.rs
@@ -45,7 +45,7 @@
 struct AgentMachine {
     host: Host<Agent>,
     back_end: BackEnd,
-    identity: woodladder_core::target::admission::Identity,
+    identity: woodladder_core::target::admission::TargetIdentity,
     reported_health: Option<bool>,
 }
 
--- a/crates/woodladder-lab/src/simulation/world/outputs.rs
+++ b/crates/woodladder-lab/src/simulation/world/outputs.rs
@@ -119,7 +119,7 @@
             let entry = Entry::RollAccepted {
                 sequence: roll.sequence,
                 nonce: roll.nonce,
-                snapshot: roll.snapshot,
+                snapshot: roll.snapshot_digest,
             };
             self.log.add(self.queue.now(), entry);
         }
--- a/crates/woodladder-lab/tests/stand_in_whole_path.rs
+++ b/crates/woodladder-lab/tests/stand_in_whole_path.rs
@@ -15,9 +15,9 @@
 };
 use woodladder_core::configuration::snapshot::Snapshot;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Router;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 use woodladder_core::target::drain::DrainReason;
@@ -49,7 +49,7 @@
     }
 }
 
-fn directory(service_address: SocketAddr, targets: &[SocketAddr]) -> Arc<Directory> {
+fn directory(service_address: SocketAddr, targets: &[SocketAddr]) -> Arc<RoutingTable> {
     let target = |(position, address): (usize, &SocketAddr)| Target {
         id: target_id(position),
         service: SERVICE,
@@ -75,14 +75,14 @@
     };
     let signed = SignedBundle::sign(bundle.canonical(), &OperatorKey::from_bytes([1; 32]));
     let snapshot = Snapshot::following(None, signed, 0, Duration::ZERO).expect("snapshot");
-    Arc::new(Directory::new(Sequence(1), &snapshot))
+    Arc::new(RoutingTable::new(Sequence(1), &snapshot))
 }
 
 fn target_id(position: usize) -> TargetId {
     TargetId(10 + u32::try_from(position).expect("few targets"))
 }
 
-fn balancer(directory: &Arc<Directory>) -> PacketPath {
+fn balancer(directory: &Arc<RoutingTable>) -> PacketPath {
     let router = Router::new(Arc::clone(directory), keys().token, 2);
     PacketPath::start(&PacketPathConfig {
         listen: ANY,
@@ -132,7 +132,7 @@
         world
     }
 
-    async fn add_target(&mut self, position: usize, socket: UdpSocket, layout: &Arc<Directory>) {
+    async fn add_target(&mut self, position: usize, socket: UdpSocket, layout: &Arc<RoutingTable>) {
         let back_end = BackEnd::start(BackEndConfig {
             service: SERVICE_NAME.to_owned(),
             name: format!("{SERVICE_NAME}-{position}"),
--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -21,13 +21,13 @@
 use tokio::time::{sleep, timeout};
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, AgentOptions, AnswerBody, Delivery, Departure, Heartbeat, HeartbeatError,
-    Presence, WarmUpBounds,
+    Agent, AgentAction, AgentOptions, ForwardDecision, Heartbeat, HeartbeatError, ListenState,
+    ReplyBody, TargetPacketDecision, WarmUpBounds,
 };
 use woodladder_core::flow::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey, ZoneKey};
+use woodladder_core::flow::log_event::LogEvent;
 use woodladder_core::flow::message::{ForwardHeader, PeerMessage, TargetState};
-use woodladder_core::flow::note::Note;
-use woodladder_core::flow::store_session::BalancerList;
+use woodladder_core::flow::store_session::BalancerDiscovery;
 
 use crate::carrier::Carrier;
 use crate::decision_log::DecisionLog;
@@ -141,7 +141,9 @@
             node.core.borrow().answer_snapshot(request)
         }));
         let now = self.clock.now();
-        self.core.borrow_mut().listed(&self.config.seeds, now);
+        self.core
+            .borrow_mut()
+            .add_listed_balancers(&self.config.seeds, now);
         self.start_receiving();
         spawn_local(Rc::clone(&self).tick());
         spawn_local(Rc::clone(&self).log_messages());
@@ -150,19 +152,23 @@
         let hearing = Rc::clone(&self);
         spawn_local(store::list_balancers(
             store(),
-            BalancerList::after_others(random(), now),
+            BalancerDiscovery::with_initial_delay(random(), now),
             self.clock,
             Rc::clone(&self.contact),
             move || hearing.core.borrow().list_need(hearing.clock.now()),
-            move |balancers| node.core.borrow_mut().listed(balancers, node.clock.now()),
+            move |balancers| {
+                node.core
+                    .borrow_mut()
+                    .add_listed_balancers(balancers, node.clock.now())
+            },
         ));
         stop.notified().await;
         info!(self.logger, "agent: stopping as planned"; "event" => "stopping");
-        self.core.borrow_mut().leave();
+        self.core.borrow_mut().begin_shutdown();
         self.act(|core, now, actions| core.tick(now, actions));
         sleep(STOP_DRAIN).await;
-        if self.look_for_target().await == Presence::Absent {
-            self.act(|core, _, actions| core.say_farewell(actions));
+        if self.look_for_target().await == ListenState::NotListening {
+            self.act(|core, _, actions| core.announce_target_end(actions));
         }
         self.peers.log("agent", &self.logger);
         info!(self.logger, "agent: stopped"; "event" => "stopped");
@@ -176,14 +182,14 @@
     /// [`HeartbeatError`] when it is not taken; nothing has changed.
     pub fn heartbeat(self: &Rc<Self>, beat: &Heartbeat) -> Result<(), HeartbeatError> {
         let now = self.clock.now();
-        self.core.borrow_mut().heartbeat(beat, now)?;
+        self.core.borrow_mut().handle_heartbeat(beat, now)?;
         self.act(|core, now, actions| core.tick(now, actions));
         Ok(())
     }
 
     /// The target says that it is gone.
     pub fn deregister(self: &Rc<Self>, incarnation: Incarnation) {
-        self.core.borrow_mut().deregister(incarnation);
+        self.core.borrow_mut().handle_deregistration(incarnation);
         self.act(|core, now, actions| core.tick(now, actions));
     }
 
@@ -192,14 +198,16 @@
     pub fn is_ready(&self) -> bool {
         let core = self.core.borrow();
         let knows_target = core.target_state() != TargetState::Unknown;
-        knows_target && core.balancers().confirmed().next().is_some()
+        knows_target && core.balancers().confirmed_by_hello().next().is_some()
     }
 
     /// Takes changed settings in; addresses stay as they are.
     pub fn reload(&self, seeds: &[NodeAddress]) {
         info!(self.logger, "agent: settings read again"; "event" => "reloaded",
             "seeds" => seeds.len());
-        self.core.borrow_mut().listed(seeds, self.clock.now());
+        self.core
+            .borrow_mut()
+            .add_listed_balancers(seeds, self.clock.now());
     }
 
     fn start_receiving(self: &Rc<Self>) {
@@ -219,7 +227,7 @@
         match self.peers.read(datagram) {
             Ok((PeerMessage::Forward(header), packet)) => self.forwarded(from, &header, packet),
             Ok((message, _)) => {
-                self.act(|core, now, actions| core.message(from, &message, now, actions));
+                self.act(|core, now, actions| core.handle_message(from, &message, now, actions));
             }
             // Counted by the link.
             Err(_) => {}
@@ -238,33 +246,33 @@
         let delivery = self
             .core
             .borrow_mut()
-            .forwarded(from, header, &packet, bytes, now);
+            .handle_forwarded_packet(from, header, &packet, bytes, now);
         match delivery {
-            Delivery::Deliver {
-                tell,
+            ForwardDecision::Deliver {
+                reply,
                 begins_request,
             } => {
                 self.hand_over(from, bytes.to_vec());
-                if let Some(message) = tell {
+                if let Some(message) = reply {
                     self.peers.send(&message, &[], from);
                 }
                 if begins_request {
                     self.log_request(&packet.key, bytes);
                 }
             }
-            Delivery::Queued(message) => {
+            ForwardDecision::Queued(message) => {
                 self.peers.send(&message, &[], from);
             }
-            Delivery::Answer(message, body) => {
+            ForwardDecision::Reply(message, body) => {
                 let body = match body {
-                    AnswerBody::Packet => bytes,
-                    AnswerBody::Nothing => &[],
+                    ReplyBody::Packet => bytes,
+                    ReplyBody::Empty => &[],
                 };
                 self.peers.send(&message, body, from);
             }
-            Delivery::Drop => {}
+            ForwardDecision::Drop => {}
         }
-        self.act(|core, now, actions| core.serve_queue(now, actions));
+        self.act(|core, now, actions| core.dispatch_queued(now, actions));
     }
 
     /// Logs that a request has reached the target.
@@ -292,20 +300,20 @@
         let returned_to = read
             .returned_to
             .map(|machine| SocketAddrV4::new(machine, peer_port));
-        if read.packet.payload > 0
+        if read.packet.payload_length > 0
             && returned_to.is_none()
             && let Some(kind) = self.carrier.answer_kind(bytes)
         {
             let mut core = self.core.borrow_mut();
-            core.answer_begins(&read.packet.key, kind, now);
+            core.record_answer_start(&read.packet.key, kind, now);
         }
         let departure = self
             .core
             .borrow_mut()
-            .departing(&read.packet, returned_to, now);
+            .handle_target_packet(&read.packet, returned_to, now);
         self.carrier.clear_marks(bytes);
         match departure {
-            Departure::ToCaller(tell) => {
+            TargetPacketDecision::ToCaller(tell) => {
                 let caller = read.packet.key.caller;
                 let to = SocketAddrV4::new(*caller.ip(), self.config.caller_port);
                 peer_socket::send(&self.outbound, bytes, to);
@@ -313,31 +321,33 @@
                     self.peers.send(&message, &[], balancer);
                 }
             }
-            Departure::Returned { to, message, body } => {
+            TargetPacketDecision::Returned { to, message, body } => {
                 let body: &[u8] = match body {
-                    AnswerBody::Packet => bytes,
-                    AnswerBody::Nothing => &[],
+                    ReplyBody::Packet => bytes,
+                    ReplyBody::Empty => &[],
                 };
                 self.peers.send(&message, body, to);
             }
         }
-        self.act(|core, now, actions| core.serve_queue(now, actions));
+        self.act(|core, now, actions| core.dispatch_queued(now, actions));
     }
 
-    async fn look_for_target(&self) -> Presence {
+    async fn look_for_target(&self) -> ListenState {
         let connect = TcpStream::connect(self.config.target_address);
         match timeout(PRESENCE_TIMEOUT, connect).await {
-            Ok(Ok(_)) => Presence::Listening,
-            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Presence::Absent,
-            _ => Presence::NotAsked,
+            Ok(Ok(_)) => ListenState::Listening,
+            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                ListenState::NotListening
+            }
+            _ => ListenState::Unknown,
         }
     }
 
     /// Looks whether the target listens, until there is a sign of it.
     async fn ask_for_presence(self: Rc<Self>) {
-        while self.core.borrow().asks_for_presence() {
+        while self.core.borrow().needs_listen_probe() {
             let presence = self.look_for_target().await;
-            self.core.borrow_mut().presence(presence);
+            self.core.borrow_mut().record_listen_state(presence);
             sleep(PRESENCE_INTERVAL).await;
         }
     }
@@ -365,10 +375,10 @@
         let now = self.clock.now();
         for note in &notes {
             match note {
-                Note::RequestAnswered { service_time, .. } => {
+                LogEvent::RequestAnswered { service_time, .. } => {
                     self.service_times.borrow_mut().record(*service_time);
                 }
-                Note::WorkReleased { waited, .. } => {
+                LogEvent::WorkReleased { waited, .. } => {
                     self.queue_waits.borrow_mut().record(*waited);
                 }
                 _ => {}
@@ -414,8 +424,8 @@
                     let now = node.clock.now();
                     let mut core = node.core.borrow_mut();
                     match fetched {
-                        Ok(snapshot) => core.snapshot(from, snapshot, now),
-                        Err(_) => core.snapshot_failed(from),
+                        Ok(snapshot) => core.apply_snapshot(from, snapshot, now),
+                        Err(_) => core.handle_snapshot_failure(from),
                     }
                 });
             }
--- a/crates/woodladder-node/src/agent/figures.rs
+++ b/crates/woodladder-node/src/agent/figures.rs
@@ -19,88 +19,92 @@
             (
                 "forwarded_packets_total",
                 "Packets of balancers.",
-                counters.packets,
+                counters.packets_received,
             ),
             (
                 "flows_offered_total",
                 "Openings handed to the target.",
-                counters.offered,
+                counters.openings_offered,
             ),
             (
                 "flows_declined_total",
                 "Openings given back.",
-                counters.declined,
+                counters.openings_declined,
             ),
             (
                 "openings_queued_total",
                 "Openings that had to wait in the queue.",
-                counters.queued,
+                counters.openings_queued,
             ),
             (
                 "openings_held_cold_total",
                 "Openings given back because the target may be cold.",
-                counters.held_cold,
+                counters.openings_declined_cold,
             ),
             (
                 "openings_held_excluded_total",
                 "Openings given back because the target's zone is excluded.",
-                counters.held_excluded,
+                counters.openings_declined_excluded,
             ),
             (
                 "openings_expired_total",
                 "Openings given up after the longest wait in the queue.",
-                counters.expired,
+                counters.openings_expired,
             ),
             (
                 "openings_refused_hopeless_total",
                 "Openings given back because they would have been answered too late.",
-                counters.refused_hopeless,
+                counters.openings_declined_late,
             ),
             (
                 "requests_held_total",
                 "Requests of open flows that had to wait in the queue.",
-                counters.requests_held,
+                counters.requests_queued,
             ),
             (
                 "request_copies_dropped_total",
                 "Repetitions of packets that waited in the queue.",
-                counters.held_copies,
+                counters.duplicate_packets_dropped,
             ),
             (
                 "requests_given_up_total",
                 "Requests of open flows dropped from the queue after their timeout.",
-                counters.held_hopeless,
+                counters.requests_given_up,
             ),
             (
                 "requests_released_total",
                 "Requests of open flows handed over untimely: the target is stuck or not heard.",
-                counters.held_released,
+                counters.requests_released_early,
             ),
             (
                 "delivered_packets_total",
                 "Packets of open flows delivered.",
-                counters.delivered,
+                counters.packets_delivered,
+            ),
+            (
+                "searches_denied_total",
+                "Searches denied.",
+                counters.searches_denied,
             ),
-            ("searches_denied_total", "Searches denied.", counters.denied),
             (
                 "target_returns_total",
                 "Packets that the target gave back.",
-                counters.returned_by_target,
+                counters.packets_returned_by_target,
             ),
             (
                 "caller_packets_total",
                 "Packets sent to callers.",
-                counters.to_callers,
+                counters.packets_sent_to_callers,
             ),
             (
                 "requests_answered_total",
                 "Requests answered.",
-                counters.answered,
+                counters.requests_answered,
             ),
             (
                 "requests_failed_total",
                 "Requests that the target failed.",
-                counters.failed,
+                counters.requests_failed,
             ),
             ("heartbeats_total", "Heartbeats taken.", counters.heartbeats),
             (
@@ -121,7 +125,7 @@
             (
                 "flow_list_parts_total",
                 "Parts of lists of flows sent to balancers.",
-                counters.list_parts,
+                counters.flow_list_parts_sent,
             ),
             (
                 "refused_packets_total",
@@ -154,7 +158,7 @@
             "Openings and requests of open flows that wait in the queue.",
             f64::from(load.queued),
         );
-        let waiting = core.waiting_counts();
+        let waiting = core.queued_counts();
         text.gauges(
             "work_queued",
             "What waits in the queue, by kind and importance.",
@@ -177,7 +181,7 @@
             f64::from(load.failed_percent) / 100.0,
         );
         text.mechanisms(core.mechanisms());
-        if let Some(work) = load.resting_work {
+        if let Some(work) = load.idle_flow_work_millislots {
             text.gauge(
                 "resting_work_slots",
                 "Work that the open flows at rest are expected to ask for, in slots.",
@@ -198,7 +202,7 @@
         text.gauge(
             "configuration_version",
             "Version known.",
-            wide(core.version()),
+            wide(core.configuration_version()),
         );
         let is_ready = core.target_state() == TargetState::Ready;
         text.gauge(
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -27,7 +27,7 @@
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
 use woodladder_core::flow::message::PeerMessage;
 use woodladder_core::flow::packet::FlowPacket;
-use woodladder_core::flow::store_session::{BalancerList, BalancerRegistration};
+use woodladder_core::flow::store_session::{BalancerDiscovery, BalancerRegistration};
 
 use self::outgoing::OutgoingQueue;
 use crate::carrier::Carrier;
@@ -100,8 +100,8 @@
         let options = BalancerOptions {
             address: config.peer_address,
             zone: config.zone,
-            capacity: config.capacity,
-            link_rate: config.link_rate,
+            cpu_millicores: config.capacity,
+            link_rate_kbps: config.link_rate,
             flow_capacity: FLOW_CAPACITY,
             flow_retention: config.flow_retention,
         };
@@ -135,10 +135,10 @@
         let listener = TcpListener::bind(self.config.peer_bind).await?;
         let node = Rc::clone(&self);
         spawn_local(snapshot_exchange::serve(listener, move |request| {
-            node.core.borrow().answer_snapshot(request)
+            node.core.borrow().answer_snapshot_request(request)
         }));
         self.start_receiving();
-        self.act(|core, now, actions| core.seeded(&self.config.seeds, now, actions));
+        self.act(|core, now, actions| core.add_seed_balancers(&self.config.seeds, now, actions));
         spawn_local(Rc::clone(&self).tick());
         spawn_local(Rc::clone(&self).log_messages());
         spawn_local(Rc::clone(&self).send_queued());
@@ -175,7 +175,7 @@
             move |reply| {
                 let time_of_day = answered.clock.time_of_day();
                 answered.act(|core, now, actions| {
-                    core.record_reply(reply, time_of_day, now, actions);
+                    core.handle_record_reply(reply, time_of_day, now, actions);
                 });
             },
         ));
@@ -193,14 +193,19 @@
             random(),
             self.clock,
             Rc::clone(&self.contact),
-            move || watching.core.borrow().store_watch(watching.clock.now()),
+            move || {
+                watching
+                    .core
+                    .borrow()
+                    .store_watch_wait(watching.clock.now())
+            },
             move |state| {
                 node.act(|core, now, _| {
                     if let Some(configuration) = state.configuration {
-                        core.configuration(configuration.into());
+                        core.adopt_store_configuration(configuration.into());
                     }
-                    core.store_excludes(&state.excluded_zones);
-                    core.store_confirmed(now);
+                    core.adopt_store_exclusions(&state.excluded_zones);
+                    core.record_store_confirmation(now);
                 });
             },
         ));
@@ -214,17 +219,19 @@
             Rc::clone(&self.contact),
             Rc::clone(&registration),
             Rc::clone(&leaving),
-            move || entered.core.borrow().registers(entered.clock.now()),
+            move || entered.core.borrow().should_register(entered.clock.now()),
         ));
         let node = Rc::clone(self);
         let hearing = Rc::clone(self);
         spawn_local(store::list_balancers(
             store(),
-            BalancerList::new(random(), true, now),
+            BalancerDiscovery::new(random(), true, now),
             self.clock,
             Rc::clone(&self.contact),
             move || hearing.core.borrow().list_need(hearing.clock.now()),
-            move |balancers| node.act(|core, now, actions| core.listed(balancers, now, actions)),
+            move |balancers| {
+                node.act(|core, now, actions| core.add_listed_balancers(balancers, now, actions))
+            },
         ));
         (registration, leaving)
     }
@@ -235,7 +242,7 @@
             sleep(TICK).await;
             let now = self.clock.now();
             let elapsed = now.since(started);
-            let holds_openings = self.core.borrow().holds_openings();
+            let holds_openings = self.core.borrow().has_openings_waiting_for_link();
             let is_quiet = now.since(self.packet_at.get()) >= QUIET && !holds_openings;
             if elapsed >= self.config.stop_timeout || (elapsed >= LEAST_DRAIN && is_quiet) {
                 return;
@@ -248,14 +255,14 @@
     /// # Errors
     /// [`NotReadyReason`] when it should not.
     pub fn ready(&self) -> Result<(), NotReadyReason> {
-        self.core.borrow().ready(self.clock.now())
+        self.core.borrow().check_ready(self.clock.now())
     }
 
     /// Takes changed settings in; addresses stay as they are.
     pub fn reload(self: &Rc<Self>, seeds: &[NodeAddress]) {
         info!(self.logger, "balancer: settings read again"; "event" => "reloaded",
             "seeds" => seeds.len());
-        self.act(|core, now, actions| core.seeded(seeds, now, actions));
+        self.act(|core, now, actions| core.add_seed_balancers(seeds, now, actions));
     }
 
     fn start_receiving(self: &Rc<Self>) {
@@ -274,15 +281,20 @@
     fn caller_packet(self: &Rc<Self>, bytes: &mut [u8]) {
         let now = self.clock.now();
         self.packet_at.set(now);
-        self.core.borrow_mut().datagram_arrived(bytes.len(), now);
+        self.core
+            .borrow_mut()
+            .count_received_datagram(bytes.len(), now);
         let Ok(packet) = self.carrier.read_from_caller(bytes) else {
             self.refused_packets.set(self.refused_packets.get() + 1);
             return;
         };
-        let routing = self.core.borrow_mut().caller_packet(&packet, bytes, now);
+        let routing = self
+            .core
+            .borrow_mut()
+            .route_caller_packet(&packet, bytes, now);
         self.timer.shorten(self.core.borrow().tick_interval());
         self.send_routed(routing, &packet, bytes);
-        if self.core.borrow().may_release_openings() {
+        if self.core.borrow().can_release_openings() {
             self.act(Balancer::release_openings);
         }
     }
@@ -305,13 +317,15 @@
 
     fn peer_datagram(self: &Rc<Self>, from: NodeAddress, datagram: &[u8]) {
         let now = self.clock.now();
-        self.core.borrow_mut().datagram_arrived(datagram.len(), now);
+        self.core
+            .borrow_mut()
+            .count_received_datagram(datagram.len(), now);
         let Ok((message, rest)) = self.peers.read(datagram) else {
             return;
         };
         let packet = self.carrier.read_from_caller(rest).ok();
         let packet = packet.as_ref().map(|packet| (packet, rest));
-        self.act(|core, now, actions| core.message(from, message, packet, now, actions));
+        self.act(|core, now, actions| core.handle_message(from, message, packet, now, actions));
     }
 
     async fn tick(self: Rc<Self>) {
@@ -373,9 +387,9 @@
                 spawn_local(async move {
                     match snapshot_exchange::fetch(from, request).await {
                         Ok(snapshot) => node.act(|core, now, actions| {
-                            core.snapshot(from, snapshot, now, actions);
+                            core.handle_snapshot(from, snapshot, now, actions);
                         }),
-                        Err(_) => node.core.borrow_mut().snapshot_failed(from),
+                        Err(_) => node.core.borrow_mut().handle_snapshot_failure(from),
                     }
                 });
             }
--- a/crates/woodladder-node/src/balancer/figures.rs
+++ b/crates/woodladder-node/src/balancer/figures.rs
@@ -23,32 +23,32 @@
             (
                 "caller_packets_total",
                 "Packets of callers.",
-                counters.packets,
+                counters.caller_packets,
             ),
             (
                 "flows_opened_total",
                 "Openings sent to a first target.",
-                counters.opened,
+                counters.flows_opened,
             ),
             (
                 "flows_reopened_total",
                 "Openings sent to a further target.",
-                counters.reopened,
+                counters.flows_reopened,
             ),
             (
                 "established_packets_total",
                 "Packets of flows in the table.",
-                counters.established,
+                counters.established_packets,
             ),
             (
                 "searched_packets_total",
                 "Packets of flows searched for.",
-                counters.searched,
+                counters.searched_packets,
             ),
             (
                 "returned_packets_total",
                 "Packets that agents gave back.",
-                counters.returned,
+                counters.returned_packets,
             ),
             (
                 "resets_no_route_total",
@@ -108,47 +108,47 @@
             (
                 "relayed_packets_total",
                 "Packets handed to larger balancers.",
-                counters.relayed,
+                counters.relayed_packets,
             ),
             (
                 "taken_over_packets_total",
                 "Packets that smaller balancers have handed on.",
-                counters.taken_over,
+                counters.relayed_packets_received,
             ),
             (
                 "searches_by_list_total",
                 "Searches that began with agents that tell the flow.",
-                counters.searched_by_list,
+                counters.searches_by_list,
             ),
             (
                 "flows_located_by_list_total",
                 "Flows found at an agent that had told them.",
-                counters.located_by_list,
+                counters.flows_located_by_list,
             ),
             (
                 "flows_located_by_question_total",
                 "Flows found by questions to all agents.",
-                counters.located_by_question,
+                counters.flows_located_by_query,
             ),
             (
                 "search_questions_total",
                 "Questions about unknown flows sent to agents.",
-                counters.questions,
+                counters.search_queries,
             ),
             (
                 "search_questions_put_off_total",
                 "Questions about one flow put off to spare the processor.",
-                counters.questions_put_off,
+                counters.search_queries_deferred,
             ),
             (
                 "flow_lists_asked_total",
                 "Lists of flows asked for.",
-                counters.lists_asked,
+                counters.flow_lists_requested,
             ),
             (
                 "agent_probes_total",
                 "Questions to agents that left something unanswered.",
-                counters.probes,
+                counters.agent_probes,
             ),
             (
                 "search_packets_total",
@@ -158,17 +158,17 @@
             (
                 "openings_put_off_for_link_total",
                 "Openings that waited because enough flows shared the link.",
-                counters.put_off_for_link,
+                counters.openings_deferred_for_link,
             ),
             (
                 "openings_refused_for_link_total",
                 "Openings whose turn on the link came too late.",
-                counters.refused_for_link,
+                counters.openings_refused_for_link,
             ),
             (
                 "dropped_packets_total",
                 "Packets dropped by decision.",
-                counters.dropped,
+                counters.dropped_packets,
             ),
             (
                 "refused_packets_total",
@@ -202,14 +202,14 @@
             self.contact.calls(),
         );
         self.peers.figures(&mut text);
-        if let Some(age) = core.confirmed_ago(now) {
+        if let Some(age) = core.confirmation_age(now) {
             text.gauge(
                 "configuration_confirmed_seconds",
                 "Time since the store confirmed the configuration to any balancer heard of.",
                 age.as_secs_f64(),
             );
         }
-        let watches = core.store_watch(now).is_some();
+        let watches = core.store_watch_wait(now).is_some();
         text.gauge(
             "watches_store",
             "Whether the node calls the store.",
@@ -220,23 +220,23 @@
         text.gauge(
             "flow_record_flows",
             "Flows in the last record written.",
-            wide(recorded.flows),
+            wide(recorded.last_record_flows),
         );
         text.gauge(
             "flow_record_bytes",
             "Bytes of the last record written.",
-            wide(recorded.bytes),
+            wide(recorded.last_record_bytes),
         );
         text.gauge(
             "restored_record_age_ms",
             "Age of the record that was read at the start.",
-            wide(recorded.age_ms),
+            wide(recorded.restored_record_age_ms),
         );
         text.gauge("flows", "Flows in the table.", count(core.flow_count()));
         text.gauge(
             "openings_waiting",
             "Openings that wait for a target.",
-            count(core.waiting_count()),
+            count(core.waiting_opening_count()),
         );
         text.gauge("agents", "Agents known.", count(core.directory().len()));
         text.gauge(
@@ -259,19 +259,23 @@
             "Zones whose targets take no new flows.",
             count(core.excluded_zones().zones.len()),
         );
-        let ready = if core.ready(now).is_ok() { 1.0 } else { 0.0 };
+        let ready = if core.check_ready(now).is_ok() {
+            1.0
+        } else {
+            0.0
+        };
         text.gauge("ready", "Whether the node is ready.", ready);
         text.finish()
     }
 
     fn link_figures(&self, core: &Balancer, now: Instant, text: &mut MetricsText) {
         if let Some(link) = core.paced_link() {
-            let (incoming, outgoing) = link.rates(now);
+            let (incoming, outgoing) = link.used_kbps(now);
             for (name, help, value) in [
                 (
                     "link_rate_kbps",
                     "Rate of the link in each direction.",
-                    u64::from(link.rate()),
+                    u64::from(link.rate_kbps()),
                 ),
                 (
                     "link_in_kbps",
@@ -289,7 +293,7 @@
             text.gauge(
                 "link_bulk_flows",
                 "Flows of routes that bring many bytes under way.",
-                count(link.flows_under_way()),
+                count(link.active_bulk_flows()),
             );
             text.gauge(
                 "link_openings_waiting",
--- a/crates/woodladder-node/src/balancer/outgoing.rs
+++ b/crates/woodladder-node/src/balancer/outgoing.rs
@@ -8,7 +8,9 @@
 
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use woodladder_core::flow::link::scheduler::{LinkScheduler, Placement, SchedulerTotals, Urgency};
+use woodladder_core::flow::link::scheduler::{
+    DatagramInfo, LinkScheduler, SchedulerTotals, TrafficClass,
+};
 use woodladder_core::flow::message::{ForwardPurpose, PeerMessage};
 use woodladder_core::flow::packet::{CallerReset, FlowPacket};
 
@@ -64,7 +66,7 @@
     /// Sends a message that carries no packet.
     pub(super) fn send_message(&self, message: &PeerMessage, to: SocketAddrV4) {
         let bytes = self.peers.encode(message, &[]);
-        self.send(Destination::Peer(to), bytes, None, Urgency::Urgent);
+        self.send(Destination::Peer(to), bytes, None, TrafficClass::Priority);
     }
 
     /// Sends a message with a caller's packet.
@@ -84,19 +86,19 @@
     pub(super) fn reset(&self, reset: &CallerReset) {
         let to = SocketAddrV4::new(*reset.key.caller.ip(), self.config.caller_port);
         let bytes = self.carrier.write_reset(reset);
-        self.send(Destination::Caller(to), bytes, None, Urgency::Urgent);
+        self.send(Destination::Caller(to), bytes, None, TrafficClass::Priority);
     }
 
-    fn urgency(&self, message: &PeerMessage, packet: &FlowPacket) -> Urgency {
+    fn urgency(&self, message: &PeerMessage, packet: &FlowPacket) -> TrafficClass {
         if let PeerMessage::Forward(header) = message
             && header.purpose == ForwardPurpose::Search
         {
-            return Urgency::Bulk;
+            return TrafficClass::Bulk;
         }
         self.core
             .borrow()
             .paced_link()
-            .map_or(Urgency::Urgent, |link| link.urgency(packet))
+            .map_or(TrafficClass::Priority, |link| link.traffic_class(packet))
     }
 
     fn send(
@@ -104,7 +106,7 @@
         destination: Destination,
         bytes: Vec<u8>,
         packet: Option<&FlowPacket>,
-        urgency: Urgency,
+        class: TrafficClass,
     ) {
         let datagram = Datagram { destination, bytes };
         let is_paced = self.core.borrow().paced_link().is_some();
@@ -112,10 +114,10 @@
             self.transmit(&datagram);
             return;
         };
-        let placement = Placement {
-            length: datagram.bytes.len(),
+        let placement = DatagramInfo {
+            length_bytes: datagram.bytes.len(),
             flow: packet.map(|packet| packet.key),
-            urgency,
+            class,
         };
         let now = self.clock.now();
         let passed = queue.scheduler.borrow_mut().offer(datagram, placement, now);
@@ -129,7 +131,7 @@
         let now = self.clock.now();
         self.core
             .borrow_mut()
-            .datagram_left(datagram.bytes.len(), now);
+            .count_sent_datagram(datagram.bytes.len(), now);
         match datagram.destination {
             Destination::Peer(to) => self.peers.send_datagram(&datagram.bytes, to),
             Destination::Caller(to) => peer_socket::send(&self.callers, &datagram.bytes, to),
--- a/crates/woodladder-node/src/decision_log.rs
+++ b/crates/woodladder-node/src/decision_log.rs
@@ -10,7 +10,7 @@
 
 use slog::{Logger, debug, info, warn};
 use woodladder_core::clock::Instant;
-use woodladder_core::flow::note::Note;
+use woodladder_core::flow::log_event::LogEvent;
 
 /// Lines a second of ordinary decisions of one kind.
 const ORDINARY_RATE: f64 = 200.0;
@@ -90,7 +90,7 @@
     }
 
     /// Writes notes, and how many the core itself left out.
-    pub fn write(&mut self, notes: Vec<Note>, dropped: u64, now: Instant) {
+    pub fn write(&mut self, notes: Vec<LogEvent>, dropped: u64, now: Instant) {
         for note in notes {
             let (kind, importance) = kind_of(&note);
             if let Some(left_out) = self.budget.allow(kind, importance, now) {
@@ -111,10 +111,10 @@
         }
     }
 
-    fn line(&self, event: &'static str, note: &Note, left_out: u64) {
+    fn line(&self, event: &'static str, note: &LogEvent, left_out: u64) {
         let log = &self.logger;
         match note {
-            Note::FlowSent {
+            LogEvent::FlowSent {
                 key,
                 agent,
                 copy,
@@ -128,7 +128,7 @@
                     "score" => format!("{score:.3}"), "load_age_ms" => milliseconds(*load_age),
                     "version" => version, "left_out" => left_out);
             }
-            Note::FlowWithoutTarget {
+            LogEvent::FlowWithoutTarget {
                 key,
                 copy,
                 known,
@@ -138,7 +138,7 @@
                     "flow" => %key, "copy" => copy, "known" => known, "version" => version,
                     "left_out" => left_out);
             }
-            Note::OpeningPutOff {
+            LogEvent::OpeningDeferredForLink {
                 key,
                 under_way,
                 waiting,
@@ -147,20 +147,20 @@
                     "flow" => %key, "under_way" => under_way, "waiting" => waiting,
                     "left_out" => left_out);
             }
-            Note::OpeningRefusedForLink { key, waited } => {
+            LogEvent::OpeningRefusedForLink { key, waited } => {
                 warn!(log, "balancer: opening refused for the link"; "event" => event,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
-            Note::PacketReturned { key, agent, reason } => {
+            LogEvent::PacketReturned { key, agent, reason } => {
                 info!(log, "balancer: packet returned"; "event" => event, "flow" => %key,
                     "agent" => %agent, "reason" => ?reason, "left_out" => left_out);
             }
-            Note::SearchStarted { key, asked } => {
+            LogEvent::SearchStarted { key, asked } => {
                 info!(log, "balancer: flow searched for"; "event" => event, "flow" => %key,
                     "asked" => asked, "left_out" => left_out);
             }
-            Note::FlowLocated {
+            LogEvent::FlowLocated {
                 key,
                 agent,
                 waited,
@@ -170,7 +170,7 @@
                     "agent" => %agent, "waited_ms" => milliseconds(*waited),
                     "was_named" => was_named, "left_out" => left_out);
             }
-            Note::SearchWaits {
+            LogEvent::SearchWaits {
                 key,
                 waited,
                 open,
@@ -184,11 +184,11 @@
                     "is_undecided" => is_undecided, "knows_all" => knows_all,
                     "left_out" => left_out);
             }
-            Note::AbsenceProved { key, waited } => {
+            LogEvent::AbsenceProved { key, waited } => {
                 info!(log, "balancer: flow held nowhere"; "event" => event, "flow" => %key,
                     "waited_ms" => milliseconds(*waited), "left_out" => left_out);
             }
-            Note::FlowReset {
+            LogEvent::FlowReset {
                 key,
                 reason,
                 denied,
@@ -197,7 +197,7 @@
                     "reason" => reason.name(), "retry_is_safe" => reason.retry_is_safe(),
                     "denied" => denied, "left_out" => left_out);
             }
-            Note::FlowOffered {
+            LogEvent::FlowOffered {
                 key,
                 balancer,
                 busy,
@@ -207,7 +207,7 @@
                     "flow" => %key, "balancer" => %balancer, "busy" => busy,
                     "version" => version, "left_out" => left_out);
             }
-            Note::OpeningQueued {
+            LogEvent::OpeningQueued {
                 key,
                 balancer,
                 age,
@@ -219,7 +219,7 @@
                     "busy" => load.busy, "opening" => load.opening, "queued" => load.queued,
                     "expected_ms" => milliseconds(*expected), "left_out" => left_out);
             }
-            Note::RequestHeld {
+            LogEvent::RequestQueued {
                 key,
                 is_urgent,
                 urgent_waiting,
@@ -232,17 +232,17 @@
                     "opening" => load.opening, "queued" => load.queued,
                     "expected_ms" => milliseconds(*expected), "left_out" => left_out);
             }
-            Note::WorkReleased { key, waited } => {
+            LogEvent::WorkReleased { key, waited } => {
                 info!(log, "agent: queued work handed over"; "event" => event,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
-            Note::RequestGivenUp { key, waited } => {
+            LogEvent::RequestGivenUp { key, waited } => {
                 info!(log, "agent: queued request dropped after its timeout"; "event" => event,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
-            Note::RequestAnswered { key, service_time } => {
+            LogEvent::RequestAnswered { key, service_time } => {
                 debug!(log, "agent: request answered"; "event" => event, "flow" => %key,
                     "service_ms" => milliseconds(*service_time), "left_out" => left_out);
             }
@@ -251,10 +251,10 @@
     }
 
     /// A line for a change of what the node believes.
-    fn belief(&self, event: &'static str, note: &Note, left_out: u64) {
+    fn belief(&self, event: &'static str, note: &LogEvent, left_out: u64) {
         let log = &self.logger;
         match note {
-            Note::ConfigurationAdopted {
+            LogEvent::ConfigurationAdopted {
                 version,
                 former,
                 routes,
@@ -265,13 +265,13 @@
                     "version" => version, "former" => former, "routes" => routes,
                     "from" => source, "left_out" => left_out);
             }
-            Note::MechanismsChanged { active } => {
+            LogEvent::MechanismsChanged { active } => {
                 info!(log, "node: optional mechanisms changed"; "event" => event,
                     "locates_flows" => active.locates_flows,
                     "orders_requests" => active.orders_requests,
                     "paces_link" => active.paces_link, "left_out" => left_out);
             }
-            Note::ZonesExcluded {
+            LogEvent::ZonesExcluded {
                 excluded,
                 formerly,
                 own_is_excluded,
@@ -284,16 +284,19 @@
                     "own_is_excluded" => own_is_excluded, "revision" => revision,
                     "from" => source, "left_out" => left_out);
             }
-            Note::WarmthDoubted { doubt, incarnation } => {
+            LogEvent::AssumedCold {
+                reason,
+                incarnation,
+            } => {
                 info!(log, "agent: target counts as cold until it tells"; "event" => event,
-                    "doubt" => ?doubt, "incarnation" => incarnation.map(|it| it.0),
+                    "doubt" => ?reason, "incarnation" => incarnation.map(|it| it.0),
                     "left_out" => left_out);
             }
-            Note::AgentFound { agent } => {
+            LogEvent::AgentFound { agent } => {
                 info!(log, "balancer: agent found"; "event" => event, "agent" => %agent,
                     "left_out" => left_out);
             }
-            Note::AgentLost {
+            LogEvent::AgentLost {
                 agent,
                 silence,
                 unanswered_for,
@@ -304,11 +307,11 @@
                     "unanswered_for_ms" => milliseconds(*unanswered_for), "flows_reset" => flows,
                     "left_out" => left_out);
             }
-            Note::AgentStopped { agent, flows } => {
+            LogEvent::AgentStopped { agent, flows } => {
                 info!(log, "balancer: agent stopped"; "event" => event, "agent" => %agent,
                     "flows_reset" => flows, "left_out" => left_out);
             }
-            Note::TargetReplaced {
+            LogEvent::TargetReplaced {
                 agent,
                 ended,
                 flows,
@@ -317,7 +320,7 @@
                     "ended" => format!("{:016x}", ended.0), "flows_reset" => flows,
                     "left_out" => left_out);
             }
-            Note::StoreDuty {
+            LogEvent::StoreWatchChanged {
                 watches,
                 others_before,
                 confirmed_ago,
@@ -327,37 +330,37 @@
                     "confirmed_ago_ms" => confirmed_ago.map(milliseconds),
                     "left_out" => left_out);
             }
-            Note::FlowRecording { need, balancers } => {
+            LogEvent::FlowRecording { need, balancers } => {
                 info!(log, "balancer: record of flows changed its use"; "event" => event,
                     "need" => ?need, "balancers" => balancers, "left_out" => left_out);
             }
-            Note::FlowRecordRead { flows, age } => {
+            LogEvent::FlowRecordRead { flows, age } => {
                 info!(log, "balancer: record of flows read"; "event" => event,
                     "flows" => flows, "age_ms" => milliseconds(*age), "left_out" => left_out);
             }
-            Note::FlowRecordRefused { error } => {
+            LogEvent::FlowRecordRefused { error } => {
                 warn!(log, "balancer: record of flows not used"; "event" => event,
                     "error" => error.name(), "left_out" => left_out);
             }
-            Note::FlowRecordRestored { totals } => {
+            LogEvent::FlowRecordRestored { totals } => {
                 info!(log, "balancer: recorded flows settled"; "event" => event,
                     "recorded" => totals.recorded, "held" => totals.held,
                     "denied" => totals.denied, "superseded" => totals.superseded,
                     "unproven" => totals.unproven, "left_out" => left_out);
             }
-            Note::BalancerFound { balancer } => {
+            LogEvent::BalancerFound { balancer } => {
                 info!(log, "node: balancer found"; "event" => event, "balancer" => %balancer,
                     "left_out" => left_out);
             }
-            Note::BalancerLost { balancer } => {
+            LogEvent::BalancerLost { balancer } => {
                 warn!(log, "node: balancer lost"; "event" => event, "balancer" => %balancer,
                     "left_out" => left_out);
             }
-            Note::Stalled { duration } => {
+            LogEvent::Stalled { duration } => {
                 warn!(log, "node: did not run for a while"; "event" => event,
                     "pause_ms" => milliseconds(*duration), "left_out" => left_out);
             }
-            Note::TargetState {
+            LogEvent::TargetState {
                 former,
                 state,
                 incarnation,
@@ -367,7 +370,7 @@
                     "former" => ?former, "state" => ?state, "incarnation" => incarnation,
                     "left_out" => left_out);
             }
-            Note::TargetSuspicion {
+            LogEvent::TargetSuspicion {
                 is_suspect,
                 failed_percent,
                 incarnation,
@@ -382,44 +385,44 @@
     }
 }
 
-fn kind_of(note: &Note) -> (&'static str, Importance) {
+fn kind_of(note: &LogEvent) -> (&'static str, Importance) {
     use Importance::{Important, Ordinary};
     match note {
-        Note::FlowSent { tried: 0, .. } => ("flow_sent", Ordinary),
-        Note::FlowSent { .. } => ("flow_sent_again", Important),
-        Note::FlowWithoutTarget { .. } => ("flow_without_target", Important),
-        Note::OpeningPutOff { .. } => ("opening_put_off", Ordinary),
-        Note::OpeningRefusedForLink { .. } => ("opening_refused_for_link", Important),
-        Note::PacketReturned { .. } => ("packet_returned", Important),
-        Note::SearchStarted { .. } => ("search_started", Ordinary),
-        Note::FlowLocated { .. } => ("flow_located", Ordinary),
-        Note::SearchWaits { .. } => ("search_waits", Important),
-        Note::AbsenceProved { .. } => ("absence_proved", Ordinary),
-        Note::FlowReset { .. } => ("flow_reset", Important),
-        Note::ConfigurationAdopted { .. } => ("configuration_adopted", Important),
-        Note::MechanismsChanged { .. } => ("mechanisms_changed", Important),
-        Note::ZonesExcluded { .. } => ("zones_excluded", Important),
-        Note::WarmthDoubted { .. } => ("warmth_doubted", Important),
-        Note::AgentFound { .. } => ("agent_found", Important),
-        Note::AgentLost { .. } => ("agent_lost", Important),
-        Note::AgentStopped { .. } => ("agent_stopped", Important),
-        Note::TargetReplaced { .. } => ("target_replaced", Important),
-        Note::StoreDuty { .. } => ("store_duty", Important),
-        Note::FlowRecording { .. } => ("flow_recording", Important),
-        Note::FlowRecordRead { .. } => ("flow_record_read", Important),
-        Note::FlowRecordRefused { .. } => ("flow_record_refused", Important),
-        Note::FlowRecordRestored { .. } => ("flow_record_restored", Important),
-        Note::BalancerFound { .. } => ("balancer_found", Important),
-        Note::BalancerLost { .. } => ("balancer_lost", Important),
-        Note::Stalled { .. } => ("stalled", Important),
-        Note::TargetState { .. } => ("target_state", Important),
-        Note::TargetSuspicion { .. } => ("target_suspicion", Important),
-        Note::FlowOffered { .. } => ("flow_offered", Ordinary),
-        Note::OpeningQueued { .. } => ("opening_queued", Important),
-        Note::RequestHeld { .. } => ("request_queued", Ordinary),
-        Note::WorkReleased { .. } => ("queued_work_released", Ordinary),
-        Note::RequestGivenUp { .. } => ("request_given_up", Important),
-        Note::RequestAnswered { .. } => ("request_answered", Ordinary),
+        LogEvent::FlowSent { tried: 0, .. } => ("flow_sent", Ordinary),
+        LogEvent::FlowSent { .. } => ("flow_sent_again", Important),
+        LogEvent::FlowWithoutTarget { .. } => ("flow_without_target", Important),
+        LogEvent::OpeningDeferredForLink { .. } => ("opening_put_off", Ordinary),
+        LogEvent::OpeningRefusedForLink { .. } => ("opening_refused_for_link", Important),
+        LogEvent::PacketReturned { .. } => ("packet_returned", Important),
+        LogEvent::SearchStarted { .. } => ("search_started", Ordinary),
+        LogEvent::FlowLocated { .. } => ("flow_located", Ordinary),
+        LogEvent::SearchWaits { .. } => ("search_waits", Important),
+        LogEvent::AbsenceProved { .. } => ("absence_proved", Ordinary),
+        LogEvent::FlowReset { .. } => ("flow_reset", Important),
+        LogEvent::ConfigurationAdopted { .. } => ("configuration_adopted", Important),
+        LogEvent::MechanismsChanged { .. } => ("mechanisms_changed", Important),
+        LogEvent::ZonesExcluded { .. } => ("zones_excluded", Important),
+        LogEvent::AssumedCold { .. } => ("warmth_doubted", Important),
+        LogEvent::AgentFound { .. } => ("agent_found", Important),
+        LogEvent::AgentLost { .. } => ("agent_lost", Important),
+        LogEvent::AgentStopped { .. } => ("agent_stopped", Important),
+        LogEvent::TargetReplaced { .. } => ("target_replaced", Important),
+        LogEvent::StoreWatchChanged { .. } => ("store_duty", Important),
+        LogEvent::FlowRecording { .. } => ("flow_recording", Important),
+        LogEvent::FlowRecordRead { .. } => ("flow_record_read", Important),
+        LogEvent::FlowRecordRefused { .. } => ("flow_record_refused", Important),
+        LogEvent::FlowRecordRestored { .. } => ("flow_record_restored", Important),
+        LogEvent::BalancerFound { .. } => ("balancer_found", Important),
+        LogEvent::BalancerLost { .. } => ("balancer_lost", Important),
+        LogEvent::Stalled { .. } => ("stalled", Important),
+        LogEvent::TargetState { .. } => ("target_state", Important),
+        LogEvent::TargetSuspicion { .. } => ("target_suspicion", Important),
+        LogEvent::FlowOffered { .. } => ("flow_offered", Ordinary),
+        LogEvent::OpeningQueued { .. } => ("opening_queued", Important),
+        LogEvent::RequestQueued { .. } => ("request_queued", Ordinary),
+        LogEvent::WorkReleased { .. } => ("queued_work_released", Ordinary),
+        LogEvent::RequestGivenUp { .. } => ("request_given_up", Important),
+        LogEvent::RequestAnswered { .. } => ("request_answered", Ordinary),
     }
 }
 
--- a/crates/woodladder-node/src/peer_link.rs
+++ b/crates/woodladder-node/src/peer_link.rs
@@ -122,7 +122,7 @@
 
 fn add(totals: &Cell<TotalsByKind>, message: &PeerMessage, bytes: usize) {
     let mut changed = totals.get();
-    let of_kind = &mut changed[message.kind()];
+    let of_kind = &mut changed[message.kind_index()];
     of_kind.messages += 1;
     of_kind.bytes += u64::try_from(bytes).unwrap_or(u64::MAX);
     totals.set(changed);
--- a/crates/woodladder-node/src/store.rs
+++ b/crates/woodladder-node/src/store.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use woodladder_core::flow::identity::NodeAddress;
 use woodladder_core::flow::store_session::{
-    BalancerList, BalancerRegistration, CALL_KINDS, ConfigurationWatch, ListNeed, NextCall,
+    BalancerDiscovery, BalancerRegistration, CALL_KINDS, ConfigurationWatch, ListNeed, NextCall,
     OperatorState, StoreCall, StoreReply,
 };
 
@@ -79,7 +79,7 @@
 /// Finds balancers in the store until the process ends.
 pub async fn list_balancers(
     mut store: impl Store,
-    mut list: BalancerList,
+    mut list: BalancerDiscovery,
     clock: NodeClock,
     contact: Rc<StoreContact>,
     need: impl Fn() -> ListNeed,
@@ -88,7 +88,7 @@
     /// Longest sleep, so that a change of what is heard is noticed.
     const LOOK_AGAIN: std::time::Duration = std::time::Duration::from_millis(500);
     loop {
-        list.needed_for(need(), clock.now());
+        list.set_need(need(), clock.now());
         match list.next(clock.now()) {
             NextCall::At(at) => sleep(at.since(clock.now()).min(LOOK_AGAIN)).await,
             NextCall::Now(call) => {
@@ -147,7 +147,7 @@
     /// Counts a call.
     pub fn count(&self, call: &StoreCall) {
         let mut calls = self.calls.get();
-        calls[call.kind()] += 1;
+        calls[call.kind_index()] += 1;
         self.calls.set(calls);
     }
 
--- a/crates/woodladder/src/agent/config.rs
+++ b/crates/woodladder/src/agent/config.rs
@@ -7,10 +7,10 @@
 use arc_swap::ArcSwap;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use woodladder_core::identifier::{ServiceId, TargetId};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::TokenKeys;
-use woodladder_core::target::drain::DEFAULT_GRACE;
+use woodladder_core::target::drain::DEFAULT_DRAIN_GRACE;
 use woodladder_core::target::slow_start::SlowStartOptions;
 
 /// All that an agent needs to run beside one back end.
@@ -35,7 +35,7 @@
     /// Bounds on what the agent holds and how long it waits.
     pub limits: Limits,
     /// Configuration in force; the owner stores a later one at each roll.
-    pub directory: Arc<ArcSwap<Directory>>,
+    pub directory: Arc<ArcSwap<RoutingTable>>,
     /// Logger of the process.
     pub logger: slog::Logger,
 }
@@ -100,7 +100,7 @@
             default_deadline: Duration::from_secs(30),
             minimum_retry_after: Duration::from_secs(1),
             slow_start: Some(SlowStartOptions::default()),
-            drain_grace: DEFAULT_GRACE,
+            drain_grace: DEFAULT_DRAIN_GRACE,
         }
     }
 }
--- a/crates/woodladder/src/agent/control.rs
+++ b/crates/woodladder/src/agent/control.rs
@@ -9,12 +9,12 @@
 use tokio::sync::watch;
 use woodladder_core::clock::Instant;
 use woodladder_core::configuration::bundle::TargetState;
-use woodladder_core::packets::carrier::Packet;
-use woodladder_core::packets::directory::{Directory, Standing};
 use woodladder_core::packets::envelope::Envelope;
+use woodladder_core::packets::quic_header::Packet;
+use woodladder_core::packets::routing_table::{RoutingTable, TargetStatus};
 use woodladder_core::packets::token::TokenKeys;
 use woodladder_core::target::admission::{
-    Admission, AdmissionOptions, Conditions, Decision, Identity,
+    Admission, AdmissionOptions, Decision, TargetConditions, TargetIdentity,
 };
 use woodladder_core::target::drain::{
     Activity, Drain, DrainAction, DrainEvent, DrainPhase, DrainReason,
@@ -29,9 +29,9 @@
 
 /// State machines of one agent.
 pub(super) struct Control {
-    identity: Identity,
+    identity: TargetIdentity,
     clock: Clock,
-    directory: Arc<ArcSwap<Directory>>,
+    directory: Arc<ArcSwap<RoutingTable>>,
     desk: Arc<RequestDesk>,
     counters: Arc<Counters>,
     connection_limit: AtomicU32,
@@ -44,7 +44,7 @@
 
 impl Control {
     pub(super) fn new(
-        identity: Identity,
+        identity: TargetIdentity,
         keys: TokenKeys,
         options: AdmissionOptions,
         drain: Drain,
@@ -69,7 +69,7 @@
         let now = self.now();
         let mut admission = self.admission();
         self.adopt(&mut admission, now);
-        let conditions = Conditions {
+        let conditions = TargetConditions {
             usage: self.usage(),
             takes_new_flows: self.drain.takes_new_flows() && !self.desk.is_back_end_down(),
         };
@@ -127,7 +127,7 @@
     /// The back end says whether it is leaving. Its word may be late or false,
     /// so it only turns new flows to other targets and refuses nothing.
     pub(super) fn back_end_leaving(&self, leaving: bool) {
-        self.admission().set_reluctant(leaving);
+        self.admission().set_last_resort(leaving);
     }
 
     /// Looks at the clock and at the directory in force.
@@ -168,7 +168,7 @@
 
     fn adopt(&self, admission: &mut Admission, now: Instant) {
         let directory = self.directory.load();
-        if !Arc::ptr_eq(&directory, admission.directory()) {
+        if !Arc::ptr_eq(&directory, admission.routing_table()) {
             admission.refresh(Arc::clone(&directory), now);
         }
     }
@@ -190,16 +190,16 @@
     fn bundle_event(&self) -> Option<DrainEvent> {
         let directory = self.directory.load();
         let entry = directory.target(self.identity.target)?;
-        let stays = match entry.standing {
-            Standing::InBundle(state) | Standing::Unavailable(state) => {
+        let stays = match entry.status {
+            TargetStatus::InBundle(state) | TargetStatus::Unavailable(state) => {
                 state == TargetState::Active
             }
-            Standing::Retired => false,
+            TargetStatus::Retired => false,
         };
         Some(if stays {
-            DrainEvent::Withdraw(DrainReason::Bundle)
+            DrainEvent::RemoveReason(DrainReason::Bundle)
         } else {
-            DrainEvent::Begin(DrainReason::Bundle)
+            DrainEvent::AddReason(DrainReason::Bundle)
         })
     }
 
@@ -228,7 +228,7 @@
 
 /// What the machines look at besides their events.
 pub(super) struct SharedState {
-    pub(super) directory: Arc<ArcSwap<Directory>>,
+    pub(super) directory: Arc<ArcSwap<RoutingTable>>,
     pub(super) clock: Clock,
     pub(super) desk: Arc<RequestDesk>,
     pub(super) counters: Arc<Counters>,
--- a/crates/woodladder/src/agent/gate.rs
+++ b/crates/woodladder/src/agent/gate.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use woodladder_core::identifier::Sequence;
-use woodladder_core::packets::carrier;
 use woodladder_core::packets::envelope::Envelope;
+use woodladder_core::packets::quic_header;
 use woodladder_core::packets::router::Forward;
 use woodladder_core::packets::token::TOKEN_LENGTH;
-use woodladder_core::target::admission::{AdmissionDrop, Decision, SequenceHint, Verdict};
+use woodladder_core::target::admission::{AdmissionDropReason, Decision, SequenceHint, Verdict};
 
 use super::address_book::AddressBook;
 use super::control::Control;
@@ -75,13 +75,13 @@
 
     /// Judges one datagram in its envelope.
     pub(super) fn judge(&self, envelope: Envelope, datagram: &[u8]) -> Passage {
-        let Ok(packet) = carrier::classify(datagram, TOKEN_LENGTH) else {
+        let Ok(packet) = quic_header::parse_header(datagram, TOKEN_LENGTH) else {
             return Passage::Drop(DatagramDrop::MalformedPacket);
         };
         let caller = envelope.caller;
         let service_address = envelope.service_address;
         let Decision { verdict, hint } = self.control.admit(envelope, &packet);
-        if let Some(SequenceHint::OwnIsBehind(sequence)) = hint {
+        if let Some(SequenceHint::AgentIsBehind(sequence)) = hint {
             self.newest_sequence
                 .fetch_max(sequence.0, Ordering::Relaxed);
         }
@@ -99,11 +99,13 @@
             Verdict::Accept => increment(&self.counters.accepted),
             Verdict::AcceptToDecline => {
                 increment(&self.counters.declined);
-                self.marks.set(packet.destination, Mark::Decline);
+                self.marks
+                    .set(packet.destination_connection_id, Mark::Decline);
             }
             Verdict::Refuse(_) => {
                 increment(&self.counters.refused);
-                self.marks.set(packet.destination, Mark::Refuse);
+                self.marks
+                    .set(packet.destination_connection_id, Mark::Refuse);
             }
         }
         self.deliver(caller, service_address)
@@ -120,13 +122,13 @@
     }
 }
 
-fn drop_reason(reason: AdmissionDrop) -> DatagramDrop {
+fn drop_reason(reason: AdmissionDropReason) -> DatagramDrop {
     match reason {
-        AdmissionDrop::WrongService => DatagramDrop::WrongService,
-        AdmissionDrop::WrongTarget => DatagramDrop::WrongTarget,
-        AdmissionDrop::ForeignToken => DatagramDrop::ForeignToken,
-        AdmissionDrop::InvalidToken => DatagramDrop::InvalidToken,
-        AdmissionDrop::StaleSequence => DatagramDrop::StaleSequence,
-        AdmissionDrop::UnknownRelayTarget => DatagramDrop::UnknownRelayTarget,
+        AdmissionDropReason::WrongService => DatagramDrop::WrongService,
+        AdmissionDropReason::WrongTarget => DatagramDrop::WrongTarget,
+        AdmissionDropReason::ForeignToken => DatagramDrop::ForeignToken,
+        AdmissionDropReason::InvalidToken => DatagramDrop::InvalidToken,
+        AdmissionDropReason::StaleSequence => DatagramDrop::StaleSequence,
+        AdmissionDropReason::UnknownRelayTarget => DatagramDrop::UnknownRelayTarget,
     }
 }
--- a/crates/woodladder/src/agent/handle.rs
+++ b/crates/woodladder/src/agent/handle.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use volo_http::error::ClientError;
-use woodladder_core::target::admission::{AdmissionOptions, Identity};
+use woodladder_core::target::admission::{AdmissionOptions, TargetIdentity};
 use woodladder_core::target::drain::{Drain, DrainEvent, DrainReason};
 use woodladder_core::target::request::RequestOptions;
 use woodladder_core::target::slow_start::SlowStart;
@@ -91,7 +91,7 @@
         let clock = Clock::start();
         let desk = Arc::new(desk(clock, &limits));
         let control = Arc::new(Control::new(
-            Identity {
+            TargetIdentity {
                 target: config.target,
                 service: config.service,
             },
@@ -153,12 +153,12 @@
     /// A reason to leave holds: no new flows from now on, no new requests
     /// after a grace, while requests and feeds that run go on.
     pub fn begin_drain(&self, reason: DrainReason) {
-        self.shared.control.drain(DrainEvent::Begin(reason));
+        self.shared.control.drain(DrainEvent::AddReason(reason));
     }
 
     /// A reason to leave holds no longer.
     pub fn withdraw_drain(&self, reason: DrainReason) {
-        self.shared.control.drain(DrainEvent::Withdraw(reason));
+        self.shared.control.drain(DrainEvent::RemoveReason(reason));
     }
 
     /// Waits until the agent leaves and its last request has ended, and until
--- a/crates/woodladder/src/agent/request_desk.rs
+++ b/crates/woodladder/src/agent/request_desk.rs
@@ -176,7 +176,7 @@
     }
 
     fn next_sleep(&self) -> Duration {
-        let wake = self.state().table.next_wake();
+        let wake = self.state().table.next_wakeup();
         wake.map_or(LONGEST_SLEEP, |at| self.clock.until(at).min(LONGEST_SLEEP))
     }
 
--- a/crates/woodladder/src/balancer/proxy_header.rs
+++ b/crates/woodladder/src/balancer/proxy_header.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use ppp::v2::{Addresses, Command, Header, Protocol};
-use woodladder_core::packets::router::Inbound;
+use woodladder_core::packets::router::InboundDatagram;
 
 /// Why a datagram's header is not accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// [`ProxyHeaderError`] when the header is not accepted.
-pub fn parse(bytes: &[u8]) -> Result<Inbound<'_>, ProxyHeaderError> {
+pub fn parse(bytes: &[u8]) -> Result<InboundDatagram<'_>, ProxyHeaderError> {
     let header = Header::try_from(bytes).map_err(|_| ProxyHeaderError::Malformed)?;
     if header.command != Command::Proxy || header.protocol != Protocol::Datagram {
         return Err(ProxyHeaderError::NotProxied);
@@ -33,7 +33,7 @@
     let datagram = bytes
         .get(header.len()..)
         .ok_or(ProxyHeaderError::Malformed)?;
-    Ok(Inbound {
+    Ok(InboundDatagram {
         caller,
         service_address,
         datagram,
--- a/crates/woodladder/src/balancer/worker.rs
+++ b/crates/woodladder/src/balancer/worker.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwapOption;
 use slog::{Logger, error};
 use tokio::net::UdpSocket;
-use woodladder_core::packets::envelope::MAXIMUM_OVERHEAD;
+use woodladder_core::packets::envelope::MAXIMUM_OVERHEAD_LENGTH;
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Router;
 
@@ -17,7 +17,7 @@
 use crate::process::StopSignal;
 
 /// Longest datagram that is forwarded, envelope included.
-const SEND_CAPACITY: usize = 65_535 + MAXIMUM_OVERHEAD;
+const SEND_CAPACITY: usize = 65_535 + MAXIMUM_OVERHEAD_LENGTH;
 
 /// What a worker works with.
 pub(super) struct Worker {
--- a/crates/woodladder/src/command/roll.rs
+++ b/crates/woodladder/src/command/roll.rs
@@ -129,7 +129,7 @@
         settings.trusted_keys.clone(),
         rolled_at,
     );
-    request.tuning.rollout_time = settings.timeout;
+    request.tuning.rollout_timeout = settings.timeout;
     Ok(request)
 }
 
--- a/crates/woodladder/src/command/roll_report.rs
+++ b/crates/woodladder/src/command/roll_report.rs
@@ -105,7 +105,7 @@
     match error {
         RollError::Findings(findings) => Failure::Findings(findings),
         RollError::StoreUnavailable => Failure::StoreUnreachable(text),
-        RollError::OtherWon { .. } => Failure::LostRace(text),
+        RollError::LostRace { .. } => Failure::LostRace(text),
         RollError::OutcomeUnknown { .. } => Failure::Unknown(text),
         _ => Failure::Refused(text),
     }
--- a/crates/woodladder/src/control/driver.rs
+++ b/crates/woodladder/src/control/driver.rs
@@ -7,10 +7,12 @@
 use slog::{Logger, debug, info};
 use tokio::sync::{mpsc, oneshot};
 use woodladder_core::control::membership::ListedMachine;
-use woodladder_core::control::replica::{Action, Event, Installed, Replica, ReplicaSettings};
+use woodladder_core::control::replica::{
+    InstalledRoll, Replica, ReplicaAction, ReplicaEvent, ReplicaSettings,
+};
 use woodladder_core::control::store_operation::{StoreAnswer, StoreOperation, StoreRequestId};
 use woodladder_core::identifier::{NodeId, Sequence};
-use woodladder_core::packets::directory::Directory;
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use super::clock::ProcessClock;
 use super::socket::{ControlSocket, Received};
@@ -70,7 +72,7 @@
             let event = tokio::select! {
                 received = self.socket.receive() => Some(message_event(received)),
                 Some(input) = inputs.recv() => self.input_event(input),
-                () = self.clock.sleep_until(wakeup) => Some(Event::Tick),
+                () = self.clock.sleep_until(wakeup) => Some(ReplicaEvent::Tick),
             };
             if let Some(event) = event {
                 self.handle(event, &answers);
@@ -78,13 +80,15 @@
         }
     }
 
-    fn input_event(&self, input: Input) -> Option<Event> {
+    fn input_event(&self, input: Input) -> Option<ReplicaEvent> {
         match input {
-            Input::StoreAnswer(request, answer) => Some(Event::StoreAnswer { request, answer }),
-            Input::Machines(machines) => Some(Event::Machines(machines)),
-            Input::SequenceSeen(sequence) => Some(Event::SequenceSeen(sequence)),
-            Input::Leaving => Some(Event::Leaving),
-            Input::TakesNewFlows(takes) => Some(Event::TakesNewFlows(takes)),
+            Input::StoreAnswer(request, answer) => {
+                Some(ReplicaEvent::StoreAnswer { request, answer })
+            }
+            Input::Machines(machines) => Some(ReplicaEvent::MachineList(machines)),
+            Input::SequenceSeen(sequence) => Some(ReplicaEvent::SequenceSeen(sequence)),
+            Input::Leaving => Some(ReplicaEvent::Leaving),
+            Input::TakesNewFlows(takes) => Some(ReplicaEvent::TakesNewFlows(takes)),
             Input::Status(reply) => {
                 let _ = reply.send(self.status());
                 None
@@ -92,14 +96,16 @@
         }
     }
 
-    fn handle(&mut self, event: Event, answers: &mpsc::UnboundedSender<Input>) {
+    fn handle(&mut self, event: ReplicaEvent, answers: &mpsc::UnboundedSender<Input>) {
         let was_ready = self.replica.is_ready();
         for action in self.replica.handle(event, self.clock.now()) {
             match action {
-                Action::Send { to, message } => self.socket.send(to, &message),
-                Action::Store { request, operation } => self.ask_store(request, operation, answers),
-                Action::Install(installed) => self.install(&installed),
-                Action::Refresh(directory) => self.refresh(&directory),
+                ReplicaAction::Send { to, message } => self.socket.send(to, &message),
+                ReplicaAction::Store { request, operation } => {
+                    self.ask_store(request, operation, answers)
+                }
+                ReplicaAction::Install(installed) => self.install(&installed),
+                ReplicaAction::ReplaceDirectory(directory) => self.refresh(&directory),
             }
         }
         if self.replica.is_ready() && !was_ready {
@@ -121,19 +127,19 @@
         });
     }
 
-    fn install(&self, installed: &Arc<Installed>) {
+    fn install(&self, installed: &Arc<InstalledRoll>) {
         (self.install)(&Arc::new(installed.directory.clone()));
         let statement = &installed.record.statement;
         info!(self.logger, "control: roll in force";
             "sequence" => %statement.sequence,
             "bundle_version" => statement.bundle_version,
             "operator" => &statement.operator);
-        debug!(self.logger, "control: snapshot in force"; "digest" => %statement.snapshot);
+        debug!(self.logger, "control: snapshot in force"; "digest" => %statement.snapshot_digest);
     }
 
-    fn refresh(&self, directory: &Arc<Directory>) {
+    fn refresh(&self, directory: &Arc<RoutingTable>) {
         (self.install)(directory);
-        let marked = self.replica.marked_targets();
+        let marked = self.replica.unavailable_target_count();
         info!(self.logger, "control: available targets changed"; "marked" => marked);
     }
 
@@ -148,18 +154,18 @@
             bundle_version: installed.map(|installed| installed.snapshot.bundle.version),
             snapshot: installed.map(|installed| installed.digest()),
             members: self.replica.member_counts(now),
-            marked_targets: self.replica.marked_targets(),
+            marked_targets: self.replica.unavailable_target_count(),
             counters: *self.replica.counters(),
         }
     }
 }
 
-fn message_event(received: Received) -> Event {
+fn message_event(received: Received) -> ReplicaEvent {
     match received.message {
-        Ok(message) => Event::Message {
+        Ok(message) => ReplicaEvent::Message {
             from: received.from,
             message,
         },
-        Err(error) => Event::BadFrame(error),
+        Err(error) => ReplicaEvent::BadFrame(error),
     }
 }
--- a/crates/woodladder/src/control/machines.rs
+++ b/crates/woodladder/src/control/machines.rs
@@ -5,7 +5,7 @@
 
 use slog::{Logger, debug};
 use tokio::sync::{mpsc, watch};
-use woodladder_core::control::membership::{ListedMachine, ListedStanding};
+use woodladder_core::control::membership::{ListedMachine, ListedState};
 
 use super::driver::Input;
 use crate::store::{Machine, MachineList, MachineState};
@@ -65,10 +65,10 @@
 
 fn listed(machine: &Machine) -> ListedMachine {
     ListedMachine {
-        control: machine.address,
-        standing: match machine.state {
-            MachineState::Live => ListedStanding::Live,
-            MachineState::Leaving => ListedStanding::Leaving,
+        control_address: machine.address,
+        state: match machine.state {
+            MachineState::Live => ListedState::Live,
+            MachineState::Leaving => ListedState::Leaving,
         },
     }
 }
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -18,8 +18,8 @@
 use woodladder_core::control::replica::{ReplicaCounters, ReplicaSettings, ReplicaTuning};
 use woodladder_core::digest::Digest;
 use woodladder_core::identifier::{NodeId, Sequence};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use crate::process::StartError;
 use crate::settings::NodeSettings;
@@ -32,7 +32,7 @@
 
 /// Gives the data path a directory: that of a roll that comes into force, or
 /// one of the same roll with other targets available.
-pub type Install = Box<dyn Fn(&Arc<Directory>) + Send>;
+pub type Install = Box<dyn Fn(&Arc<RoutingTable>) + Send>;
 
 /// What the control traffic is started with.
 pub struct ControlConfig {
@@ -93,7 +93,7 @@
     pub fn from_settings(
         node: &NodeSettings,
         role: Role,
-        served: Option<ServedTarget>,
+        served_target: Option<ServedTarget>,
         install: Install,
         logger: &Logger,
     ) -> Result<Self, StartError> {
@@ -108,8 +108,8 @@
                 node: NodeId(rand::random()),
                 role,
                 locality: Locality::new(&node.region, &node.zone),
-                control: node.control_listen,
-                served,
+                control_address: node.control_listen,
+                served_target,
                 seeds: node.platform.seeds.clone(),
                 trusted: node.trusted_keys.clone(),
                 tuning: ReplicaTuning::default(),
@@ -144,7 +144,7 @@
             tasks.push(tokio::spawn(poll));
         }
         let settings = ReplicaSettings {
-            control: advertised,
+            control_address: advertised,
             ..config.replica
         };
         let driver = Driver::new(
--- a/crates/woodladder/src/control/socket.rs
+++ b/crates/woodladder/src/control/socket.rs
@@ -4,11 +4,13 @@
 use std::net::SocketAddr;
 
 use tokio::net::UdpSocket;
-use woodladder_core::control::control_message::{ControlMessage, FrameError, MAXIMUM_DATAGRAM};
+use woodladder_core::control::control_message::{
+    ControlMessage, FrameError, MAXIMUM_DATAGRAM_LENGTH,
+};
 use woodladder_core::packets::keyed_tag::TagKey;
 
 /// One byte more than allowed, so that longer datagrams are noticed.
-const BUFFER_LENGTH: usize = MAXIMUM_DATAGRAM + 1;
+const BUFFER_LENGTH: usize = MAXIMUM_DATAGRAM_LENGTH + 1;
 
 /// A UDP socket for control messages.
 pub struct ControlSocket {
--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -11,7 +11,7 @@
 use tokio::time::{interval, sleep_until, timeout};
 use woodladder_core::control::availability::{RunNumber, ServedTarget};
 use woodladder_core::control::membership;
-use woodladder_core::packets::directory::Directory;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::target::drain::{DrainPhase, DrainReason};
 
 use super::status::StatusSource;
@@ -76,7 +76,7 @@
     stop: &StopSignal,
     logger: &Logger,
 ) -> Result<AgentView, StartError> {
-    let directory = Arc::new(ArcSwap::from_pointee(Directory::default()));
+    let directory = Arc::new(ArcSwap::from_pointee(RoutingTable::default()));
     let (agent, data) = start_agent(settings, directory.clone(), logger)?;
     let role = membership::Role::Agent;
     let served = Some(ServedTarget {
@@ -98,7 +98,7 @@
 
 fn start_agent(
     settings: &AgentSettings,
-    directory: Arc<ArcSwap<Directory>>,
+    directory: Arc<ArcSwap<RoutingTable>>,
     logger: &Logger,
 ) -> Result<(AgentHandle, SocketAddr), StartError> {
     let socket = bind(settings.data_listen)
@@ -139,7 +139,7 @@
     Ok(socket)
 }
 
-fn install(directory: Arc<ArcSwap<Directory>>) -> Install {
+fn install(directory: Arc<ArcSwap<RoutingTable>>) -> Install {
     Box::new(move |latest| directory.store(Arc::clone(latest)))
 }
 
--- a/crates/woodladder/src/daemon/status.rs
+++ b/crates/woodladder/src/daemon/status.rs
@@ -71,8 +71,11 @@
 
 fn figures(counters: &ReplicaCounters) -> Figures {
     let mut figures = Figures::new();
-    figures.add("control_adopted_total", counters.adopted);
-    figures.add("control_adopted_by_delta_total", counters.adopted_by_delta);
+    figures.add("control_adopted_total", counters.rolls_adopted);
+    figures.add(
+        "control_adopted_by_delta_total",
+        counters.rolls_adopted_by_delta,
+    );
     figures.add("control_messages_sent_total", counters.messages_sent);
     figures.add(
         "control_messages_received_total",
@@ -88,9 +91,12 @@
         "control_report_bytes_sent_total",
         counters.report_bytes_sent,
     );
-    figures.add("control_accusations_total", counters.accusations);
-    figures.add("control_refutations_total", counters.refutations);
-    figures.add("control_pauses_total", counters.pauses);
+    figures.add(
+        "control_accusations_total",
+        counters.agents_declared_unreachable,
+    );
+    figures.add("control_refutations_total", counters.own_reports_refuted);
+    figures.add("control_pauses_total", counters.pauses_detected);
     figures.add("control_rejections_total", counters.rejections.total());
     figures
 }
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -7,7 +7,7 @@
 use woodladder_core::configuration::snapshot::DEFAULT_LINGER;
 use woodladder_core::finding::Findings;
 use woodladder_core::identifier::{ServiceId, TargetId};
-use woodladder_core::target::drain::MAXIMUM_GRACE;
+use woodladder_core::target::drain::MAXIMUM_DRAIN_GRACE;
 
 use super::layer::Layers;
 use super::node::NodeSettings;
@@ -162,7 +162,7 @@
         slow_start: default.slow_start.filter(|_| slow_start),
         drain_grace: duration("drain_grace", default.drain_grace),
     };
-    if limits.drain_grace > MAXIMUM_GRACE {
+    if limits.drain_grace > MAXIMUM_DRAIN_GRACE {
         let problem = format!("{:?} is not accepted", limits.drain_grace);
         reader.fault("drain_grace", problem, RULE_DRAIN_GRACE);
     }
--- a/crates/woodladder/src/store/consul.rs
+++ b/crates/woodladder/src/store/consul.rs
@@ -15,7 +15,7 @@
 use slog::{Logger, debug};
 use volo_http::client::Client;
 use woodladder_core::control::store_operation::{
-    MAXIMUM_STORED_VALUE, StoreAnswer, StoreIndex, StoreKey, StoreOperation,
+    MAXIMUM_STORED_VALUE_LENGTH, StoreAnswer, StoreIndex, StoreKey, StoreOperation,
 };
 
 use super::http::{Answer, Ask, client, exchange};
@@ -199,7 +199,7 @@
     let value = STANDARD
         .decode(stored.value.unwrap_or_default())
         .map_err(|_| ServiceError::Malformed("value"))?;
-    if value.len() > MAXIMUM_STORED_VALUE {
+    if value.len() > MAXIMUM_STORED_VALUE_LENGTH {
         return Err(ServiceError::Malformed("value"));
     }
     Ok(StoreAnswer::Value {
--- a/crates/woodladder/src/store/http.rs
+++ b/crates/woodladder/src/store/http.rs
@@ -11,12 +11,12 @@
 use volo_http::body::Body;
 use volo_http::client::Client;
 use volo_http::error::client::{ClientError, ErrorKind};
-use woodladder_core::control::store_operation::MAXIMUM_STORED_VALUE;
+use woodladder_core::control::store_operation::MAXIMUM_STORED_VALUE_LENGTH;
 
 use super::ServiceError;
 
 /// Longest body that is read: the longest value in base64, and some more.
-const MAXIMUM_BODY: usize = MAXIMUM_STORED_VALUE / 3 * 4 + 64 * 1024;
+const MAXIMUM_BODY: usize = MAXIMUM_STORED_VALUE_LENGTH / 3 * 4 + 64 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An answer with its whole body.
--- a/crates/woodladder/tests/agent_flows.rs
+++ b/crates/woodladder/tests/agent_flows.rs
@@ -17,7 +17,7 @@
 async fn envelope_for_another_target_is_dropped() {
     let world = World::start(Limits::default()).await;
     world.fabric.tamper(Some(Box::new(|envelope| {
-        if let Route::First(first) = &mut envelope.route {
+        if let Route::NewFlow(first) = &mut envelope.route {
             first.hops[0].target = TargetId(99);
         }
     })));
--- a/crates/woodladder/tests/agent_support/fabric.rs
+++ b/crates/woodladder/tests/agent_support/fabric.rs
@@ -8,15 +8,15 @@
 use ppp::v2::{Addresses, Header};
 use tokio::net::UdpSocket;
 use woodladder::agent::AgentKeys;
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::envelope::Envelope;
-use woodladder_core::packets::router::{Inbound, Router};
+use woodladder_core::packets::router::{InboundDatagram, Router};
+use woodladder_core::packets::routing_table::RoutingTable;
 
 use super::ANY_PORT;
 
 const DATAGRAM: usize = 4096;
 
-type Layout = Arc<ArcSwap<Directory>>;
+type Layout = Arc<ArcSwap<RoutingTable>>;
 
 /// Changes an envelope on its way to an agent.
 pub type Tamper = Box<dyn Fn(&mut Envelope) + Send>;
@@ -87,7 +87,7 @@
     ) -> Option<SocketAddr> {
         let layout = self.layout.lock().unwrap().clone()?;
         let router = Router::new(layout.load_full(), self.keys.token, 2);
-        let inbound = Inbound {
+        let inbound = InboundDatagram {
             caller,
             service_address: self.service_address,
             datagram,
--- a/crates/woodladder/tests/agent_support/mod.rs
+++ b/crates/woodladder/tests/agent_support/mod.rs
@@ -18,8 +18,8 @@
 };
 use woodladder_core::configuration::snapshot::Snapshot;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 
@@ -38,7 +38,7 @@
 pub struct World {
     pub peers: Vec<Peer>,
     pub fabric: Fabric,
-    pub directory: Arc<ArcSwap<Directory>>,
+    pub directory: Arc<ArcSwap<RoutingTable>>,
     pub certificate: Certificate,
 }
 
@@ -131,7 +131,7 @@
     }
 
     /// What a balancer has whose bundle holds only the target at `position`.
-    pub fn older_layout(&self, position: usize) -> Arc<ArcSwap<Directory>> {
+    pub fn older_layout(&self, position: usize) -> Arc<ArcSwap<RoutingTable>> {
         let mut targets = targets(self.addresses(), SLOTS);
         let target = targets.swap_remove(position);
         let layout = directory(Sequence(1), self.fabric.service_address, vec![target]);
@@ -194,7 +194,7 @@
 }
 
 /// A directory of one service with these targets.
-fn directory(sequence: Sequence, service: SocketAddr, targets: Vec<Target>) -> Directory {
+fn directory(sequence: Sequence, service: SocketAddr, targets: Vec<Target>) -> RoutingTable {
     let bundle = Bundle {
         version: sequence.0,
         deployment: "test".to_owned(),
@@ -211,7 +211,7 @@
     };
     let signed = SignedBundle::sign(bundle.canonical(), &OperatorKey::from_bytes([1; 32]));
     let snapshot = Snapshot::following(None, signed, 0, Duration::from_secs(60)).unwrap();
-    Directory::new(sequence, &snapshot)
+    RoutingTable::new(sequence, &snapshot)
 }
 
 /// Waits until a condition holds; fails the test when it never does.
--- a/crates/woodladder/tests/balancer.rs
+++ b/crates/woodladder/tests/balancer.rs
@@ -12,10 +12,10 @@
 };
 use woodladder_core::configuration::snapshot::Snapshot;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::envelope::{Envelope, Route};
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Router;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TOKEN_NONCE_LENGTH, TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 
@@ -100,7 +100,7 @@
         let signed = SignedBundle::sign(bundle, &OperatorKey::from_bytes([3; 32]));
         let snapshot =
             Snapshot::following(None, signed, 0, Duration::ZERO).map_err(std::io::Error::other)?;
-        let directory = Arc::new(Directory::new(Sequence(5), &snapshot));
+        let directory = Arc::new(RoutingTable::new(Sequence(5), &snapshot));
         self.router
             .store(Some(Arc::new(Router::new(directory, self.keys, 2))));
         Ok(())
@@ -184,7 +184,7 @@
     let (envelope, datagram) = bench.at_agent()?;
     assert_eq!(datagram.len(), 1200);
     assert_eq!(envelope.target(), Some(TARGET));
-    assert!(matches!(envelope.route, Route::First(first) if first.last));
+    assert!(matches!(envelope.route, Route::NewFlow(first) if first.must_decide));
     Ok(())
 }
 
--- a/crates/woodladder/tests/control.rs
+++ b/crates/woodladder/tests/control.rs
@@ -81,10 +81,10 @@
         sequence: Sequence(1),
         nonce: RollNonce([1; NONCE_LENGTH]),
         bundle_version: 4,
-        snapshot: snapshot.digest(),
+        snapshot_digest: snapshot.digest(),
         snapshot_length: u32::try_from(snapshot.encode().len())?,
         operator: "lin".to_owned(),
-        rolled_at: 0,
+        rolled_at_unix_seconds: 0,
     };
     let stored = StoredRoll {
         record: RollRecord::sign(statement, key),
@@ -116,7 +116,7 @@
 async fn agent(number: u32, seeds: Vec<SocketAddr>) -> Result<Control, Box<dyn std::error::Error>> {
     let mut config = config(number.into(), CONTROL_SECRET, cut_off(), seeds)?;
     config.replica.role = Role::Agent;
-    config.replica.served = Some(ServedTarget {
+    config.replica.served_target = Some(ServedTarget {
         target: TargetId(number),
         run: RunNumber(1),
     });
@@ -138,8 +138,8 @@
             node: NodeId(number),
             role: Role::Balancer,
             locality: Locality::new("a", "a"),
-            control: listen,
-            served: None,
+            control_address: listen,
+            served_target: None,
             seeds,
             trusted: TrustedKeys::new(vec![operator().public()]),
             tuning: ReplicaTuning::default(),
@@ -192,7 +192,7 @@
     let seeds = vec![alone.address()];
     let stranger = node(2, OTHER_SECRET, store_with_roll(&operator())?, seeds).await?;
     wait_until(&stranger, |status| status.sequence == Sequence(1)).await?;
-    let forged = |status: &ControlStatus| status.counters.rejections.frame_forged > 0;
+    let forged = |status: &ControlStatus| status.counters.rejections.frame_tag_mismatch > 0;
     let status = wait_until(&alone, forged).await?;
     assert_eq!(status.sequence, Sequence(0));
     assert!(!status.ready);
--- a/crates/woodladder/tests/datagrams.rs
+++ b/crates/woodladder/tests/datagrams.rs
@@ -5,9 +5,9 @@
 
 use serde::Deserialize;
 use woodladder::balancer::parse;
-use woodladder_core::packets::carrier::classify;
 use woodladder_core::packets::envelope::Envelope;
 use woodladder_core::packets::keyed_tag::TagKey;
+use woodladder_core::packets::quic_header::parse_header;
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
 /// Key that the cases' envelopes are tagged with.
@@ -61,13 +61,16 @@
 }
 
 fn read_packet(bytes: &[u8]) -> Result<String, String> {
-    let packet = classify(bytes, TOKEN_LENGTH).map_err(|error| error.to_string())?;
+    let packet = parse_header(bytes, TOKEN_LENGTH).map_err(|error| error.to_string())?;
     let kind = if packet.may_open_flow {
         "may open a flow"
     } else {
         "opens no flow"
     };
-    Ok(format!("{} {kind}", hex::encode(packet.destination)))
+    Ok(format!(
+        "{} {kind}",
+        hex::encode(packet.destination_connection_id)
+    ))
 }
 
 fn read_envelope(bytes: &[u8]) -> Result<String, String> {
--- a/crates/woodladder/tests/shared_drain.rs
+++ b/crates/woodladder/tests/shared_drain.rs
@@ -8,7 +8,7 @@
 use woodladder::agent::{Notice, SharedDrain};
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{
-    Activity, DEFAULT_GRACE, Drain, DrainEvent, DrainPhase, DrainReason,
+    Activity, DEFAULT_DRAIN_GRACE, Drain, DrainEvent, DrainPhase, DrainReason,
 };
 
 /// Time that a task which has counted gives the other to hand its count over first.
@@ -16,13 +16,13 @@
 const CHANCE: Duration = Duration::from_millis(200);
 
 fn after_grace() -> Instant {
-    Instant::from_origin(DEFAULT_GRACE + Duration::from_secs(1))
+    Instant::from_origin(DEFAULT_DRAIN_GRACE + Duration::from_secs(1))
 }
 
 #[test]
 fn a_count_of_requests_never_takes_the_place_of_a_later_one() {
-    let drain = SharedDrain::new(Drain::new(DEFAULT_GRACE));
-    let begin = || DrainEvent::Begin(DrainReason::Signal);
+    let drain = SharedDrain::new(Drain::new(DEFAULT_DRAIN_GRACE));
+    let begin = || DrainEvent::AddReason(DrainReason::Signal);
     drain.handle(begin, Instant::ORIGIN, |_| {});
     let requests = AtomicU32::new(2);
     let count = || {
--- a/crates/woodladder/tests/steady_path.rs
+++ b/crates/woodladder/tests/steady_path.rs
@@ -13,9 +13,9 @@
 };
 use woodladder_core::configuration::snapshot::Snapshot;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
-use woodladder_core::packets::directory::Directory;
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Router;
+use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::packets::token::{TOKEN_NONCE_LENGTH, TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 
@@ -57,7 +57,7 @@
     };
     let signed = SignedBundle::sign(bundle, &OperatorKey::from_bytes([3; 32]));
     let snapshot = Snapshot::following(None, signed, 0, Duration::ZERO)?;
-    let directory = Arc::new(Directory::new(Sequence(1), &snapshot));
+    let directory = Arc::new(RoutingTable::new(Sequence(1), &snapshot));
     Ok(Router::new(directory, keys(), 2))
 }
 
