--- a/crates/woodladder-lab/src/platform/store.rs
+++ b/crates/woodladder-lab/src/platform/store.rs
@@ -8,7 +8,7 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 use tokio::time::sleep;
-use woodladder_node::http::{HttpAnswer, HttpRequest};
+use woodladder_node::http::{HttpRequest, HttpResponse};
 
 use super::store_state::{Change, Entry, StoreFault, StoreState};
 
@@ -19,7 +19,7 @@
 pub type SharedStore = Rc<RefCell<StoreState>>;
 
 /// Answers one call; `None` closes the connection without an answer.
-pub async fn answer(store: SharedStore, request: HttpRequest) -> HttpAnswer {
+pub async fn answer(store: SharedStore, request: HttpRequest) -> HttpResponse {
     store.borrow_mut().calls += 1;
     let fault = store.borrow().fault;
     match fault {
@@ -37,12 +37,12 @@
 }
 
 /// No answer within any caller's patience.
-async fn never() -> HttpAnswer {
+async fn never() -> HttpResponse {
     sleep(Duration::from_secs(30)).await;
     empty(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn carry_out(store: &SharedStore, request: &HttpRequest) -> HttpAnswer {
+async fn carry_out(store: &SharedStore, request: &HttpRequest) -> HttpResponse {
     let query = query(&request.query);
     let prefix = query.get("path_prefix").cloned().unwrap_or_default();
     let path = request.path.as_str();
@@ -53,7 +53,7 @@
             let at = state.revision();
             match state.get(&key) {
                 Some(entry) => ok(&with_at(item(&key, &entry), at)),
-                None => HttpAnswer::json(StatusCode::NOT_FOUND, json!({ "at": at }).to_string()),
+                None => HttpResponse::json(StatusCode::NOT_FOUND, json!({ "at": at }).to_string()),
             }
         }
         ("GET", "/kv-range") => {
@@ -87,7 +87,11 @@
     }
 }
 
-async fn watch(store: &SharedStore, prefix: &str, query: &BTreeMap<String, String>) -> HttpAnswer {
+async fn watch(
+    store: &SharedStore,
+    prefix: &str,
+    query: &BTreeMap<String, String>,
+) -> HttpResponse {
     let whole = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
     let after = whole("after").unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(whole("wait_ms").unwrap_or(0));
@@ -107,7 +111,7 @@
     }
 }
 
-fn transaction(state: &mut StoreState, body: &[u8]) -> HttpAnswer {
+fn transaction(state: &mut StoreState, body: &[u8]) -> HttpResponse {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     for expected in body["expected_rev"].as_array().into_iter().flatten() {
         let key = expected["tls_key"].as_str().unwrap_or_default();
@@ -165,10 +169,10 @@
         .unwrap_or(0)
 }
 
-fn ok(value: &Value) -> HttpAnswer {
-    HttpAnswer::json(StatusCode::OK, value.to_string())
+fn ok(value: &Value) -> HttpResponse {
+    HttpResponse::json(StatusCode::OK, value.to_string())
 }
 
-fn empty(status: StatusCode) -> HttpAnswer {
-    HttpAnswer::json(status, "{}")
+fn empty(status: StatusCode) -> HttpResponse {
+    HttpResponse::json(status, "{}")
 }
--- a/crates/woodladder-lab/tests/stand_in_product_clients.rs
+++ b/crates/woodladder-lab/tests/stand_in_product_clients.rs
@@ -39,7 +39,7 @@
 #[tokio::test]
 async fn the_store_client_reads_watches_and_swaps() {
     let store = Store::start(StoreConfig::default()).await.expect("store");
-    let logger = woodladder::log::discard();
+    let logger = woodladder::log::discarding_logger();
     let client = ConsulStore::new(vec![store.address()], logger).expect("client");
     let absent = StoreIndex(0);
     assert_eq!(client.perform(&read(None)).await, StoreAnswer::NotFound);
@@ -100,7 +100,7 @@
     })
     .await
     .expect("list");
-    let client = woodladder::store::MachineList::new(list.address()).expect("client");
+    let client = woodladder::store::MachineListClient::new(list.address()).expect("client");
     let read = client.read().await.expect("read");
     let expected = woodladder::store::Machine {
         address: machine.address,
--- a/crates/woodladder-lab/tests/stand_in_whole_path.rs
+++ b/crates/woodladder-lab/tests/stand_in_whole_path.rs
@@ -87,10 +87,10 @@
     PacketPath::start(&PacketPathConfig {
         listen: ANY,
         workers: 1,
-        socket_buffer: 1 << 20,
+        socket_buffer_bytes: 1 << 20,
         router: Arc::new(ArcSwapOption::from_pointee(router)),
         envelope_key: keys().envelope,
-        logger: woodladder::log::discard(),
+        logger: woodladder::log::discarding_logger(),
     })
     .expect("balancer")
 }
@@ -148,7 +148,7 @@
             service: SERVICE,
             back_end: back_end.address(),
             health_path: Some("/health".to_owned()),
-            egress: vec![self.fabric.egress_address()],
+            fabric_egress: vec![self.fabric.egress_address()],
             keys: keys(),
             certificate: Certificate {
                 chain: self.certificate.chain.clone(),
@@ -156,7 +156,7 @@
             },
             limits: Limits::default(),
             directory: Arc::new(ArcSwap::new(Arc::clone(layout))),
-            logger: woodladder::log::discard(),
+            logger: woodladder::log::discarding_logger(),
         })
         .expect("agent");
         self.agents.push(agent);
--- a/crates/woodladder-node/src/http.rs
+++ b/crates/woodladder-node/src/http.rs
@@ -39,7 +39,7 @@
 
 /// An answer.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Media type of the body.
@@ -48,7 +48,7 @@
     pub body: String,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// An answer of plain text.
     #[must_use]
     pub fn text(status: StatusCode, body: impl Into<String>) -> Self {
@@ -73,7 +73,7 @@
 /// Serves requests until the process ends.
 pub async fn serve<F>(listener: TcpListener, handle: impl Fn(HttpRequest) -> F + 'static)
 where
-    F: Future<Output = HttpAnswer> + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let handle = Rc::new(handle);
     let open = Rc::new(());
@@ -98,7 +98,7 @@
     handle: Rc<impl Fn(HttpRequest) -> F + 'static>,
 ) -> hyper::Result<()>
 where
-    F: Future<Output = HttpAnswer> + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let _ignored = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
@@ -116,7 +116,7 @@
     handle: &impl Fn(HttpRequest) -> F,
 ) -> Response<Full<Bytes>>
 where
-    F: Future<Output = HttpAnswer>,
+    F: Future<Output = HttpResponse>,
 {
     let (head, body) = request.into_parts();
     let answer = match Limited::new(body, MAXIMUM_BODY).collect().await {
@@ -129,7 +129,7 @@
             };
             handle(request).await
         }
-        Err(_) => HttpAnswer::text(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
+        Err(_) => HttpResponse::text(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
     };
     let mut response = Response::new(Full::new(Bytes::from(answer.body)));
     *response.status_mut() = answer.status;
--- a/crates/woodladder/src/agent/config.rs
+++ b/crates/woodladder/src/agent/config.rs
@@ -27,7 +27,7 @@
     /// leaving; not asked when there is none.
     pub health_path: Option<String>,
     /// Addresses of the fabric that take datagrams for callers; not empty.
-    pub egress: Vec<SocketAddr>,
+    pub fabric_egress: Vec<SocketAddr>,
     /// Secrets shared with the other nodes.
     pub keys: AgentKeys,
     /// What the agent shows to callers in the TLS handshake.
@@ -76,7 +76,7 @@
     /// Time without any packet after which a caller's connection ends.
     pub idle_timeout: Duration,
     /// Interval of keep-alive packets towards callers.
-    pub keep_alive: Duration,
+    pub keep_alive_interval: Duration,
     /// Time for a whole answer when the request states no deadline. A feed
     /// must only begin within it.
     pub default_deadline: Duration,
@@ -96,7 +96,7 @@
             connections: 2000,
             streams_per_connection: 100,
             idle_timeout: Duration::from_secs(30),
-            keep_alive: Duration::from_secs(10),
+            keep_alive_interval: Duration::from_secs(10),
             default_deadline: Duration::from_secs(30),
             minimum_retry_after: Duration::from_secs(1),
             slow_start: Some(SlowStartOptions::default()),
--- a/crates/woodladder/src/agent/counters.rs
+++ b/crates/woodladder/src/agent/counters.rs
@@ -47,7 +47,7 @@
 
     /// Word for metrics.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::BadEnvelope => "bad-envelope",
             Self::MalformedPacket => "malformed-packet",
@@ -82,7 +82,7 @@
 
     /// Word for metrics.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
             Self::NotRun => "not-run",
@@ -122,7 +122,7 @@
             declined: self.declined.load(Ordering::Relaxed),
             refused: self.refused.load(Ordering::Relaxed),
             handed_on: self.handed_on.load(Ordering::Relaxed),
-            relayed: self.relayed.load(Ordering::Relaxed),
+            relayed_datagrams: self.relayed.load(Ordering::Relaxed),
         }
     }
 
@@ -136,7 +136,7 @@
 
     pub(super) fn ends(&self) -> Vec<EndCount> {
         let count = |end: RequestEnd| EndCount {
-            end,
+            outcome: end,
             count: self.ends[end as usize].load(Ordering::Relaxed),
         };
         RequestEnd::ALL.into_iter().map(count).collect()
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EndCount {
     /// The way.
-    pub end: RequestEnd,
+    pub outcome: RequestEnd,
     /// How many.
     pub count: u64,
 }
@@ -198,14 +198,14 @@
     /// Handed on to the next target.
     pub handed_on: u64,
     /// Later datagrams sent on to the agent of the target that they name.
-    pub relayed: u64,
+    pub relayed_datagrams: u64,
 }
 
 /// What an agent does at one moment.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AgentStatus {
     /// How far its drain has come.
-    pub phase: DrainPhase,
+    pub drain_phase: DrainPhase,
     /// Greatest sequence that a balancer stated and that is later than the
     /// directory's; zero when there was none.
     pub newest_sequence_seen: Sequence,
@@ -220,15 +220,15 @@
     /// Slots that may be used now.
     pub effective_slots: u16,
     /// Requests that wait for a slot now.
-    pub queued: u32,
+    pub queued_requests: u32,
     /// Callers' connections open now.
     pub connections: usize,
     /// Requests open now, feeds included.
-    pub requests: usize,
+    pub open_requests: usize,
     /// Feeds open now.
     pub feeds: usize,
     /// Ended requests since the start, by end.
-    pub ends: Vec<EndCount>,
+    pub request_outcomes: Vec<EndCount>,
 }
 
 impl AgentStatus {
@@ -244,9 +244,9 @@
     /// Requests that ended in a way.
     #[must_use]
     pub fn ended(&self, end: RequestEnd) -> u64 {
-        self.ends
+        self.request_outcomes
             .iter()
-            .find(|entry| entry.end == end)
+            .find(|entry| entry.outcome == end)
             .map_or(0, |entry| entry.count)
     }
 }
--- a/crates/woodladder/src/agent/handle.rs
+++ b/crates/woodladder/src/agent/handle.rs
@@ -55,7 +55,7 @@
 
 /// Why an agent cannot start.
 #[derive(Debug)]
-pub enum StartError {
+pub enum AgentStartError {
     /// The socket cannot be used.
     Socket(io::Error),
     /// QUIC cannot be set up.
@@ -72,20 +72,21 @@
     /// # Errors
     /// [`StartError`] when the socket, the certificate or the client for the
     /// back end cannot be used.
-    pub fn start(config: AgentConfig) -> Result<AgentHandle, StartError> {
-        if config.egress.is_empty() {
-            return Err(StartError::NoEgress);
+    pub fn start(config: AgentConfig) -> Result<AgentHandle, AgentStartError> {
+        if config.fabric_egress.is_empty() {
+            return Err(AgentStartError::NoEgress);
         }
         let limits = config.limits;
-        let server = quic::server_config(&config.certificate, &limits).map_err(StartError::Quic)?;
+        let server =
+            quic::server_config(&config.certificate, &limits).map_err(AgentStartError::Quic)?;
         let endpoint = quic::endpoint_config(config.target, config.keys.token, config.keys.reset)
-            .map_err(StartError::Quic)?;
-        let back_end = BackEnd::new(config.back_end).map_err(StartError::BackEnd)?;
+            .map_err(AgentStartError::Quic)?;
+        let back_end = BackEnd::new(config.back_end).map_err(AgentStartError::BackEnd)?;
         config
             .socket
             .set_nonblocking(true)
-            .map_err(StartError::Socket)?;
-        let io = UdpSocket::from_std(config.socket).map_err(StartError::Socket)?;
+            .map_err(AgentStartError::Socket)?;
+        let io = UdpSocket::from_std(config.socket).map_err(AgentStartError::Socket)?;
 
         let counters = Arc::new(Counters::default());
         let clock = Clock::start();
@@ -112,7 +113,7 @@
             io,
             config.keys.envelope,
             Arc::clone(&gate),
-            Egress::new(config.egress),
+            Egress::new(config.fabric_egress),
             Arc::clone(&counters),
         );
         let endpoint = Endpoint::new_with_abstract_socket(
@@ -121,7 +122,7 @@
             Arc::new(socket),
             Arc::new(TokioRuntime),
         )
-        .map_err(StartError::Socket)?;
+        .map_err(AgentStartError::Socket)?;
         let shared = Arc::new(Shared {
             limits,
             clock,
@@ -163,7 +164,7 @@
 
     /// Waits until the agent leaves and its last request has ended, and until
     /// callers know so, which takes a bounded time.
-    pub async fn drained(&self) {
+    pub async fn wait_until_drained(&self) {
         let mut notices = self.shared.control.notices();
         // The sender lives as long as this handle.
         let _ = notices.wait_for(|notice| *notice == Notice::Drained).await;
@@ -182,18 +183,18 @@
         } = &*self.shared;
         let counts = desk.counts();
         AgentStatus {
-            phase: control.phase(),
+            drain_phase: control.phase(),
             newest_sequence_seen: self.gate.newest_sequence(),
             flows: counters.flows(),
             drops: counters.drops(),
             busy_slots: counts.busy,
             slots: desk.slots(),
             effective_slots: desk.effective_slots().whole(),
-            queued: counts.queued,
+            queued_requests: counts.queued,
             connections: counters.connections.load(Ordering::Acquire),
-            requests: counters.requests.load(Ordering::Acquire),
+            open_requests: counters.requests.load(Ordering::Acquire),
             feeds: counters.feeds.load(Ordering::Acquire),
-            ends: counters.ends(),
+            request_outcomes: counters.ends(),
         }
     }
 
@@ -243,7 +244,7 @@
     }
 }
 
-impl fmt::Display for StartError {
+impl fmt::Display for AgentStartError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Socket(error) => write!(formatter, "the data socket cannot be used: {error}"),
@@ -256,4 +257,4 @@
     }
 }
 
-impl std::error::Error for StartError {}
+impl std::error::Error for AgentStartError {}
--- a/crates/woodladder/src/agent/mod.rs
+++ b/crates/woodladder/src/agent/mod.rs
@@ -30,7 +30,7 @@
 pub use certificate::CertificateError;
 pub use config::{AgentConfig, AgentKeys, Certificate, Limits};
 pub use counters::{AgentStatus, DatagramDrop, DropCount, EndCount, FlowCounts, RequestEnd};
-pub use handle::{Agent, AgentHandle, StartError};
+pub use handle::{Agent, AgentHandle, AgentStartError};
 pub use headers::{DEADLINE, OUTCOME, REASON, REPEATABLE};
 pub use outcome::NotRunReason;
 pub use quic::QuicConfigError;
--- a/crates/woodladder/src/agent/quic.rs
+++ b/crates/woodladder/src/agent/quic.rs
@@ -100,7 +100,7 @@
     let mut config = TransportConfig::default();
     config
         .max_idle_timeout(Some(idle))
-        .keep_alive_interval(Some(limits.keep_alive))
+        .keep_alive_interval(Some(limits.keep_alive_interval))
         .max_concurrent_bidi_streams(VarInt::from_u32(limits.streams_per_connection))
         .max_concurrent_uni_streams(VarInt::from_u32(UNIDIRECTIONAL_STREAMS))
         .stream_receive_window(VarInt::from_u32(STREAM_RECEIVE_WINDOW))
--- a/crates/woodladder/src/balancer/counters.rs
+++ b/crates/woodladder/src/balancer/counters.rs
@@ -9,7 +9,7 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PacketDrop {
+pub enum PacketDropReason {
     /// Its PROXY header is malformed.
     MalformedProxyHeader,
     /// Its PROXY header speaks of no datagram between IP addresses.
@@ -30,7 +30,7 @@
     SendFailed,
 }
 
-const DROP_KINDS: usize = PacketDrop::ALL.len();
+const DROP_KINDS: usize = PacketDropReason::ALL.len();
 
 /// Figures of all workers together.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -51,7 +51,7 @@
     dropped: [AtomicU64; DROP_KINDS],
 }
 
-impl PacketDrop {
+impl PacketDropReason {
     /// Every reason.
     pub const ALL: [Self; 9] = [
         Self::MalformedProxyHeader,
@@ -82,7 +82,7 @@
     }
 }
 
-impl From<ProxyHeaderError> for PacketDrop {
+impl From<ProxyHeaderError> for PacketDropReason {
     fn from(error: ProxyHeaderError) -> Self {
         match error {
             ProxyHeaderError::Malformed => Self::MalformedProxyHeader,
@@ -91,7 +91,7 @@
     }
 }
 
-impl From<DropReason> for PacketDrop {
+impl From<DropReason> for PacketDropReason {
     fn from(reason: DropReason) -> Self {
         match reason {
             DropReason::Malformed => Self::MalformedPacket,
@@ -106,7 +106,7 @@
 impl PacketCounts {
     /// Datagrams dropped for one reason.
     #[must_use]
-    pub fn dropped(&self, reason: PacketDrop) -> u64 {
+    pub fn dropped(&self, reason: PacketDropReason) -> u64 {
         self.dropped[reason as usize]
     }
 }
@@ -120,7 +120,7 @@
         increment(&self.forwarded);
     }
 
-    pub(super) fn dropped(&self, reason: PacketDrop) {
+    pub(super) fn dropped(&self, reason: PacketDropReason) {
         increment(&self.dropped[reason as usize]);
     }
 
--- a/crates/woodladder/src/balancer/mod.rs
+++ b/crates/woodladder/src/balancer/mod.rs
@@ -8,6 +8,6 @@
 mod socket;
 mod worker;
 
-pub use counters::{PacketCounts, PacketDrop};
+pub use counters::{PacketCounts, PacketDropReason};
 pub use packet_path::{PacketPath, PacketPathConfig};
 pub use proxy_header::{ProxyHeaderError, parse};
--- a/crates/woodladder/src/balancer/packet_path.rs
+++ b/crates/woodladder/src/balancer/packet_path.rs
@@ -22,7 +22,7 @@
     /// Number of workers, at least one.
     pub workers: usize,
     /// Bytes asked for as each socket's buffers.
-    pub socket_buffer: usize,
+    pub socket_buffer_bytes: usize,
     /// Decides about each datagram; replaced when a roll comes into force, and
     /// absent before the first.
     pub router: Arc<ArcSwapOption<Router>>,
@@ -46,7 +46,7 @@
     /// # Errors
     /// The system's error when a socket or a thread cannot be had.
     pub fn start(config: &PacketPathConfig) -> io::Result<Self> {
-        let sockets = socket::bind(config.listen, config.workers, config.socket_buffer)?;
+        let sockets = socket::bind(config.listen, config.workers, config.socket_buffer_bytes)?;
         let address = match sockets.first() {
             Some(socket) => socket.local_addr()?,
             None => config.listen,
--- a/crates/woodladder/src/balancer/worker.rs
+++ b/crates/woodladder/src/balancer/worker.rs
@@ -11,7 +11,7 @@
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Router;
 
-use super::counters::{PacketDrop, WorkerCounters};
+use super::counters::{PacketDropReason, WorkerCounters};
 use super::proxy_header;
 use super::receive::Receiver;
 use crate::process::StopSignal;
@@ -47,7 +47,7 @@
         loop {
             tokio::select! {
                 readable = socket.readable() => readable?,
-                () = stop.asked() => return Ok(()),
+                () = stop.wait_until_requested() => return Ok(()),
             }
             match receiver.receive(&socket) {
                 Ok(filled) => self.forward_batch(&socket, &receiver, filled, &mut buffer),
@@ -80,16 +80,16 @@
         router: Option<&Router>,
         datagram: &[u8],
         buffer: &mut Vec<u8>,
-    ) -> Result<(), PacketDrop> {
+    ) -> Result<(), PacketDropReason> {
         let inbound = proxy_header::parse(datagram)?;
-        let router = router.ok_or(PacketDrop::NoBundle)?;
+        let router = router.ok_or(PacketDropReason::NoBundle)?;
         let forward = router.route(&inbound)?;
         forward
             .envelope
             .encode_into(&self.envelope_key, inbound.datagram, buffer);
         match socket.try_send_to(buffer, forward.to) {
             Ok(_) => Ok(()),
-            Err(_) => Err(PacketDrop::SendFailed),
+            Err(_) => Err(PacketDropReason::SendFailed),
         }
     }
 }
--- a/crates/woodladder/src/command/nodes.rs
+++ b/crates/woodladder/src/command/nodes.rs
@@ -8,7 +8,7 @@
 use super::failure::Failure;
 use crate::control::ControlSocket;
 use crate::settings::{ClusterKeys, OperatorSettings};
-use crate::store::{MachineList, MachineState, ServiceError};
+use crate::store::{MachineListClient, MachineState, ServiceError};
 
 /// Control addresses of the seeds and of the machines listed as live.
 pub(super) async fn addresses(settings: &OperatorSettings, logger: &Logger) -> Vec<SocketAddr> {
@@ -23,7 +23,7 @@
 }
 
 async fn live_machines(address: SocketAddr) -> Result<Vec<SocketAddr>, ServiceError> {
-    let machines = MachineList::new(address)?.read().await?;
+    let machines = MachineListClient::new(address)?.read().await?;
     let live = machines
         .iter()
         .filter(|machine| machine.state == MachineState::Live);
--- a/crates/woodladder/src/control/driver.rs
+++ b/crates/woodladder/src/control/driver.rs
@@ -16,7 +16,7 @@
 
 use super::clock::ProcessClock;
 use super::socket::{ControlSocket, Received};
-use super::{ControlStatus, Install};
+use super::{ControlPlaneStatus, RoutingTableInstaller};
 use crate::store::Store;
 
 /// What reaches the driver from other tasks.
@@ -26,7 +26,7 @@
     SequenceSeen(Sequence),
     Leaving,
     TakesNewFlows(bool),
-    Status(oneshot::Sender<ControlStatus>),
+    Status(oneshot::Sender<ControlPlaneStatus>),
 }
 
 /// Owns the replica.
@@ -36,7 +36,7 @@
     clock: ProcessClock,
     socket: ControlSocket,
     store: Arc<dyn Store>,
-    install: Install,
+    install: RoutingTableInstaller,
     logger: Logger,
 }
 
@@ -45,7 +45,7 @@
         settings: ReplicaSettings,
         socket: ControlSocket,
         store: Arc<dyn Store>,
-        install: Install,
+        install: RoutingTableInstaller,
         logger: Logger,
     ) -> Self {
         let clock = ProcessClock::new();
@@ -143,10 +143,10 @@
         info!(self.logger, "control: available targets changed"; "marked" => marked);
     }
 
-    fn status(&self) -> ControlStatus {
+    fn status(&self) -> ControlPlaneStatus {
         let now = self.clock.now();
         let installed = self.replica.installed();
-        ControlStatus {
+        ControlPlaneStatus {
             node: self.node,
             ready: self.replica.is_ready(),
             suspect: self.replica.is_suspect(now),
@@ -154,7 +154,7 @@
             bundle_version: installed.map(|installed| installed.snapshot.bundle.version),
             snapshot: installed.map(|installed| installed.digest()),
             members: self.replica.member_counts(now),
-            marked_targets: self.replica.unavailable_target_count(),
+            unavailable_target_count: self.replica.unavailable_target_count(),
             counters: *self.replica.counters(),
         }
     }
--- a/crates/woodladder/src/control/machines.rs
+++ b/crates/woodladder/src/control/machines.rs
@@ -8,7 +8,7 @@
 use woodladder_core::control::membership::{ListedMachine, ListedState};
 
 use super::driver::Input;
-use crate::store::{Machine, MachineList, MachineState};
+use crate::store::{Machine, MachineListClient, MachineState};
 
 /// Pause after a reading that failed.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
@@ -21,7 +21,7 @@
 
 /// Reads the list until the node ends.
 pub(super) async fn poll(
-    list: MachineList,
+    list: MachineListClient,
     own: SocketAddr,
     inputs: mpsc::UnboundedSender<Input>,
     leaving: watch::Sender<bool>,
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::process::StartError;
 use crate::settings::NodeSettings;
-use crate::store::{ConsulStore, MachineList, Store};
+use crate::store::{ConsulStore, MachineListClient, Store};
 
 pub use clock::ProcessClock;
 pub use socket::ControlSocket;
@@ -32,10 +32,10 @@
 
 /// Gives the data path a directory: that of a roll that comes into force, or
 /// one of the same roll with other targets available.
-pub type Install = Box<dyn Fn(&Arc<RoutingTable>) + Send>;
+pub type RoutingTableInstaller = Box<dyn Fn(&Arc<RoutingTable>) + Send>;
 
 /// What the control traffic is started with.
-pub struct ControlConfig {
+pub struct ControlPlaneConfig {
     /// Address for control datagrams.
     pub listen: SocketAddr,
     /// Address that other nodes send to; the socket's own when not set.
@@ -47,16 +47,16 @@
     /// The key-value service.
     pub store: Arc<dyn Store>,
     /// The list of machines, if there is one.
-    pub machine_list: Option<MachineList>,
+    pub machine_list: Option<MachineListClient>,
     /// Gives the data path a directory.
-    pub install: Install,
+    pub routing_table_installer: RoutingTableInstaller,
     /// Where events are logged.
     pub logger: Logger,
 }
 
 /// State of a node's control traffic.
 #[derive(Clone, Copy, Debug)]
-pub struct ControlStatus {
+pub struct ControlPlaneStatus {
     /// Identifier of this run of the process.
     pub node: NodeId,
     /// Whether the node has a roll in force and heard enough to serve.
@@ -72,20 +72,20 @@
     /// Counts over the nodes that are known.
     pub members: MemberCounts,
     /// Targets that are known to take no new flows.
-    pub marked_targets: usize,
+    pub unavailable_target_count: usize,
     /// Counts since the start.
     pub counters: ReplicaCounters,
 }
 
 /// Running control traffic; it ends when this is dropped.
-pub struct Control {
+pub struct ControlPlane {
     address: SocketAddr,
     inputs: mpsc::UnboundedSender<Input>,
     listed_leaving: watch::Receiver<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl ControlConfig {
+impl ControlPlaneConfig {
     /// The configuration that a node's settings ask for.
     ///
     /// # Errors
@@ -94,16 +94,16 @@
         node: &NodeSettings,
         role: Role,
         served_target: Option<ServedTarget>,
-        install: Install,
+        install: RoutingTableInstaller,
         logger: &Logger,
     ) -> Result<Self, StartError> {
         let stores = node.platform.stores.clone();
-        let store = ConsulStore::new(stores, logger.clone()).map_err(StartError::Client)?;
-        let machine_list = node.platform.machine_list.map(MachineList::new);
+        let store = ConsulStore::new(stores, logger.clone()).map_err(StartError::PlatformClient)?;
+        let machine_list = node.platform.machine_list.map(MachineListClient::new);
         Ok(Self {
             listen: node.control_listen,
             advertise: node.control_advertise,
-            key: node.keys().control,
+            key: node.derived_keys().control,
             replica: ReplicaSettings {
                 node: NodeId(rand::random()),
                 role,
@@ -115,19 +115,21 @@
                 tuning: ReplicaTuning::default(),
             },
             store: Arc::new(store),
-            machine_list: machine_list.transpose().map_err(StartError::Client)?,
-            install,
+            machine_list: machine_list
+                .transpose()
+                .map_err(StartError::PlatformClient)?,
+            routing_table_installer: install,
             logger: logger.clone(),
         })
     }
 }
 
-impl Control {
+impl ControlPlane {
     /// Binds the socket and starts the traffic on the running Tokio runtime.
     ///
     /// # Errors
     /// [`StartError::Listen`] when the address cannot be listened on.
-    pub async fn start(config: ControlConfig) -> Result<Self, StartError> {
+    pub async fn start(config: ControlPlaneConfig) -> Result<Self, StartError> {
         let listen = config.listen;
         let socket = ControlSocket::bind(listen, config.key)
             .await
@@ -151,7 +153,7 @@
             settings,
             socket,
             config.store,
-            config.install,
+            config.routing_table_installer,
             config.logger,
         );
         tasks.push(tokio::spawn(driver.run(inputs.clone(), received)));
@@ -170,35 +172,35 @@
     }
 
     /// State at this moment; `None` once the traffic has ended.
-    pub async fn status(&self) -> Option<ControlStatus> {
+    pub async fn status(&self) -> Option<ControlPlaneStatus> {
         let (reply, status) = oneshot::channel();
         self.inputs.send(Input::Status(reply)).ok()?;
         status.await.ok()
     }
 
     /// Tells other nodes that a planned stop has begun.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         let _ = self.inputs.send(Input::Leaving);
     }
 
     /// Tells other nodes whether the own target takes new flows.
-    pub fn takes_new_flows(&self, takes: bool) {
+    pub fn announce_accepting_flows(&self, takes: bool) {
         let _ = self.inputs.send(Input::TakesNewFlows(takes));
     }
 
     /// Tells the replica that the data path saw this sequence.
-    pub fn sequence_seen(&self, sequence: Sequence) {
+    pub fn report_sequence_seen(&self, sequence: Sequence) {
         let _ = self.inputs.send(Input::SequenceSeen(sequence));
     }
 
     /// Whether the machine list says that this machine is leaving.
     #[must_use]
-    pub fn listed_leaving(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_listed_leaving(&self) -> watch::Receiver<bool> {
         self.listed_leaving.clone()
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlPlane {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -16,8 +16,8 @@
 
 use super::status::StatusSource;
 use crate::agent::{Agent, AgentConfig, AgentHandle, AgentKeys, AgentStatus};
-use crate::control::{Control, ControlConfig, Install};
-use crate::endpoint::{Endpoint, Figures, NodeStatus, NodeView, NotReady, Role};
+use crate::control::{ControlPlane, ControlPlaneConfig, RoutingTableInstaller};
+use crate::endpoint::{Figures, NodeStatus, NotReadyReason, Role, StatusProvider, StatusServer};
 use crate::process::{StartError, StopSignal};
 use crate::settings::AgentSettings;
 
@@ -35,12 +35,12 @@
 }
 
 #[async_trait]
-impl NodeView for AgentView {
+impl StatusProvider for AgentView {
     async fn status(&self) -> NodeStatus {
         let mut status = self.source.status().await;
         let agent = self.agent.status();
-        if status.not_ready.is_none() && agent.phase != DrainPhase::Serving {
-            status.not_ready = Some(NotReady::Leaving);
+        if status.not_ready.is_none() && agent.drain_phase != DrainPhase::Serving {
+            status.not_ready = Some(NotReadyReason::Leaving);
         }
         status.figures.append(figures(&agent));
         status
@@ -55,18 +55,18 @@
     let mut stop = StopSignal::from_process().map_err(StartError::Signals)?;
     let view = Arc::new(start(&settings, &stop, &logger).await?);
     let http_listen = settings.node.http_listen;
-    let endpoint = Endpoint::start(http_listen, view.clone(), stop.clone(), &logger)
+    let endpoint = StatusServer::start(http_listen, view.clone(), stop.clone(), &logger)
         .map_err(|error| StartError::listen("http_listen", http_listen, error))?;
     info!(logger, "agent: running";
         "data" => %view.source.data,
         "control" => %view.source.control.address(),
         "http" => %endpoint.address());
     tokio::select! {
-        () = stop.asked() => {}
+        () = stop.wait_until_requested() => {}
         () = report_sequences(&view) => {}
         () = follow_machine_list(&view) => {}
     }
-    view.source.control.leave();
+    view.source.control.announce_leaving();
     drain(&settings, &view.agent, &logger).await;
     Ok(())
 }
@@ -84,14 +84,14 @@
         run: run_number(),
     });
     let install = install(directory);
-    let config = ControlConfig::from_settings(&settings.node, role, served, install, logger)?;
+    let config = ControlPlaneConfig::from_settings(&settings.node, role, served, install, logger)?;
     let source = StatusSource {
         role: Role::Agent,
         zone: settings.node.zone.clone(),
         data,
         started: Instant::now(),
         stop: stop.clone(),
-        control: Control::start(config).await?,
+        control: ControlPlane::start(config).await?,
     };
     Ok(AgentView { source, agent })
 }
@@ -110,14 +110,14 @@
         .certificate
         .load()
         .map_err(StartError::Certificate)?;
-    let keys = settings.node.keys();
+    let keys = settings.node.derived_keys();
     let agent = Agent::start(AgentConfig {
         socket,
         target: settings.target,
         service: settings.service,
         back_end: settings.back_end,
         health_path: settings.health_path.clone(),
-        egress: settings.fabric_egress.clone(),
+        fabric_egress: settings.fabric_egress.clone(),
         keys: AgentKeys {
             envelope: keys.envelope,
             token: settings.node.token_keys,
@@ -139,7 +139,7 @@
     Ok(socket)
 }
 
-fn install(directory: Arc<ArcSwap<RoutingTable>>) -> Install {
+fn install(directory: Arc<ArcSwap<RoutingTable>>) -> RoutingTableInstaller {
     Box::new(move |latest| directory.store(Arc::clone(latest)))
 }
 
@@ -159,7 +159,7 @@
         ticks.tick().await;
         let seen = view.agent.status().newest_sequence_seen;
         if seen > reported {
-            view.source.control.sequence_seen(seen);
+            view.source.control.report_sequence_seen(seen);
             reported = seen;
         }
     }
@@ -167,14 +167,14 @@
 
 /// Drains while the machine list says that this machine is leaving.
 async fn follow_machine_list(view: &AgentView) {
-    let mut leaving = view.source.control.listed_leaving();
+    let mut leaving = view.source.control.subscribe_listed_leaving();
     while leaving.changed().await.is_ok() {
         if *leaving.borrow_and_update() {
-            view.source.control.takes_new_flows(false);
+            view.source.control.announce_accepting_flows(false);
             view.agent.begin_drain(DrainReason::MachineList);
         } else {
             view.agent.withdraw_drain(DrainReason::MachineList);
-            view.source.control.takes_new_flows(true);
+            view.source.control.announce_accepting_flows(true);
         }
     }
     std::future::pending::<()>().await;
@@ -186,7 +186,7 @@
     info!(logger, "agent: stopping as planned"; "timeout" => ?settings.drain_timeout);
     let announced = tokio::time::Instant::now();
     agent.begin_drain(DrainReason::Signal);
-    if timeout(settings.drain_timeout, agent.drained())
+    if timeout(settings.drain_timeout, agent.wait_until_drained())
         .await
         .is_err()
     {
@@ -204,21 +204,21 @@
     figures.add("busy_slots", u64::from(status.busy_slots));
     figures.add("slots", u64::from(status.slots));
     figures.add("effective_slots", u64::from(status.effective_slots));
-    figures.add("queued_requests", u64::from(status.queued));
+    figures.add("queued_requests", u64::from(status.queued_requests));
     figures.add("connections", number(status.connections));
-    figures.add("open_requests", number(status.requests));
+    figures.add("open_requests", number(status.open_requests));
     figures.add("feeds", number(status.feeds));
     figures.add("flows_accepted_total", flows.accepted);
     figures.add("flows_declined_total", flows.declined);
     figures.add("flows_refused_total", flows.refused);
     figures.add("flows_handed_on_total", flows.handed_on);
-    figures.add("packets_relayed_total", flows.relayed);
+    figures.add("packets_relayed_total", flows.relayed_datagrams);
     for drops in &status.drops {
-        let name = format!("packets_dropped_{}_total", word(drops.reason.word()));
+        let name = format!("packets_dropped_{}_total", word(drops.reason.name()));
         figures.add(name, drops.count);
     }
-    for ends in &status.ends {
-        let name = format!("requests_{}_total", word(ends.end.word()));
+    for ends in &status.request_outcomes {
+        let name = format!("requests_{}_total", word(ends.outcome.name()));
         figures.add(name, ends.count);
     }
     figures
--- a/crates/woodladder/src/daemon/balancer.rs
+++ b/crates/woodladder/src/daemon/balancer.rs
@@ -11,9 +11,9 @@
 use woodladder_core::packets::router::Router;
 
 use super::status::StatusSource;
-use crate::balancer::{PacketCounts, PacketDrop, PacketPath, PacketPathConfig};
-use crate::control::{Control, ControlConfig, Install};
-use crate::endpoint::{Endpoint, Figures, NodeStatus, NodeView, NotReady, Role};
+use crate::balancer::{PacketCounts, PacketDropReason, PacketPath, PacketPathConfig};
+use crate::control::{ControlPlane, ControlPlaneConfig, RoutingTableInstaller};
+use crate::endpoint::{Figures, NodeStatus, NotReadyReason, Role, StatusProvider, StatusServer};
 use crate::process::{StartError, StopSignal};
 use crate::settings::BalancerSettings;
 
@@ -27,11 +27,11 @@
 }
 
 #[async_trait]
-impl NodeView for BalancerView {
+impl StatusProvider for BalancerView {
     async fn status(&self) -> NodeStatus {
         let mut status = self.source.status().await;
         if self.path.has_failed() {
-            status.not_ready = Some(NotReady::Failed);
+            status.not_ready = Some(NotReadyReason::Failed);
         }
         status.figures.append(figures(&self.path.counts()));
         status
@@ -46,14 +46,14 @@
     let mut stop = StopSignal::from_process().map_err(StartError::Signals)?;
     let view = Arc::new(start(&settings, &stop, &logger).await?);
     let http_listen = settings.node.http_listen;
-    let endpoint = Endpoint::start(http_listen, view.clone(), stop.clone(), &logger)
+    let endpoint = StatusServer::start(http_listen, view.clone(), stop.clone(), &logger)
         .map_err(|error| StartError::listen("http_listen", http_listen, error))?;
     info!(logger, "balancer: running";
         "data" => %view.path.address(),
         "control" => %view.source.control.address(),
         "http" => %endpoint.address());
-    stop.asked().await;
-    view.source.control.leave();
+    stop.wait_until_requested().await;
+    view.source.control.announce_leaving();
     drain(&settings, &view.path, &logger).await;
     Ok(())
 }
@@ -67,14 +67,14 @@
     let path = start_packet_path(settings, router.clone(), logger)?;
     let install = install(settings, router);
     let role = membership::Role::Balancer;
-    let config = ControlConfig::from_settings(&settings.node, role, None, install, logger)?;
+    let config = ControlPlaneConfig::from_settings(&settings.node, role, None, install, logger)?;
     let source = StatusSource {
         role: Role::Balancer,
         zone: settings.node.zone.clone(),
         data: path.address(),
         started: Instant::now(),
         stop: stop.clone(),
-        control: Control::start(config).await?,
+        control: ControlPlane::start(config).await?,
     };
     Ok(BalancerView { source, path })
 }
@@ -87,9 +87,9 @@
     let config = PacketPathConfig {
         listen: settings.data_listen,
         workers: settings.worker_threads,
-        socket_buffer: settings.socket_buffer,
+        socket_buffer_bytes: settings.socket_buffer,
         router,
-        envelope_key: settings.node.keys().envelope,
+        envelope_key: settings.node.derived_keys().envelope,
         logger: logger.clone(),
     };
     PacketPath::start(&config)
@@ -97,7 +97,10 @@
 }
 
 /// Builds a router for each directory and hands it to the workers.
-fn install(settings: &BalancerSettings, router: Arc<ArcSwapOption<Router>>) -> Install {
+fn install(
+    settings: &BalancerSettings,
+    router: Arc<ArcSwapOption<Router>>,
+) -> RoutingTableInstaller {
     let keys = settings.node.token_keys;
     let hops = settings.hops;
     Box::new(move |directory| {
@@ -130,7 +133,7 @@
     let mut figures = Figures::new();
     figures.add("packets_received_total", counts.received);
     figures.add("packets_forwarded_total", counts.forwarded);
-    for reason in PacketDrop::ALL {
+    for reason in PacketDropReason::ALL {
         let name = format!("packets_dropped_{}_total", reason.name());
         figures.add(name, counts.dropped(reason));
     }
--- a/crates/woodladder/src/daemon/status.rs
+++ b/crates/woodladder/src/daemon/status.rs
@@ -5,8 +5,8 @@
 
 use woodladder_core::control::replica::ReplicaCounters;
 
-use crate::control::{Control, ControlStatus};
-use crate::endpoint::{Figures, Listening, NodeStatus, NotReady, Peers, Role};
+use crate::control::{ControlPlane, ControlPlaneStatus};
+use crate::endpoint::{Figures, ListenAddresses, NodeStatus, NotReadyReason, PeerCounts, Role};
 use crate::process::StopSignal;
 
 /// What a node's status is made from.
@@ -16,13 +16,13 @@
     pub(super) data: SocketAddr,
     pub(super) started: Instant,
     pub(super) stop: StopSignal,
-    pub(super) control: Control,
+    pub(super) control: ControlPlane,
 }
 
 impl StatusSource {
     /// Status with the counters of the control traffic.
     pub(super) async fn status(&self) -> NodeStatus {
-        let listening = Listening {
+        let listening = ListenAddresses {
             data: self.data,
             control: self.control.address(),
         };
@@ -31,12 +31,12 @@
             node: 0,
             zone: self.zone.clone(),
             listening,
-            not_ready: Some(NotReady::NoBundle),
+            not_ready: Some(NotReadyReason::NoBundle),
             suspect: false,
             sequence: 0,
             bundle_version: None,
             snapshot: None,
-            peers: Peers::default(),
+            peers: PeerCounts::default(),
             uptime_seconds: self.started.elapsed().as_secs(),
             figures: Figures::new(),
         };
@@ -44,20 +44,20 @@
             fill(&mut status, &control);
         }
         if self.stop.is_asked() {
-            status.not_ready = Some(NotReady::Stopping);
+            status.not_ready = Some(NotReadyReason::Stopping);
         }
         status
     }
 }
 
-fn fill(status: &mut NodeStatus, control: &ControlStatus) {
+fn fill(status: &mut NodeStatus, control: &ControlPlaneStatus) {
     status.node = control.node.0;
-    status.not_ready = (!control.ready).then_some(NotReady::NoBundle);
+    status.not_ready = (!control.ready).then_some(NotReadyReason::NoBundle);
     status.suspect = control.suspect;
     status.sequence = control.sequence.0;
     status.bundle_version = control.bundle_version;
     status.snapshot = control.snapshot.map(|digest| digest.to_string());
-    status.peers = Peers {
+    status.peers = PeerCounts {
         known: control.members.known,
         heard: control.members.heard,
         silent: control.members.silent,
@@ -65,7 +65,7 @@
         listed: control.members.listed,
     };
     status.figures.append(figures(&control.counters));
-    let marked = u64::try_from(control.marked_targets).unwrap_or(u64::MAX);
+    let marked = u64::try_from(control.unavailable_target_count).unwrap_or(u64::MAX);
     status.figures.add("control_marked_targets", marked);
 }
 
--- a/crates/woodladder/src/endpoint/mod.rs
+++ b/crates/woodladder/src/endpoint/mod.rs
@@ -14,5 +14,5 @@
 
 pub use figures::Figures;
 pub use metrics::render;
-pub use server::{Endpoint, NodeView};
-pub use status::{Listening, NodeStatus, NotReady, Peers, Role};
+pub use server::{StatusProvider, StatusServer};
+pub use status::{ListenAddresses, NodeStatus, NotReadyReason, PeerCounts, Role};
--- a/crates/woodladder/src/endpoint/server.rs
+++ b/crates/woodladder/src/endpoint/server.rs
@@ -13,7 +13,7 @@
 use volo_http::server::route::{Router, get};
 
 use super::metrics::render;
-use super::status::{NodeStatus, NotReady};
+use super::status::{NodeStatus, NotReadyReason};
 use crate::process::StopSignal;
 
 const JSON: &str = "application/json";
@@ -22,18 +22,18 @@
 
 /// What the endpoints ask a node for.
 #[async_trait]
-pub trait NodeView: Send + Sync + 'static {
+pub trait StatusProvider: Send + Sync + 'static {
     /// Status at this moment.
     async fn status(&self) -> NodeStatus;
 }
 
 /// A running HTTP server.
-pub struct Endpoint {
+pub struct StatusServer {
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Endpoint {
+impl StatusServer {
     /// Listens on `address` and answers for `view` until it is dropped.
     ///
     /// volo-http's server stops accepting at SIGTERM by itself. Readiness must
@@ -44,7 +44,7 @@
     /// The system's error when the address cannot be listened on.
     pub fn start(
         address: SocketAddr,
-        view: Arc<dyn NodeView>,
+        view: Arc<dyn StatusProvider>,
         mut stop: StopSignal,
         log: &Logger,
     ) -> std::io::Result<Self> {
@@ -56,7 +56,7 @@
         let while_running = tokio::spawn(serve(first, view.clone(), log.clone()));
         let log = log.clone();
         let while_stopping = tokio::spawn(async move {
-            stop.asked().await;
+            stop.wait_until_requested().await;
             serve(second, view, log).await;
         });
         Ok(Self {
@@ -72,7 +72,7 @@
     }
 }
 
-impl Drop for Endpoint {
+impl Drop for StatusServer {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -85,13 +85,13 @@
     Ok(DefaultIncoming::from(listener))
 }
 
-async fn serve(incoming: DefaultIncoming, view: Arc<dyn NodeView>, log: Logger) {
+async fn serve(incoming: DefaultIncoming, view: Arc<dyn StatusProvider>, log: Logger) {
     if let Err(problem) = Server::new(router(view)).run(incoming).await {
         error!(log, "endpoint: cannot serve"; "error" => %problem);
     }
 }
 
-fn router(view: Arc<dyn NodeView>) -> Router {
+fn router(view: Arc<dyn StatusProvider>) -> Router {
     let health_view = view.clone();
     let ready_view = view.clone();
     let status_view = view.clone();
@@ -113,7 +113,7 @@
 
 fn health(status: &NodeStatus) -> Response<Body> {
     match status.not_ready {
-        Some(reason @ NotReady::Failed) => unavailable(reason),
+        Some(reason @ NotReadyReason::Failed) => unavailable(reason),
         _ => answer(StatusCode::OK, PLAIN_TEXT, "ok\n".to_owned()),
     }
 }
@@ -129,7 +129,7 @@
     }
 }
 
-fn unavailable(reason: NotReady) -> Response<Body> {
+fn unavailable(reason: NotReadyReason) -> Response<Body> {
     let text = format!("{reason}\n");
     answer(StatusCode::SERVICE_UNAVAILABLE, PLAIN_TEXT, text)
 }
--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -20,7 +20,7 @@
 /// Why a node does not take traffic.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum NotReady {
+pub enum NotReadyReason {
     /// No bundle has reached it yet.
     NoBundle,
     /// A planned stop has begun.
@@ -33,7 +33,7 @@
 
 /// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listening {
+pub struct ListenAddresses {
     /// For datagrams of callers.
     pub data: SocketAddr,
     /// For control messages.
@@ -42,7 +42,7 @@
 
 /// Counts over the nodes that a node knows.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Peers {
+pub struct PeerCounts {
     /// All of them.
     pub known: usize,
     /// Heard from lately.
@@ -65,9 +65,9 @@
     /// Zone that it is in.
     pub zone: String,
     /// Addresses that it listens on.
-    pub listening: Listening,
+    pub listening: ListenAddresses,
     /// Why it takes no traffic, when it takes none.
-    pub not_ready: Option<NotReady>,
+    pub not_ready: Option<NotReadyReason>,
     /// Whether the process was paused and its state is not confirmed since.
     pub suspect: bool,
     /// Sequence in force; zero before the first.
@@ -77,7 +77,7 @@
     /// Digest of the snapshot in force.
     pub snapshot: Option<String>,
     /// Counts over the nodes that it knows.
-    pub peers: Peers,
+    pub peers: PeerCounts,
     /// Seconds since the process started.
     pub uptime_seconds: u64,
     /// Counters and gauges of its parts.
@@ -85,7 +85,7 @@
     pub figures: Figures,
 }
 
-impl fmt::Display for NotReady {
+impl fmt::Display for NotReadyReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::NoBundle => "no bundle is in force yet",
--- a/crates/woodladder/src/log.rs
+++ b/crates/woodladder/src/log.rs
@@ -104,7 +104,7 @@
 }
 
 /// A log that writes nothing.
-pub fn discard() -> Logger {
+pub fn discarding_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
--- a/crates/woodladder/src/process/start_error.rs
+++ b/crates/woodladder/src/process/start_error.rs
@@ -21,11 +21,11 @@
     /// Signal handlers cannot be installed.
     Signals(std::io::Error),
     /// A client of the platform's services cannot be made.
-    Client(ServiceError),
+    PlatformClient(ServiceError),
     /// The certificate or its key cannot be used.
     Certificate(CertificateError),
     /// The agent's data path cannot start.
-    Agent(agent::StartError),
+    Agent(agent::AgentStartError),
 }
 
 impl StartError {
@@ -49,7 +49,7 @@
                 error,
             } => write!(formatter, "{setting}: cannot listen on {address}: {error}"),
             Self::Signals(error) => write!(formatter, "cannot handle signals: {error}"),
-            Self::Client(error) => write!(formatter, "cannot make a client: {error}"),
+            Self::PlatformClient(error) => write!(formatter, "cannot make a client: {error}"),
             Self::Agent(error) => write!(formatter, "cannot start the agent: {error}"),
             Self::Certificate(error) => write!(formatter, "cannot use the certificate: {error}"),
         }
--- a/crates/woodladder/src/process/stop.rs
+++ b/crates/woodladder/src/process/stop.rs
@@ -52,7 +52,7 @@
     }
 
     /// Waits until a stop is asked for.
-    pub async fn asked(&mut self) {
+    pub async fn wait_until_requested(&mut self) {
         if self.asked.wait_for(|asked| *asked).await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -156,7 +156,7 @@
         connections,
         streams_per_connection,
         idle_timeout: duration("idle_timeout", default.idle_timeout),
-        keep_alive: duration("keep_alive", default.keep_alive),
+        keep_alive_interval: duration("keep_alive", default.keep_alive_interval),
         default_deadline: duration("request_timeout", default.default_deadline),
         minimum_retry_after: duration("minimum_retry_after", default.minimum_retry_after),
         slow_start: default.slow_start.filter(|_| slow_start),
--- a/crates/woodladder/src/settings/node.rs
+++ b/crates/woodladder/src/settings/node.rs
@@ -85,7 +85,7 @@
 impl NodeSettings {
     /// Keys derived from the cluster key.
     #[must_use]
-    pub fn keys(&self) -> ClusterKeys {
+    pub fn derived_keys(&self) -> ClusterKeys {
         ClusterKeys::derived_from(&self.cluster_key)
     }
 
--- a/crates/woodladder/src/store/machine_list.rs
+++ b/crates/woodladder/src/store/machine_list.rs
@@ -46,12 +46,12 @@
 }
 
 /// Client of the list of machines.
-pub struct MachineList {
+pub struct MachineListClient {
     client: Client,
     address: SocketAddr,
 }
 
-impl MachineList {
+impl MachineListClient {
     /// A client of the list at this address.
     ///
     /// # Errors
--- a/crates/woodladder/src/store/mod.rs
+++ b/crates/woodladder/src/store/mod.rs
@@ -11,7 +11,7 @@
 use woodladder_core::control::store_operation::{StoreAnswer, StoreOperation};
 
 pub use consul::ConsulStore;
-pub use machine_list::{Machine, MachineList, MachineRole, MachineState};
+pub use machine_list::{Machine, MachineListClient, MachineRole, MachineState};
 
 /// A key-value service with compare-and-swap and blocking reads.
 #[async_trait]
--- a/crates/woodladder/tests/agent_flows.rs
+++ b/crates/woodladder/tests/agent_flows.rs
@@ -104,12 +104,12 @@
     exchange.write_chunk("data: still here\n\n").await;
     let event = next(&mut feed).await.unwrap();
     assert_eq!(event.as_deref(), Some(&b"data: still here\n\n"[..]));
-    assert_ne!(world.agent().status().phase, DrainPhase::Drained);
+    assert_ne!(world.agent().status().drain_phase, DrainPhase::Drained);
 
     exchange.write(b"0\r\n\r\n").await;
     assert_eq!(next(&mut feed).await.unwrap(), None);
-    within("the drain", world.agent().drained()).await;
-    assert_eq!(world.agent().status().phase, DrainPhase::Drained);
+    within("the drain", world.agent().wait_until_drained()).await;
+    assert_eq!(world.agent().status().drain_phase, DrainPhase::Drained);
     within("the connection", caller.connection.closed()).await;
 }
 
@@ -128,7 +128,7 @@
 async fn bundle_that_lists_the_target_as_leaving_drains_it() {
     let world = World::start(Limits::default()).await;
     world.roll_first_leaving();
-    within("the drain", world.agent().drained()).await;
+    within("the drain", world.agent().wait_until_drained()).await;
 }
 
 #[tokio::test]
@@ -187,7 +187,7 @@
     world.peers[1].back_end.next().await.answer("found").await;
     head(&mut stream).await;
     assert_eq!(body(&mut stream).await.unwrap(), b"found");
-    assert!(world.agent().status().flows.relayed > 0);
+    assert!(world.agent().status().flows.relayed_datagrams > 0);
 }
 
 #[tokio::test]
--- a/crates/woodladder/tests/agent_requests.rs
+++ b/crates/woodladder/tests/agent_requests.rs
@@ -139,7 +139,7 @@
     let exchange = world.back_end().next().await;
     let mut queued = caller.get("/queued").await;
     let agent = world.agent().clone();
-    eventually("the request waits", || agent.status().queued == 1).await;
+    eventually("the request waits", || agent.status().queued_requests == 1).await;
     exchange.answer("first").await;
     world.back_end().next().await.answer("second").await;
     assert_eq!(head(&mut queued).await.status(), StatusCode::OK);
@@ -153,7 +153,7 @@
     let _first = world.back_end().next().await;
     let _waiting = caller.get("/waiting").await;
     let agent = world.agent().clone();
-    eventually("the request waits", || agent.status().queued == 1).await;
+    eventually("the request waits", || agent.status().queued_requests == 1).await;
     world.roll_slots(2);
     world.back_end().next().await.answer("second").await;
 }
--- a/crates/woodladder/tests/agent_support/mod.rs
+++ b/crates/woodladder/tests/agent_support/mod.rs
@@ -102,7 +102,7 @@
             service: SERVICE,
             back_end,
             health_path: None,
-            egress: vec![self.fabric.egress_address],
+            fabric_egress: vec![self.fabric.egress_address],
             keys: keys(),
             certificate: Certificate {
                 chain: self.certificate.chain.clone(),
--- a/crates/woodladder/tests/balancer.rs
+++ b/crates/woodladder/tests/balancer.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::ArcSwapOption;
 use ppp::v2::{Builder, Command, Protocol, Version};
-use woodladder::balancer::{PacketDrop, PacketPath, PacketPathConfig};
+use woodladder::balancer::{PacketDropReason, PacketPath, PacketPathConfig};
 use woodladder_core::configuration::bundle::{
     Bundle, Service, SignedBundle, Target, TargetState, Zone,
 };
@@ -53,10 +53,10 @@
         let path = PacketPath::start(&PacketPathConfig {
             listen: address("127.0.0.1:0"),
             workers,
-            socket_buffer: 1 << 20,
+            socket_buffer_bytes: 1 << 20,
             router: router.clone(),
             envelope_key: TagKey::new(ENVELOPE_SECRET),
-            logger: woodladder::log::discard(),
+            logger: woodladder::log::discarding_logger(),
         })?;
         let current = TokenKey {
             number: 1,
@@ -131,7 +131,7 @@
         Ok((envelope, datagram.to_vec()))
     }
 
-    fn wait_for_drops(&self, reason: PacketDrop, count: u64) {
+    fn wait_for_drops(&self, reason: PacketDropReason, count: u64) {
         let start = Instant::now();
         while self.path.counts().dropped(reason) < count {
             assert!(
@@ -192,7 +192,7 @@
 fn before_the_first_bundle_packets_are_dropped_and_counted() -> std::io::Result<()> {
     let bench = Bench::start(1)?;
     bench.send(service_address(), &first_packet())?;
-    bench.wait_for_drops(PacketDrop::NoBundle, 1);
+    bench.wait_for_drops(PacketDropReason::NoBundle, 1);
     Ok(())
 }
 
@@ -210,23 +210,23 @@
         bench.send_raw(&header[..length])?;
     }
     let cut = u64::try_from(header.len() - 1).unwrap_or(0);
-    bench.wait_for_drops(PacketDrop::MalformedProxyHeader, cut);
+    bench.wait_for_drops(PacketDropReason::MalformedProxyHeader, cut);
     let stream = Builder::with_addresses(
         Version::Two | Command::Proxy,
         Protocol::Stream,
         (caller(), service_address()),
     );
     bench.send_raw(&stream.build()?)?;
-    bench.wait_for_drops(PacketDrop::NotProxied, 1);
+    bench.wait_for_drops(PacketDropReason::NotProxied, 1);
     bench.send(service_address(), &[])?;
     bench.send(service_address(), &[0xc0, 0, 0])?;
-    bench.wait_for_drops(PacketDrop::MalformedPacket, 2);
+    bench.wait_for_drops(PacketDropReason::MalformedPacket, 2);
     bench.send(address("10.9.9.9:1"), &bench.established())?;
-    bench.wait_for_drops(PacketDrop::UnknownService, 1);
+    bench.wait_for_drops(PacketDropReason::UnknownService, 1);
     let mut forged = bench.established();
     forged[3] ^= 1;
     bench.send(service_address(), &forged)?;
-    bench.wait_for_drops(PacketDrop::InvalidToken, 1);
+    bench.wait_for_drops(PacketDropReason::InvalidToken, 1);
     bench.send(service_address(), &bench.established())?;
     assert_eq!(bench.at_agent()?.1, bench.established());
     Ok(())
--- a/crates/woodladder/tests/control.rs
+++ b/crates/woodladder/tests/control.rs
@@ -7,7 +7,7 @@
 
 use async_trait::async_trait;
 use tokio::time::{sleep, timeout};
-use woodladder::control::{Control, ControlConfig, ControlStatus};
+use woodladder::control::{ControlPlane, ControlPlaneConfig, ControlPlaneStatus};
 use woodladder::store::Store;
 use woodladder_core::configuration::bundle::{Bundle, Service, SignedBundle, Zone};
 use woodladder_core::configuration::roll_record::{
@@ -106,21 +106,24 @@
     secret: [u8; 16],
     store: MemoryStore,
     seeds: Vec<SocketAddr>,
-) -> Result<Control, Box<dyn std::error::Error>> {
-    Control::start(config(number, secret, store, seeds)?)
+) -> Result<ControlPlane, Box<dyn std::error::Error>> {
+    ControlPlane::start(config(number, secret, store, seeds)?)
         .await
         .map_err(Into::into)
 }
 
 /// A node that stands beside the target of its number.
-async fn agent(number: u32, seeds: Vec<SocketAddr>) -> Result<Control, Box<dyn std::error::Error>> {
+async fn agent(
+    number: u32,
+    seeds: Vec<SocketAddr>,
+) -> Result<ControlPlane, Box<dyn std::error::Error>> {
     let mut config = config(number.into(), CONTROL_SECRET, cut_off(), seeds)?;
     config.replica.role = Role::Agent;
     config.replica.served_target = Some(ServedTarget {
         target: TargetId(number),
         run: RunNumber(1),
     });
-    Ok(Control::start(config).await?)
+    Ok(ControlPlane::start(config).await?)
 }
 
 fn config(
@@ -128,9 +131,9 @@
     secret: [u8; 16],
     store: MemoryStore,
     seeds: Vec<SocketAddr>,
-) -> Result<ControlConfig, Box<dyn std::error::Error>> {
+) -> Result<ControlPlaneConfig, Box<dyn std::error::Error>> {
     let listen: SocketAddr = "127.0.0.1:0".parse()?;
-    Ok(ControlConfig {
+    Ok(ControlPlaneConfig {
         listen,
         advertise: None,
         key: TagKey::new(secret),
@@ -146,8 +149,8 @@
         },
         store: Arc::new(store),
         machine_list: None,
-        install: Box::new(|_| {}),
-        logger: woodladder::log::discard(),
+        routing_table_installer: Box::new(|_| {}),
+        logger: woodladder::log::discarding_logger(),
     })
 }
 
@@ -159,9 +162,9 @@
 }
 
 async fn wait_until(
-    control: &Control,
-    condition: impl Fn(&ControlStatus) -> bool,
-) -> Result<ControlStatus, Box<dyn std::error::Error>> {
+    control: &ControlPlane,
+    condition: impl Fn(&ControlPlaneStatus) -> bool,
+) -> Result<ControlPlaneStatus, Box<dyn std::error::Error>> {
     let wait = async {
         loop {
             match control.status().await {
@@ -192,7 +195,7 @@
     let seeds = vec![alone.address()];
     let stranger = node(2, OTHER_SECRET, store_with_roll(&operator())?, seeds).await?;
     wait_until(&stranger, |status| status.sequence == Sequence(1)).await?;
-    let forged = |status: &ControlStatus| status.counters.rejections.frame_tag_mismatch > 0;
+    let forged = |status: &ControlPlaneStatus| status.counters.rejections.frame_tag_mismatch > 0;
     let status = wait_until(&alone, forged).await?;
     assert_eq!(status.sequence, Sequence(0));
     assert!(!status.ready);
@@ -203,7 +206,7 @@
 async fn a_roll_by_an_untrusted_operator_is_refused() -> Result<(), Box<dyn std::error::Error>> {
     let stranger = OperatorKey::from_bytes([4; 32]);
     let node = node(1, CONTROL_SECRET, store_with_roll(&stranger)?, Vec::new()).await?;
-    let refused = |status: &ControlStatus| status.counters.rejections.record_signature > 0;
+    let refused = |status: &ControlPlaneStatus| status.counters.rejections.record_signature > 0;
     let status = wait_until(&node, refused).await?;
     assert_eq!(status.sequence, Sequence(0));
     assert!(!status.ready);
@@ -218,21 +221,21 @@
     let second = agent(2, seeds.clone()).await?;
     let third = agent(3, seeds.clone()).await?;
     let fourth = agent(4, seeds).await?;
-    let knows_all = |status: &ControlStatus| status.members.heard == 3;
+    let knows_all = |status: &ControlPlaneStatus| status.members.heard == 3;
     for node in [&first, &second, &third, &fourth] {
         wait_until(node, knows_all).await?;
     }
     drop(fourth);
     for node in [&first, &second, &third] {
-        wait_until(node, |status| status.marked_targets == 1).await?;
+        wait_until(node, |status| status.unavailable_target_count == 1).await?;
     }
-    third.takes_new_flows(false);
+    third.announce_accepting_flows(false);
     for node in [&first, &second, &third] {
-        wait_until(node, |status| status.marked_targets == 2).await?;
+        wait_until(node, |status| status.unavailable_target_count == 2).await?;
     }
-    third.takes_new_flows(true);
+    third.announce_accepting_flows(true);
     for node in [&first, &second, &third] {
-        wait_until(node, |status| status.marked_targets == 1).await?;
+        wait_until(node, |status| status.unavailable_target_count == 1).await?;
     }
     Ok(())
 }
--- a/crates/woodladder/tests/store.rs
+++ b/crates/woodladder/tests/store.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
-use woodladder::store::{ConsulStore, MachineList, MachineRole, MachineState, Store};
+use woodladder::store::{ConsulStore, MachineListClient, MachineRole, MachineState, Store};
 use woodladder_core::control::store_operation::{
     StoreAnswer, StoreIndex, StoreKey, StoreOperation,
 };
@@ -32,7 +32,7 @@
 }
 
 fn client(addresses: Vec<SocketAddr>) -> ConsulStore {
-    ConsulStore::new(addresses, woodladder::log::discard())
+    ConsulStore::new(addresses, woodladder::log::discarding_logger())
         .expect("a client without I/O")
         .with_answer_timeout(Duration::from_secs(2))
 }
@@ -161,7 +161,7 @@
             {"address":"machine.example:7001","role":"agent","state":"live"}]"#,
     );
     let (address, _request) = serve_once(&body).await?;
-    let machines = MachineList::new(address)?.read().await?;
+    let machines = MachineListClient::new(address)?.read().await?;
     assert_eq!(machines.len(), 1);
     assert_eq!(machines[0].role, MachineRole::Agent);
     assert_eq!(machines[0].state, MachineState::Leaving);
