--- a/crates/woodladder/src/agent/acceptor.rs
+++ b/crates/woodladder/src/agent/acceptor.rs
@@ -1,4 +1,5 @@
-//! New connections: from the transport's offer to a served connection.
+//! Accepts QUIC connections, refuses those that admission has rejected, and
+//! serves the others.
 
 use std::sync::Arc;
 
@@ -6,36 +7,36 @@
 use slog::debug;
 use woodladder_core::packets::hop_list::flow_hash;
 
+use super::agent_context::AgentContext;
 use super::connection::{self, Flow};
 use super::counters::GaugeGuard;
-use super::gate::Gate;
-use super::marked_flows::Mark;
-use super::shared::Shared;
+use super::ingress::Ingress;
+use super::rejected_flows::Rejection;
 
-/// Takes connections until the endpoint is closed.
-pub(super) async fn run(endpoint: Endpoint, gate: Arc<Gate>, shared: Arc<Shared>) {
+/// Accepts connections until the endpoint is closed.
+pub(super) async fn run(endpoint: Endpoint, ingress: Arc<Ingress>, context: Arc<AgentContext>) {
     while let Some(incoming) = endpoint.accept().await {
         let flow = incoming.orig_dst_cid();
-        let mark = gate.marks().take(&flow);
-        if mark == Some(Mark::Refuse) {
+        let rejection = ingress.rejected_flows().remove(&flow);
+        if rejection == Some(Rejection::Refuse) {
             incoming.refuse();
             continue;
         }
         let flow = Flow {
             hash: flow_hash(&flow),
-            declined: mark == Some(Mark::Decline),
+            declined: rejection == Some(Rejection::Decline),
         };
-        tokio::spawn(serve(incoming, flow, Arc::clone(&shared)));
+        tokio::spawn(serve(incoming, flow, Arc::clone(&context)));
     }
 }
 
-async fn serve(incoming: Incoming, flow: Flow, shared: Arc<Shared>) {
-    let open = GaugeGuard::new(&shared.counters.connections);
-    shared.control.connection_opened(flow.hash);
+async fn serve(incoming: Incoming, flow: Flow, context: Arc<AgentContext>) {
+    let open = GaugeGuard::new(&context.counters.open_connections);
+    context.admission_control.connection_opened(flow.hash);
     match incoming.await {
-        Ok(connection) => connection::serve(connection, flow, Arc::clone(&shared)).await,
-        Err(error) => debug!(shared.logger, "agent: handshake failed"; "error" => %error),
+        Ok(connection) => connection::serve(connection, flow, Arc::clone(&context)).await,
+        Err(error) => debug!(context.logger, "agent: handshake failed"; "error" => %error),
     }
     drop(open);
-    shared.control.connection_closed(flow.hash);
+    context.admission_control.connection_closed(flow.hash);
 }
--- a/crates/woodladder/src/agent/address_book.rs
+++ b/crates/woodladder/src/agent/address_book.rs
@@ -1,22 +1,23 @@
-//! Service addresses as the transport carries them.
+//! Encodes service addresses as local IP addresses for the transport.
 //!
-//! The transport keeps one opaque local address per connection: what came as
-//! the destination of a flow's first datagram is given back as the source of
-//! each answer. A service may have several addresses on one IP address, which
-//! differ in their port only, so the agent numbers the service addresses and
-//! passes the number as an address in the discard-only block `100::/64`
-//! (RFC 6666). So no table per flow is needed to answer from the address that
-//! the caller sent to.
+//! The transport keeps one local IP address for each connection: the
+//! destination of a flow's first datagram, which it gives back as the source of
+//! each datagram that it sends. A service may have several addresses that
+//! differ only in their port, so an IP address alone does not identify a
+//! service address. The agent therefore numbers the service addresses and
+//! passes the number as an address in the discard-only block `100::/64` (RFC
+//! 6666). Datagrams can then be sent from the address that the caller used,
+//! without a table of flows.
 
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::sync::RwLock;
 
-/// Most service addresses that one agent answers from.
+/// Most service addresses that one agent can send from.
 pub(super) const MAXIMUM_ADDRESSES: usize = 256;
 
 const DISCARD_PREFIX: u16 = 0x0100;
 
-/// Numbers service addresses.
+/// The service addresses seen so far; the index of an address is its number.
 #[derive(Debug, Default)]
 pub(super) struct AddressBook {
     addresses: RwLock<Vec<SocketAddr>>,
@@ -24,7 +25,7 @@
 
 impl AddressBook {
     /// The local address that stands for a service address, or `None` when
-    /// the book is full.
+    /// there are already [`MAXIMUM_ADDRESSES`] others.
     pub(super) fn local_address(&self, service_address: SocketAddr) -> Option<IpAddr> {
         let number = self
             .find(service_address)
--- a/crates/woodladder/src/agent/back_end.rs
+++ b/crates/woodladder/src/agent/back_end.rs
@@ -1,10 +1,11 @@
-//! The exchange with the back end over HTTP/1.1.
+//! HTTP/1.1 client of the back end.
 //!
-//! Each request has a connection of its own, closed after it. A connection
-//! kept from an earlier request may be closed by the back end just as the next
-//! one is written, and then nobody knows whether that one ran; and an answer
-//! that comes late on it would be another request's. Dropping the exchange
-//! closes the connection, which is how the back end learns of a cancellation.
+//! Each request has its own connection, which is closed after it. A connection
+//! kept from an earlier request could be closed by the back end just as the
+//! next request is written, and then nobody would know whether that request
+//! ran. A late answer on such a connection could also be taken for the answer
+//! to the next request. Dropping the future of [`BackEnd::send`] closes the
+//! connection, which tells the back end that the request was cancelled.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,25 +20,26 @@
 use volo_http::client::Client;
 use volo_http::error::ClientError;
 
-use super::request_desk::RequestDesk;
+use super::request_scheduler::RequestScheduler;
 
-/// How often a back end that took no connection is tried.
+/// Interval between connection attempts while the back end is down.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a back end may take to take a connection when it is tried.
+/// Longest time for such a connection attempt.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the back end gave no answer.
+/// Why there is no answer from the back end.
 #[derive(Debug)]
 pub(super) enum BackEndError {
-    /// There is no connection, so no byte of the request went out.
+    /// No connection could be opened, so no byte of the request was sent.
     Unreachable,
-    /// The request cannot be written at all.
+    /// The request cannot be expressed in HTTP/1.1.
     InvalidRequest,
-    /// The exchange broke off; the back end may have run the request.
+    /// The exchange failed in another way; the back end may have run the
+    /// request.
     Failed,
 }
 
-/// The back end beside the agent.
+/// Client of the agent's back end.
 #[derive(Clone)]
 pub(super) struct BackEnd {
     address: SocketAddr,
@@ -52,14 +54,15 @@
         Ok(Self { address, client })
     }
 
-    /// Whether the back end takes a connection.
+    /// Whether the back end accepts a connection within [`PROBE_TIMEOUT`].
     pub(super) async fn is_reachable(&self) -> bool {
         let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(self.address)).await;
         matches!(connected, Ok(Ok(_)))
     }
 
-    /// Status of the answer to a `GET`, if one comes.
-    pub(super) async fn status_of(&self, path: &str) -> Option<StatusCode> {
+    /// Status of the answer to a `GET` of `path`, or `None` when the request
+    /// fails.
+    pub(super) async fn get_status(&self, path: &str) -> Option<StatusCode> {
         let uri: Uri = path.parse().ok()?;
         let request = self.client.get(uri).address(self.address);
         let answer = request.send().await.ok()?;
@@ -84,26 +87,28 @@
     }
 }
 
-/// Tries a back end that took no connection until it does.
-pub(super) async fn await_recovery(back_end: BackEnd, desk: Weak<RequestDesk>) {
+/// Tries to connect to a back end that is down until it accepts a connection.
+pub(super) async fn wait_for_recovery(back_end: BackEnd, scheduler: Weak<RequestScheduler>) {
     loop {
         sleep(PROBE_INTERVAL).await;
         let reachable = back_end.is_reachable().await;
-        let Some(desk) = desk.upgrade() else {
+        let Some(scheduler) = scheduler.upgrade() else {
             return;
         };
         if reachable {
-            desk.back_end_up();
+            scheduler.mark_back_end_up();
             return;
         }
     }
 }
 
-/// Tells a connection that was never made from an exchange that broke off.
+/// Distinguishes a connection that could not be opened from one that failed
+/// later.
 ///
-/// The client reports both alike. The first has the socket's error as its
-/// cause; the second has the HTTP library's, even when a socket's error lies
-/// beneath that.
+/// The HTTP client has one error for both. When the connection could not be
+/// opened, the error's direct source is an `io::Error`. When it failed later,
+/// the direct source is an error of the HTTP library, even if that has an
+/// `io::Error` as its own source.
 fn classify(error: &ClientError) -> BackEndError {
     let cause = std::error::Error::source(error);
     if cause.is_some_and(|cause| cause.is::<io::Error>()) {
--- a/crates/woodladder/src/agent/certificate.rs
+++ b/crates/woodladder/src/agent/certificate.rs
@@ -1,4 +1,5 @@
-//! The certificate that callers see: read from PEM files or made in memory.
+//! The TLS certificate that callers see: read from PEM files, or generated in
+//! memory.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,22 +9,23 @@
 
 use super::config::Certificate;
 
-/// Why there is no certificate.
+/// Why a certificate cannot be loaded or generated.
 #[derive(Debug)]
 pub enum CertificateError {
     /// A PEM file cannot be read.
     Unreadable(PathBuf, pem::Error),
     /// A PEM file holds no certificate.
     NoCertificate(PathBuf),
-    /// A certificate cannot be made.
+    /// A self-signed certificate cannot be generated.
     Generation(rcgen::Error),
 }
 
 impl Certificate {
-    /// Reads a chain and its key from PEM files.
+    /// Reads a certificate chain and its private key from PEM files.
     ///
     /// # Errors
-    /// [`CertificateError`] when a file cannot be read or lacks its part.
+    /// [`CertificateError`] when a file cannot be read or holds no certificate
+    /// or key.
     pub fn from_pem_files(chain: &Path, key: &Path) -> Result<Self, CertificateError> {
         let certificates = CertificateDer::pem_file_iter(chain)
             .and_then(Iterator::collect::<Result<Vec<_>, _>>)
@@ -38,16 +40,16 @@
         })
     }
 
-    /// Makes a certificate for these names that signs itself.
+    /// Generates a self-signed certificate for these DNS names.
     ///
     /// # Errors
-    /// [`CertificateError`] when a name is not usable.
+    /// [`CertificateError`] when a name is not a valid DNS name.
     pub fn self_signed(names: &[String]) -> Result<Self, CertificateError> {
-        let made = rcgen::generate_simple_self_signed(names.to_vec())
+        let generated = rcgen::generate_simple_self_signed(names.to_vec())
             .map_err(CertificateError::Generation)?;
-        let key = PrivatePkcs8KeyDer::from(made.signing_key.serialize_der());
+        let key = PrivatePkcs8KeyDer::from(generated.signing_key.serialize_der());
         Ok(Self {
-            chain: vec![made.cert.der().clone()],
+            chain: vec![generated.cert.der().clone()],
             key: key.into(),
         })
     }
@@ -62,9 +64,9 @@
         match self {
             Self::Unreadable(path, error) => write!(formatter, "{}: {error}", path.display()),
             Self::NoCertificate(path) => {
-                write!(formatter, "{}: holds no certificate", path.display())
+                write!(formatter, "{}: contains no certificate", path.display())
             }
-            Self::Generation(error) => write!(formatter, "no certificate can be made: {error}"),
+            Self::Generation(error) => write!(formatter, "cannot generate a certificate: {error}"),
         }
     }
 }
--- a/crates/woodladder/src/agent/clock.rs
+++ b/crates/woodladder/src/agent/clock.rs
@@ -1,11 +1,11 @@
-//! The core's clock on the machine's monotonic one.
+//! The core's monotonic clock, based on Tokio's.
 
 use std::time::Duration;
 
 use tokio::time::Instant as SystemInstant;
 use woodladder_core::clock::Instant;
 
-/// Turns the machine's monotonic time into the core's and back.
+/// Converts Tokio's monotonic time to the core's, which counts from an origin.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     origin: SystemInstant,
@@ -24,7 +24,7 @@
         Instant::from_origin(self.origin.elapsed())
     }
 
-    /// Time from now until `instant`; zero when it has passed.
+    /// Time from now until `instant`; zero when that has passed.
     pub(super) fn until(&self, instant: Instant) -> Duration {
         instant.since(self.now())
     }
--- a/crates/woodladder/src/agent/config.rs
+++ b/crates/woodladder/src/agent/config.rs
@@ -1,4 +1,5 @@
-//! What an agent is started with: plain data, checked by the settings layer.
+//! Configuration of an agent as plain data, already validated by the settings
+//! layer.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -13,28 +14,30 @@
 use woodladder_core::target::drain::DEFAULT_DRAIN_GRACE;
 use woodladder_core::target::slow_start::SlowStartOptions;
 
-/// All that an agent needs to run beside one back end.
+/// Configuration of the agent of one back end.
 pub struct AgentConfig {
-    /// Bound UDP socket that balancers and other agents send envelopes to.
+    /// Bound UDP socket that receives envelopes from balancers and other
+    /// agents.
     pub socket: UdpSocket,
-    /// Target that this agent stands for.
+    /// Target that the back end is in the bundle.
     pub target: TargetId,
     /// Service that the target belongs to.
     pub service: ServiceId,
     /// Address where the back end answers HTTP/1.1.
     pub back_end: SocketAddr,
-    /// Path of the back end's health endpoint, where 503 means that it is
-    /// leaving; not asked when there is none.
+    /// Path of the back end's health endpoint, where status 503 means that the
+    /// back end is leaving. Health is not polled when there is none.
     pub health_path: Option<String>,
-    /// Addresses of the fabric that take datagrams for callers; not empty.
+    /// Fabric addresses that datagrams to callers are sent to; not empty.
     pub fabric_egress: Vec<SocketAddr>,
     /// Secrets shared with the other nodes.
     pub keys: AgentKeys,
-    /// What the agent shows to callers in the TLS handshake.
+    /// Certificate for the TLS handshake with callers.
     pub certificate: Certificate,
-    /// Bounds on what the agent holds and how long it waits.
+    /// Limits on concurrency and waiting times.
     pub limits: Limits,
-    /// Configuration in force; the owner stores a later one at each roll.
+    /// Configuration in force. The control plane replaces it when a roll comes
+    /// into force or targets become available or unavailable.
     pub directory: Arc<ArcSwap<RoutingTable>>,
     /// Logger of the process.
     pub logger: slog::Logger,
@@ -45,46 +48,48 @@
 pub struct AgentKeys {
     /// Authenticates envelopes.
     pub envelope: TagKey,
-    /// Issue and verify the tokens in connection identifiers.
+    /// Issue and verify the routing tokens in connection identifiers.
     pub token: TokenKeys,
-    /// Root of the stateless reset key; the target's own key is derived from
-    /// it, so an agent that restarts with nothing still ends old flows.
+    /// Root of the stateless reset key. The target's own key is derived from
+    /// it, so an agent that has lost all state in a restart can still reset its
+    /// old flows.
     pub reset: TagKey,
 }
 
 /// A certificate chain with its private key.
 #[derive(Debug)]
 pub struct Certificate {
-    /// Chain, leaf first.
+    /// Certificates, leaf first.
     pub chain: Vec<CertificateDer<'static>>,
     /// Private key of the leaf.
     pub key: PrivateKeyDer<'static>,
 }
 
-/// Bounds of one agent.
+/// Limits on concurrency and waiting times of one agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests dispatched to the back end at the same time.
+    /// Requests that the back end runs at the same time.
     pub slots: u16,
     /// Requests that may wait for a slot.
     pub queue: usize,
-    /// Connections that callers may hold, and connections that the back end
-    /// holds, each.
+    /// Most connections that callers may have open, and most that may be open
+    /// to the back end; counted separately.
     pub connections: u32,
-    /// Requests that one caller's connection may have open.
+    /// Requests that may be open on one caller's connection.
     pub streams_per_connection: u32,
     /// Time without any packet after which a caller's connection ends.
     pub idle_timeout: Duration,
-    /// Interval of keep-alive packets towards callers.
+    /// Interval of keep-alive packets to callers.
     pub keep_alive_interval: Duration,
-    /// Time for a whole answer when the request states no deadline. A feed
-    /// must only begin within it.
+    /// Time for the whole answer when the request states no deadline. A feed
+    /// only has to begin within it.
     pub default_deadline: Duration,
-    /// Shortest time after which a caller that got "not run" may ask again.
+    /// Shortest `retry-after` in answers that say that a request was not run.
     pub minimum_retry_after: Duration,
-    /// How slots come into use after a start; without it, all at once.
+    /// How the slots become usable after a start; without it, all at once.
     pub slow_start: Option<SlowStartOptions>,
-    /// How long requests on open connections are taken after leaving begins.
+    /// How long new requests on open connections are accepted after a drain
+    /// begins.
     pub drain_grace: Duration,
 }
 
--- a/crates/woodladder/src/agent/connection.rs
+++ b/crates/woodladder/src/agent/connection.rs
@@ -1,4 +1,5 @@
-//! One caller's connection: requests in, GOAWAY when the agent leaves.
+//! One caller's HTTP/3 connection: accepts requests, and sends GOAWAY when the
+//! agent drains.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,42 +11,46 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use super::counters::{GaugeGuard, RequestEnd};
-use super::outcome::NotRunReason;
-use super::request::{self, CallerRequest, Conclusion};
-use super::shared::Shared;
-use super::shared_drain::Notice;
-use super::stream::{CallerConnection, LastAccepted, Stopped};
-
-/// Longest header section of a request in bytes.
-const MAXIMUM_HEADER_SECTION: u64 = 16 * 1024;
-/// A first GOAWAY names no last request: it asks callers to stop and lets the
-/// requests in that are on their way (RFC 9114, section 5.2).
+use super::agent_context::AgentContext;
+use super::counters::{GaugeGuard, RequestOutcome};
+use super::error_response::NotRunReason;
+use super::request::{self, CallerRequest, RequestCompletion};
+use super::shared_drain::DrainNotice;
+use super::stream::{CallerConnection, LastAcceptedStream, StreamEnd};
+
+/// Longest header section of a request, in bytes.
+const MAXIMUM_HEADER_SECTION_LENGTH: u64 = 16 * 1024;
+/// Argument of the first GOAWAY, which names no last request. It asks the
+/// caller to open no more, while requests already on their way are still
+/// accepted (RFC 9114, section 5.2).
 const ALL_REQUESTS: usize = usize::MAX;
-/// The last GOAWAY names the request after the last one taken.
+/// Argument of the last GOAWAY, which names the request after the last accepted
+/// one: that and all later ones are refused.
 const NO_MORE_REQUESTS: usize = 1;
-/// How long a connection without requests stays open after the last GOAWAY,
-/// for the requests that crossed it and must be told that they didn't run.
+/// How long a connection without requests stays open after the last GOAWAY, so
+/// that requests that crossed the GOAWAY on the way get the answer that they
+/// were not run.
 pub(super) const CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 type Http = server::Connection<CallerConnection, Bytes>;
 type Resolver = RequestResolver<CallerConnection, Bytes>;
 
-/// A flow as admission knows it.
+/// A caller's connection as the core's admission identifies it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flow {
     /// Hash of the connection identifier that the caller chose.
     pub(super) hash: u64,
-    /// Whether its requests are only to be told that they don't run.
+    /// Whether the flow was accepted only to answer all its requests as not
+    /// run.
     pub(super) declined: bool,
 }
 
 /// Serves a connection until it ends.
-pub(super) async fn serve(connection: quinn::Connection, flow: Flow, shared: Arc<Shared>) {
-    let last = LastAccepted::default();
-    let transport = CallerConnection::new(connection, last.clone());
+pub(super) async fn serve(connection: quinn::Connection, flow: Flow, context: Arc<AgentContext>) {
+    let last_accepted = LastAcceptedStream::default();
+    let transport = CallerConnection::new(connection, last_accepted.clone());
     let built = server::builder()
-        .max_field_section_size(MAXIMUM_HEADER_SECTION)
+        .max_field_section_size(MAXIMUM_HEADER_SECTION_LENGTH)
         .send_grease(false)
         .build(transport)
         .await;
@@ -54,45 +59,46 @@
     };
     let connection = Connection {
         http,
-        last,
+        last_accepted,
         flow,
-        notices: shared.control.notices(),
-        moves: shared.control.moves(),
-        asked_to_move: false,
-        told: Notice::Serving,
-        told_first: false,
+        notices: context.admission_control.subscribe_notices(),
+        reconnects: context.admission_control.subscribe_reconnects(),
+        asked_to_reconnect: false,
+        notified: DrainNotice::Serving,
+        goaway_preceded_requests: false,
         close_at: None,
-        any_request: false,
+        had_request: false,
         requests: JoinSet::new(),
-        shared,
+        context,
     };
     connection.run().await;
 }
 
 struct Connection {
     http: Http,
-    last: LastAccepted,
+    last_accepted: LastAcceptedStream,
     flow: Flow,
-    notices: watch::Receiver<Notice>,
-    moves: watch::Receiver<u64>,
-    /// Whether the caller is to use another connection after its first request.
-    asked_to_move: bool,
-    /// What this caller was told; it never goes back.
-    told: Notice,
-    /// Whether the first GOAWAY came before any request, and so already
+    notices: watch::Receiver<DrainNotice>,
+    reconnects: watch::Receiver<u64>,
+    /// Whether callers were asked to reconnect since this connection opened.
+    /// Takes effect after its first request.
+    asked_to_reconnect: bool,
+    /// Latest drain state sent to this caller; never goes back.
+    notified: DrainNotice,
+    /// Whether the first GOAWAY was sent before any request, in which case it
     /// excludes all of them.
-    told_first: bool,
+    goaway_preceded_requests: bool,
     close_at: Option<Instant>,
-    any_request: bool,
+    had_request: bool,
     requests: JoinSet<()>,
-    shared: Arc<Shared>,
+    context: Arc<AgentContext>,
 }
 
 impl Connection {
-    /// Ends by dropping itself, which closes the connection and takes back
-    /// the requests that are still open.
+    /// Serves the connection until it ends. Dropping `self` closes the
+    /// connection and cancels the requests that are still open.
     async fn run(mut self) {
-        if self.tell().await.is_err() {
+        if self.notify().await.is_err() {
             return;
         }
         loop {
@@ -100,22 +106,22 @@
             tokio::select! {
                 accepted = self.http.accept() => match accepted {
                     Ok(Some(resolver)) => {
-                        self.start(resolver);
-                        if self.tell().await.is_err() {
+                        self.start_request(resolver);
+                        if self.notify().await.is_err() {
                             return;
                         }
                     }
-                    Ok(None) => return self.finish().await,
+                    Ok(None) => return self.finish_open_requests().await,
                     Err(_) => return,
                 },
                 changed = self.notices.changed() => {
-                    if changed.is_err() || self.tell().await.is_err() {
+                    if changed.is_err() || self.notify().await.is_err() {
                         return;
                     }
                 }
-                changed = self.moves.changed() => {
-                    self.asked_to_move = true;
-                    if changed.is_err() || self.tell().await.is_err() {
+                changed = self.reconnects.changed() => {
+                    self.asked_to_reconnect = true;
+                    if changed.is_err() || self.notify().await.is_err() {
                         return;
                     }
                 }
@@ -127,83 +133,88 @@
         }
     }
 
-    /// Brings the caller up to the agent's notice. A declined flow is told to
-    /// go after its first request, so that the caller may come back on another.
-    async fn tell(&mut self) -> Result<(), ConnectionError> {
+    /// Sends the caller the GOAWAY frames that the agent's drain state calls
+    /// for. The caller of a declined flow gets the last GOAWAY after its first
+    /// request, so that it can come back on another connection.
+    async fn notify(&mut self) -> Result<(), ConnectionError> {
         let mut notice = *self.notices.borrow_and_update();
-        if self.flow.declined && self.any_request {
-            notice = notice.max(Notice::Refusing);
+        if self.flow.declined && self.had_request {
+            notice = notice.max(DrainNotice::Refusing);
         }
-        if notice >= Notice::Leaving || (self.asked_to_move && self.any_request) {
-            self.tell_leaving().await?;
+        if notice >= DrainNotice::Leaving || (self.asked_to_reconnect && self.had_request) {
+            self.send_first_goaway().await?;
         }
-        if notice >= Notice::Refusing && self.told < Notice::Refusing {
-            self.told = Notice::Refusing;
+        if notice >= DrainNotice::Refusing && self.notified < DrainNotice::Refusing {
+            self.notified = DrainNotice::Refusing;
             self.close_at = Some(Instant::now() + CLOSE_DELAY);
             self.http.shutdown(NO_MORE_REQUESTS).await?;
         }
         Ok(())
     }
 
-    /// Asks the caller, once, to open no more requests on this connection.
-    async fn tell_leaving(&mut self) -> Result<(), ConnectionError> {
-        if self.told >= Notice::Leaving {
+    /// Sends the first GOAWAY, which asks the caller to open no more requests
+    /// on this connection, unless it was sent already.
+    async fn send_first_goaway(&mut self) -> Result<(), ConnectionError> {
+        if self.notified >= DrainNotice::Leaving {
             return Ok(());
         }
-        self.told = Notice::Leaving;
-        self.told_first = !self.any_request;
+        self.notified = DrainNotice::Leaving;
+        self.goaway_preceded_requests = !self.had_request;
         self.http.shutdown(ALL_REQUESTS).await
     }
 
-    /// The caller opens no more requests: its last answers are still awaited.
-    async fn finish(mut self) {
+    /// Waits for the open requests to end, once the caller opens no more.
+    async fn finish_open_requests(mut self) {
         while self.requests.join_next().await.is_some() {}
     }
 
-    fn start(&mut self, resolver: Resolver) {
-        let Some(stopped) = self.last.claim() else {
+    fn start_request(&mut self, resolver: Resolver) {
+        let Some(stream_end) = self.last_accepted.take() else {
             return;
         };
         let refusal = self.refusal();
-        if refusal.is_none() && !self.any_request {
-            self.shared.control.request_arrived(self.flow.hash);
+        if refusal.is_none() && !self.had_request {
+            self.context
+                .admission_control
+                .request_arrived(self.flow.hash);
         }
-        self.any_request = true;
-        let shared = Arc::clone(&self.shared);
+        self.had_request = true;
+        let context = Arc::clone(&self.context);
         self.requests
-            .spawn(serve_stream(resolver, stopped, refusal, shared));
+            .spawn(serve_stream(resolver, stream_end, refusal, context));
     }
 
     fn refusal(&self) -> Option<NotRunReason> {
         if self.flow.declined {
             return Some(NotRunReason::FlowDeclined);
         }
-        let refusing = self.told >= Notice::Refusing || !self.shared.control.takes_new_requests();
-        (refusing || self.told_first).then_some(NotRunReason::LEAVING)
+        let refusing = self.notified >= DrainNotice::Refusing
+            || !self.context.admission_control.takes_new_requests();
+        (refusing || self.goaway_preceded_requests).then_some(NotRunReason::DRAINING)
     }
 }
 
 async fn serve_stream(
     resolver: Resolver,
-    mut stopped: Stopped,
+    mut stream_end: StreamEnd,
     refusal: Option<NotRunReason>,
-    shared: Arc<Shared>,
+    context: Arc<AgentContext>,
 ) {
-    let open = OpenRequest::new(&shared);
-    let deadline = shared.limits.default_deadline;
+    let open = OpenRequest::new(&context);
+    let deadline = context.limits.default_deadline;
     let Ok(Ok(request)) = timeout(deadline, resolve(resolver)).await else {
         return;
     };
-    let conclusion = tokio::select! {
+    let completion = tokio::select! {
         biased;
-        _ = &mut stopped => Conclusion::reset(RequestEnd::Cancelled),
-        conclusion = request::run(request, refusal, &shared) => conclusion,
+        _ = &mut stream_end => RequestCompletion::reset(RequestOutcome::Cancelled),
+        completion = request::run(request, refusal, &context) => completion,
     };
-    shared.counters.end_request(conclusion.end);
-    if conclusion.finished {
-        // A finished stream has ended when the caller has all of it. Without
-        // the connection the outcome no longer matters.
-        let _ = stopped.await;
+    context.counters.count_request(completion.outcome);
+    if completion.stream_finished {
+        // Waits until the caller has acknowledged the whole stream. If the
+        // connection is lost first, the result no longer matters.
+        let _ = stream_end.await;
     }
     drop(open);
 }
@@ -219,23 +230,24 @@
     })
 }
 
-/// Counts a request as open while it lives, and tells the drain.
+/// Counts a request as open while it exists, and reports both changes to the
+/// drain.
 struct OpenRequest<'a> {
     gauge: Option<GaugeGuard<'a>>,
-    shared: &'a Shared,
+    context: &'a AgentContext,
 }
 
 impl<'a> OpenRequest<'a> {
-    fn new(shared: &'a Shared) -> Self {
-        let gauge = Some(GaugeGuard::new(&shared.counters.requests));
-        shared.control.activity_changed();
-        Self { gauge, shared }
+    fn new(context: &'a AgentContext) -> Self {
+        let gauge = Some(GaugeGuard::new(&context.counters.open_requests));
+        context.admission_control.activity_changed();
+        Self { gauge, context }
     }
 }
 
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.gauge = None;
-        self.shared.control.activity_changed();
+        self.context.admission_control.activity_changed();
     }
 }
--- a/crates/woodladder/src/agent/counters.rs
+++ b/crates/woodladder/src/agent/counters.rs
@@ -1,37 +1,37 @@
-//! What an agent counts, and the status made from it.
+//! Counters of an agent, and the status made from them.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
 use woodladder_core::identifier::Sequence;
 use woodladder_core::target::drain::DrainPhase;
 
-/// Why an agent drops a datagram.
+/// Why an agent dropped a datagram.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum DatagramDrop {
-    /// Not an envelope under the key.
+pub enum DatagramDropReason {
+    /// It is no envelope, or its tag does not match the key.
     BadEnvelope,
-    /// Not a packet of the transport.
+    /// It holds no QUIC packet.
     MalformedPacket,
-    /// Meant for another service.
+    /// It is meant for another service.
     WrongService,
     /// Its envelope is meant for another target.
     WrongTarget,
     /// Its token names another target.
     ForeignToken,
-    /// Neither a token nor the opening of a flow.
+    /// It has no valid token and cannot open a flow.
     InvalidToken,
-    /// Opens a flow by a configuration that was replaced too long ago.
+    /// It opens a flow under a configuration that was replaced too long ago.
     StaleSequence,
-    /// To be relayed to a target that is not known.
+    /// It would be relayed to a target that is not known.
     UnknownRelayTarget,
-    /// The agent answers from too many service addresses.
+    /// The agent already sends from the maximum number of service addresses.
     AddressBookFull,
-    /// The socket could not send it.
+    /// Sending it failed.
     SendFailed,
 }
 
-impl DatagramDrop {
-    /// All reasons, in the order of the status.
+impl DatagramDropReason {
+    /// All reasons, in declaration order.
     pub const ALL: [Self; 10] = [
         Self::BadEnvelope,
         Self::MalformedPacket,
@@ -45,7 +45,7 @@
         Self::SendFailed,
     ];
 
-    /// Word for metrics.
+    /// Name in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -63,24 +63,25 @@
     }
 }
 
-/// How one request ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum RequestEnd {
-    /// The back end's whole answer went to the caller.
+pub enum RequestOutcome {
+    /// The caller got the back end's whole answer.
     Answered,
-    /// The back end never saw it.
+    /// The back end did not run it.
     NotRun,
-    /// The back end may have run it.
+    /// The back end may have run it, and the caller did not get the whole
+    /// answer.
     Unknown,
-    /// The caller took it back.
+    /// The caller cancelled it or is gone.
     Cancelled,
 }
 
-impl RequestEnd {
-    /// All ends, in the order of the status.
+impl RequestOutcome {
+    /// All outcomes, in declaration order.
     pub const ALL: [Self; 4] = [Self::Answered, Self::NotRun, Self::Unknown, Self::Cancelled];
 
-    /// Word for metrics.
+    /// Name in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -99,56 +100,55 @@
     pub(super) declined: AtomicU64,
     pub(super) refused: AtomicU64,
     pub(super) handed_on: AtomicU64,
-    pub(super) relayed: AtomicU64,
-    pub(super) connections: AtomicUsize,
-    pub(super) requests: AtomicUsize,
-    pub(super) feeds: AtomicUsize,
-    drops: [AtomicU64; DatagramDrop::ALL.len()],
-    ends: [AtomicU64; RequestEnd::ALL.len()],
+    pub(super) relayed_datagrams: AtomicU64,
+    pub(super) open_connections: AtomicUsize,
+    pub(super) open_requests: AtomicUsize,
+    pub(super) open_feeds: AtomicUsize,
+    drops: [AtomicU64; DatagramDropReason::ALL.len()],
+    outcomes: [AtomicU64; RequestOutcome::ALL.len()],
 }
 
 impl Counters {
-    pub(super) fn drop_datagram(&self, reason: DatagramDrop) {
+    pub(super) fn count_drop(&self, reason: DatagramDropReason) {
         increment(&self.drops[reason as usize]);
     }
 
-    pub(super) fn end_request(&self, end: RequestEnd) {
-        increment(&self.ends[end as usize]);
+    pub(super) fn count_request(&self, outcome: RequestOutcome) {
+        increment(&self.outcomes[outcome as usize]);
     }
 
-    pub(super) fn flows(&self) -> FlowCounts {
+    pub(super) fn flow_counts(&self) -> FlowCounts {
         FlowCounts {
             accepted: self.accepted.load(Ordering::Relaxed),
             declined: self.declined.load(Ordering::Relaxed),
             refused: self.refused.load(Ordering::Relaxed),
             handed_on: self.handed_on.load(Ordering::Relaxed),
-            relayed_datagrams: self.relayed.load(Ordering::Relaxed),
+            relayed_datagrams: self.relayed_datagrams.load(Ordering::Relaxed),
         }
     }
 
-    pub(super) fn drops(&self) -> Vec<DropCount> {
-        let count = |reason: DatagramDrop| DropCount {
+    pub(super) fn drop_counts(&self) -> Vec<DropCount> {
+        let count = |reason: DatagramDropReason| DropCount {
             reason,
             count: self.drops[reason as usize].load(Ordering::Relaxed),
         };
-        DatagramDrop::ALL.into_iter().map(count).collect()
+        DatagramDropReason::ALL.into_iter().map(count).collect()
     }
 
-    pub(super) fn ends(&self) -> Vec<EndCount> {
-        let count = |end: RequestEnd| EndCount {
-            outcome: end,
-            count: self.ends[end as usize].load(Ordering::Relaxed),
+    pub(super) fn outcome_counts(&self) -> Vec<OutcomeCount> {
+        let count = |outcome: RequestOutcome| OutcomeCount {
+            outcome,
+            count: self.outcomes[outcome as usize].load(Ordering::Relaxed),
         };
-        RequestEnd::ALL.into_iter().map(count).collect()
+        RequestOutcome::ALL.into_iter().map(count).collect()
     }
 }
 
-/// Adds one to a counter.
 pub(super) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Keeps a gauge one higher while it lives.
+/// Increments a gauge, and decrements it when dropped.
 #[derive(Debug)]
 pub(super) struct GaugeGuard<'a> {
     gauge: &'a AtomicUsize,
@@ -170,83 +170,84 @@
 /// Datagrams dropped for one reason.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DropCount {
-    /// The reason.
-    pub reason: DatagramDrop,
-    /// How many.
+    /// Why they were dropped.
+    pub reason: DatagramDropReason,
+    /// Number of them since the start.
     pub count: u64,
 }
 
-/// Requests that ended in one way.
+/// Requests that had one outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EndCount {
-    /// The way.
-    pub outcome: RequestEnd,
-    /// How many.
+pub struct OutcomeCount {
+    /// How they ended.
+    pub outcome: RequestOutcome,
+    /// Number of them since the start.
     pub count: u64,
 }
 
-/// First datagrams of flows by what became of them; a repeated datagram
-/// counts again.
+/// First datagrams of flows, by decision. A retransmitted first datagram counts
+/// again.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FlowCounts {
-    /// Taken.
+    /// Accepted.
     pub accepted: u64,
-    /// Taken only to answer their requests as not run.
+    /// Accepted only to answer their requests as not run.
     pub declined: u64,
     /// Refused.
     pub refused: u64,
-    /// Handed on to the next target.
+    /// Handed on to the next target on the list.
     pub handed_on: u64,
-    /// Later datagrams sent on to the agent of the target that they name.
+    /// Datagrams of established flows, sent on to the agent of the target that
+    /// their token names.
     pub relayed_datagrams: u64,
 }
 
-/// What an agent does at one moment.
+/// State and counters of an agent at one moment.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AgentStatus {
-    /// How far its drain has come.
+    /// Phase of its drain.
     pub drain_phase: DrainPhase,
-    /// Greatest sequence that a balancer stated and that is later than the
-    /// directory's; zero when there was none.
+    /// Greatest configuration sequence seen in an envelope that is later than
+    /// the agent's own; zero when there was none.
     pub newest_sequence_seen: Sequence,
-    /// New flows since the start.
+    /// New flows since the start, by decision.
     pub flows: FlowCounts,
     /// Dropped datagrams since the start, by reason.
     pub drops: Vec<DropCount>,
     /// Requests that hold a slot now.
     pub busy_slots: u32,
-    /// Slots of the back end in all.
+    /// All slots of the back end.
     pub slots: u16,
-    /// Slots that may be used now.
+    /// Slots that the slow start lets requests use now.
     pub effective_slots: u16,
     /// Requests that wait for a slot now.
     pub queued_requests: u32,
-    /// Callers' connections open now.
+    /// Callers' connections that are open now.
     pub connections: usize,
-    /// Requests open now, feeds included.
+    /// Requests that are open now, feeds included.
     pub open_requests: usize,
-    /// Feeds open now.
+    /// Feeds that are open now.
     pub feeds: usize,
-    /// Ended requests since the start, by end.
-    pub request_outcomes: Vec<EndCount>,
+    /// Ended requests since the start, by outcome.
+    pub request_outcomes: Vec<OutcomeCount>,
 }
 
 impl AgentStatus {
-    /// Datagrams dropped for a reason.
+    /// Number of datagrams dropped for this reason.
     #[must_use]
-    pub fn dropped(&self, reason: DatagramDrop) -> u64 {
+    pub fn dropped(&self, reason: DatagramDropReason) -> u64 {
         self.drops
             .iter()
             .find(|entry| entry.reason == reason)
             .map_or(0, |entry| entry.count)
     }
 
-    /// Requests that ended in a way.
+    /// Number of requests that had this outcome.
     #[must_use]
-    pub fn ended(&self, end: RequestEnd) -> u64 {
+    pub fn requests_with_outcome(&self, outcome: RequestOutcome) -> u64 {
         self.request_outcomes
             .iter()
-            .find(|entry| entry.outcome == end)
+            .find(|entry| entry.outcome == outcome)
             .map_or(0, |entry| entry.count)
     }
 }
--- a/crates/woodladder/src/agent/egress.rs
+++ b/crates/woodladder/src/agent/egress.rs
@@ -1,17 +1,18 @@
-//! Datagrams to callers: a PROXY protocol v2 header, then the datagram.
+//! Builds the datagrams that the fabric delivers to callers: a PROXY protocol
+//! v2 header, followed by the QUIC datagram.
 //!
-//! The header's source is the service address that the caller sent to and its
-//! destination the caller, so that the fabric can deliver it.
+//! The header's source is the service address that the caller sent to, its
+//! destination is the caller.
 
 use std::io;
 use std::net::SocketAddr;
 
 use ppp::v2::{Builder, Command, Protocol, Version};
 
-/// Longest header: two IPv6 addresses.
-const MAXIMUM_HEADER: usize = 52;
+/// Length in bytes of a header with two IPv6 addresses, the longest one.
+const MAXIMUM_HEADER_LENGTH: usize = 52;
 
-/// The fabric's addresses that take datagrams for callers.
+/// Fabric addresses that datagrams to callers are sent to.
 #[derive(Debug)]
 pub(super) struct Egress {
     addresses: Vec<SocketAddr>,
@@ -22,8 +23,8 @@
         Self { addresses }
     }
 
-    /// The fabric's address for a caller: always the same one, so that the
-    /// datagrams of a flow keep their order where the fabric keeps it.
+    /// The fabric address for a caller. It is the same for all datagrams to one
+    /// caller port, so the fabric can keep the datagrams of a flow in order.
     pub(super) fn address_for(&self, caller: SocketAddr) -> Option<SocketAddr> {
         let count = self.addresses.len().max(1);
         let index = usize::from(caller.port()) % count;
@@ -31,8 +32,8 @@
     }
 }
 
-/// The datagram that the fabric gets for a caller.
-pub(super) fn wrap(
+/// Puts the PROXY header for a caller before the payload.
+pub(super) fn add_proxy_header(
     service_address: SocketAddr,
     caller: SocketAddr,
     payload: &[u8],
@@ -43,7 +44,10 @@
         (service_address, caller),
     )
     .build()?;
-    debug_assert!(datagram.len() <= MAXIMUM_HEADER, "header of two addresses");
+    debug_assert!(
+        datagram.len() <= MAXIMUM_HEADER_LENGTH,
+        "PROXY header longer than one with two IPv6 addresses"
+    );
     datagram.reserve_exact(payload.len());
     datagram.extend_from_slice(payload);
     Ok(datagram)
--- a/crates/woodladder/src/agent/outcome.rs
+++ b/crates/woodladder/src/agent/error_response.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no answer of the back end.
+//! Answers that the agent itself gives when there is none of the back end.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use http::{Response, StatusCode};
 use woodladder_core::target::request::{RefusalReason, UnknownReason};
 
-use super::headers::{OUTCOME, REASON, REPEATABLE};
+use super::headers::{OUTCOME_HEADER, REASON_HEADER, REPEATABLE_HEADER};
 
 const NOT_RUN: &str = "not-run";
 const UNKNOWN: &str = "unknown";
 const NO_STORE: &str = "no-store";
 
-/// Why a request did not run.
+/// Why a request was not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum NotRunReason {
-    /// The target did not take it or gave it up.
+    /// The target refused it or gave it up in the queue.
     Refused(RefusalReason),
-    /// The target took the flow only to decline its requests.
+    /// The target accepted the flow only to decline its requests.
     FlowDeclined,
-    /// The request cannot be passed to a back end.
+    /// The request is invalid and cannot be sent to a back end.
     InvalidRequest,
 }
 
 impl NotRunReason {
-    /// The target is leaving.
-    pub(super) const LEAVING: Self = Self::Refused(RefusalReason::Leaving);
+    /// The target is draining.
+    pub(super) const DRAINING: Self = Self::Refused(RefusalReason::Leaving);
 
-    /// Word for the reason's header field.
+    /// Value of the reason header field.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Refused(reason) => reason.name(),
             Self::FlowDeclined => "flow-declined",
@@ -45,10 +45,10 @@
     }
 }
 
-/// The answer to a request that did not run; the caller may ask again after
+/// Answers a request that was not run. The caller may retry after
 /// `retry_after`, which is rounded up to whole seconds.
 pub(super) fn not_run(reason: NotRunReason, retry_after: Duration) -> Response<()> {
-    let mut response = answer(reason.status(), NOT_RUN, reason.word());
+    let mut response = answer(reason.status(), NOT_RUN, reason.name());
     let rounded_up = u64::from(retry_after.subsec_nanos() > 0);
     let seconds = retry_after.as_secs().saturating_add(rounded_up).max(1);
     response
@@ -57,9 +57,9 @@
     response
 }
 
-/// The answer to a request that may have run; `repeatable` tells whether the
-/// request's method allows the caller to ask again all the same.
-pub(super) fn unknown(reason: UnknownReason, repeatable: bool) -> Response<()> {
+/// Answers a request that may have run. `repeatable` tells the caller whether
+/// the request's method still makes a retry safe.
+pub(super) fn unknown_outcome(reason: UnknownReason, repeatable: bool) -> Response<()> {
     let status = match reason {
         UnknownReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
@@ -68,7 +68,7 @@
     let repeatable = if repeatable { "yes" } else { "no" };
     response
         .headers_mut()
-        .insert(REPEATABLE, HeaderValue::from_static(repeatable));
+        .insert(REPEATABLE_HEADER, HeaderValue::from_static(repeatable));
     response
 }
 
@@ -76,8 +76,8 @@
     let mut response = Response::new(());
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    headers.insert(OUTCOME, HeaderValue::from_static(outcome));
-    headers.insert(REASON, HeaderValue::from_static(reason));
+    headers.insert(OUTCOME_HEADER, HeaderValue::from_static(outcome));
+    headers.insert(REASON_HEADER, HeaderValue::from_static(reason));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static(NO_STORE));
     response
 }
--- a/crates/woodladder/src/agent/handle.rs
+++ b/crates/woodladder/src/agent/handle.rs
@@ -1,4 +1,4 @@
-//! Starting an agent, and the handle that steers it.
+//! Starts an agent and gives out the handle that controls it.
 
 use std::fmt;
 use std::io;
@@ -19,29 +19,31 @@
 use woodladder_core::target::slow_start::SlowStart;
 
 use super::acceptor;
+use super::admission_control::{AdmissionContext, AdmissionControl};
+use super::agent_context::AgentContext;
 use super::back_end::BackEnd;
 use super::clock::Clock;
 use super::config::{AgentConfig, Limits};
 use super::connection::CLOSE_DELAY;
-use super::control::{Control, SharedState};
 use super::counters::{AgentStatus, Counters};
 use super::egress::Egress;
-use super::gate::Gate;
 use super::health;
+use super::ingress::Ingress;
 use super::quic::{self, QuicConfigError};
-use super::request_desk::{self, RequestDesk};
-use super::shared::Shared;
-use super::shared_drain::Notice;
+use super::request_scheduler::{self, RequestScheduler};
+use super::shared_drain::DrainNotice;
 use super::socket::AgentSocket;
 
-/// How often the agent looks at the directory and the drain's clock.
-const TICK: Duration = Duration::from_millis(100);
-/// How long a drained agent waits for its callers to know.
-const CLOSE_PATIENCE: Duration = CLOSE_DELAY.saturating_mul(4);
-/// H3_NO_ERROR (RFC 9114, section 8.1).
-const NO_ERROR: VarInt = VarInt::from_u32(0x100);
+/// Interval at which the agent checks the configuration in force and advances
+/// the drain's timer.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time that a drained agent waits for its connections to close by
+/// themselves.
+const CLOSE_TIMEOUT: Duration = CLOSE_DELAY.saturating_mul(4);
+/// Error code H3_NO_ERROR (RFC 9114, section 8.1).
+const H3_NO_ERROR: VarInt = VarInt::from_u32(0x100);
 
-/// Starts agents.
+/// Entry point; see [`Agent::start`].
 #[derive(Debug)]
 pub struct Agent;
 
@@ -49,20 +51,20 @@
 #[derive(Clone)]
 pub struct AgentHandle {
     endpoint: Endpoint,
-    gate: Arc<Gate>,
-    shared: Arc<Shared>,
+    ingress: Arc<Ingress>,
+    context: Arc<AgentContext>,
 }
 
 /// Why an agent cannot start.
 #[derive(Debug)]
 pub enum AgentStartError {
-    /// The socket cannot be used.
+    /// The data socket cannot be used.
     Socket(io::Error),
     /// QUIC cannot be set up.
     Quic(QuicConfigError),
     /// The client for the back end cannot be set up.
     BackEnd(ClientError),
-    /// The fabric has no address to send answers to.
+    /// No fabric address is configured for datagrams to callers.
     NoEgress,
 }
 
@@ -70,8 +72,8 @@
     /// Starts an agent on the running Tokio runtime.
     ///
     /// # Errors
-    /// [`StartError`] when the socket, the certificate or the client for the
-    /// back end cannot be used.
+    /// [`AgentStartError`] when the socket, the certificate or the client for
+    /// the back end cannot be used.
     pub fn start(config: AgentConfig) -> Result<AgentHandle, AgentStartError> {
         if config.fabric_egress.is_empty() {
             return Err(AgentStartError::NoEgress);
@@ -90,8 +92,8 @@
 
         let counters = Arc::new(Counters::default());
         let clock = Clock::start();
-        let desk = Arc::new(desk(clock, &limits));
-        let control = Arc::new(Control::new(
+        let scheduler = Arc::new(new_scheduler(clock, &limits));
+        let admission_control = Arc::new(AdmissionControl::new(
             TargetIdentity {
                 target: config.target,
                 service: config.service,
@@ -99,20 +101,23 @@
             config.keys.token,
             AdmissionOptions::default(),
             Drain::new(limits.drain_grace),
-            SharedState {
-                directory: config.directory,
+            AdmissionContext {
+                routing_table: config.directory,
                 clock,
-                desk: Arc::clone(&desk),
+                scheduler: Arc::clone(&scheduler),
                 counters: Arc::clone(&counters),
                 connection_limit: limits.connections,
                 logger: config.logger.clone(),
             },
         ));
-        let gate = Arc::new(Gate::new(Arc::clone(&control), Arc::clone(&counters)));
+        let ingress = Arc::new(Ingress::new(
+            Arc::clone(&admission_control),
+            Arc::clone(&counters),
+        ));
         let socket = AgentSocket::new(
             io,
             config.keys.envelope,
-            Arc::clone(&gate),
+            Arc::clone(&ingress),
             Egress::new(config.fabric_egress),
             Arc::clone(&counters),
         );
@@ -123,21 +128,21 @@
             Arc::new(TokioRuntime),
         )
         .map_err(AgentStartError::Socket)?;
-        let shared = Arc::new(Shared {
+        let context = Arc::new(AgentContext {
             limits,
             clock,
             back_end,
-            desk,
+            scheduler,
             counters,
-            control,
+            admission_control,
             logger: config.logger,
         });
         let handle = AgentHandle {
             endpoint,
-            gate,
-            shared,
+            ingress,
+            context,
         };
-        handle.spawn(config.health_path);
+        handle.spawn_tasks(config.health_path);
         Ok(handle)
     }
 }
@@ -151,74 +156,88 @@
         self.endpoint.local_addr()
     }
 
-    /// A reason to leave holds: no new flows from now on, no new requests
-    /// after a grace, while requests and feeds that run go on.
+    /// Starts draining for `reason`, next to any reasons already in effect.
+    /// From now on no new flows are accepted, and after a grace period no new
+    /// requests either. Running requests and feeds continue.
     pub fn begin_drain(&self, reason: DrainReason) {
-        self.shared.control.drain(DrainEvent::AddReason(reason));
+        self.context
+            .admission_control
+            .report_drain_event(DrainEvent::AddReason(reason));
     }
 
-    /// A reason to leave holds no longer.
+    /// Withdraws `reason`. When no reason is left, new flows and requests are
+    /// accepted again.
     pub fn withdraw_drain(&self, reason: DrainReason) {
-        self.shared.control.drain(DrainEvent::RemoveReason(reason));
+        self.context
+            .admission_control
+            .report_drain_event(DrainEvent::RemoveReason(reason));
     }
 
-    /// Waits until the agent leaves and its last request has ended, and until
-    /// callers know so, which takes a bounded time.
+    /// Waits until the agent has drained: it was told to drain, and its last
+    /// request has ended. Then waits a bounded time for its connections to
+    /// close.
     pub async fn wait_until_drained(&self) {
-        let mut notices = self.shared.control.notices();
-        // The sender lives as long as this handle.
-        let _ = notices.wait_for(|notice| *notice == Notice::Drained).await;
-        // Connections close by themselves; what is left is closed by the stop.
-        let _ = timeout(CLOSE_PATIENCE, self.endpoint.wait_idle()).await;
+        let mut notices = self.context.admission_control.subscribe_notices();
+        // This cannot fail: the handle keeps the sender alive.
+        let _ = notices
+            .wait_for(|notice| *notice == DrainNotice::Drained)
+            .await;
+        // Connections close by themselves after the last GOAWAY; `close` ends
+        // those that remain after this timeout.
+        let _ = timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
     }
 
-    /// What the agent does now.
+    /// Current state and counters.
     #[must_use]
     pub fn status(&self) -> AgentStatus {
-        let Shared {
-            desk,
+        let AgentContext {
+            scheduler,
             counters,
-            control,
+            admission_control,
             ..
-        } = &*self.shared;
-        let counts = desk.counts();
+        } = &*self.context;
+        let counts = scheduler.counts();
         AgentStatus {
-            drain_phase: control.phase(),
-            newest_sequence_seen: self.gate.newest_sequence(),
-            flows: counters.flows(),
-            drops: counters.drops(),
+            drain_phase: admission_control.phase(),
+            newest_sequence_seen: self.ingress.newest_sequence(),
+            flows: counters.flow_counts(),
+            drops: counters.drop_counts(),
             busy_slots: counts.busy,
-            slots: desk.slots(),
-            effective_slots: desk.effective_slots().whole(),
+            slots: scheduler.slots(),
+            effective_slots: scheduler.effective_slots().whole(),
             queued_requests: counts.queued,
-            connections: counters.connections.load(Ordering::Acquire),
-            open_requests: counters.requests.load(Ordering::Acquire),
-            feeds: counters.feeds.load(Ordering::Acquire),
-            request_outcomes: counters.ends(),
+            connections: counters.open_connections.load(Ordering::Acquire),
+            open_requests: counters.open_requests.load(Ordering::Acquire),
+            feeds: counters.open_feeds.load(Ordering::Acquire),
+            request_outcomes: counters.outcome_counts(),
         }
     }
 
     /// Closes all connections and the endpoint at once.
     pub async fn close(&self) {
-        self.endpoint.close(NO_ERROR, &[]);
+        self.endpoint.close(H3_NO_ERROR, &[]);
         self.endpoint.wait_idle().await;
     }
 
-    fn spawn(&self, health_path: Option<String>) {
-        let gate = Arc::clone(&self.gate);
-        let shared = Arc::clone(&self.shared);
-        tokio::spawn(acceptor::run(self.endpoint.clone(), gate, shared));
-        tokio::spawn(tick(Arc::downgrade(&self.shared.control)));
-        let desk = Arc::downgrade(&self.shared.desk);
-        tokio::spawn(request_desk::watch_clock(desk));
+    fn spawn_tasks(&self, health_path: Option<String>) {
+        let ingress = Arc::clone(&self.ingress);
+        let context = Arc::clone(&self.context);
+        tokio::spawn(acceptor::run(self.endpoint.clone(), ingress, context));
+        tokio::spawn(run_ticks(Arc::downgrade(&self.context.admission_control)));
+        let scheduler = Arc::downgrade(&self.context.scheduler);
+        tokio::spawn(request_scheduler::run_timer(scheduler));
         if let Some(path) = health_path {
-            let control = Arc::downgrade(&self.shared.control);
-            tokio::spawn(health::follow(self.shared.back_end.clone(), path, control));
+            let admission_control = Arc::downgrade(&self.context.admission_control);
+            tokio::spawn(health::poll_health(
+                self.context.back_end.clone(),
+                path,
+                admission_control,
+            ));
         }
     }
 }
 
-fn desk(clock: Clock, limits: &Limits) -> RequestDesk {
+fn new_scheduler(clock: Clock, limits: &Limits) -> RequestScheduler {
     let options = RequestOptions {
         queue_limit: limits.queue,
         connection_limit: limits.connections,
@@ -229,18 +248,18 @@
         .slow_start
         .map(|options| SlowStart::new(options, clock.now()));
     let random = ChaCha8Rng::seed_from_u64(rand::random());
-    RequestDesk::new(clock, options, limits.slots, slow_start, random)
+    RequestScheduler::new(clock, options, limits.slots, slow_start, random)
 }
 
-async fn tick(control: std::sync::Weak<Control>) {
-    let mut ticks = interval(TICK);
+async fn run_ticks(admission_control: std::sync::Weak<AdmissionControl>) {
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let Some(control) = control.upgrade() else {
+        let Some(admission_control) = admission_control.upgrade() else {
             return;
         };
-        control.tick();
+        admission_control.tick();
     }
 }
 
@@ -252,7 +271,9 @@
             Self::BackEnd(error) => {
                 write!(formatter, "the back end's client cannot be set up: {error}")
             }
-            Self::NoEgress => formatter.write_str("the fabric has no address for answers"),
+            Self::NoEgress => {
+                formatter.write_str("no fabric address is configured for datagrams to callers")
+            }
         }
     }
 }
--- a/crates/woodladder/src/agent/headers.rs
+++ b/crates/woodladder/src/agent/headers.rs
@@ -1,4 +1,5 @@
-//! Header fields: which ones cross the agent, and the project's own.
+//! Header fields: those removed or set when forwarding, and the ones that this
+//! project defines.
 
 use std::time::Duration;
 
@@ -8,22 +9,23 @@
     RETRY_AFTER, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Time that a caller gives for the answer, in milliseconds from now.
-pub const DEADLINE: HeaderName = HeaderName::from_static("woodladder-deadline-ms");
-/// Whether a request without the back end's answer has run.
-pub const OUTCOME: HeaderName = HeaderName::from_static("woodladder-outcome");
+/// Time in milliseconds, from when the request is sent, that the caller waits
+/// for the answer.
+pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("woodladder-deadline-ms");
+/// Whether a request that has no answer of the back end was run.
+pub const OUTCOME_HEADER: HeaderName = HeaderName::from_static("woodladder-outcome");
 /// Why a request has no answer of the back end.
-pub const REASON: HeaderName = HeaderName::from_static("woodladder-reason");
-/// Whether a request that may have run may be asked again.
-pub const REPEATABLE: HeaderName = HeaderName::from_static("woodladder-repeatable");
+pub const REASON_HEADER: HeaderName = HeaderName::from_static("woodladder-reason");
+/// Whether a request that may have run can safely be repeated.
+pub const REPEATABLE_HEADER: HeaderName = HeaderName::from_static("woodladder-repeatable");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const NOT_RUN: &str = "not-run";
-const EVENT_STREAM: &str = "text/event-stream";
+const EVENT_STREAM_TYPE: &str = "text/event-stream";
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Fields that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop fields (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -34,13 +36,13 @@
     UPGRADE,
 ];
 
-/// The value of a deadline field is not a number of milliseconds.
+/// The value of the deadline field is not a number of milliseconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct InvalidDeadline;
 
-/// The time that the caller gives, if stated.
-pub(super) fn stated_deadline(headers: &HeaderMap) -> Result<Option<Duration>, InvalidDeadline> {
-    let Some(value) = headers.get(DEADLINE) else {
+/// Reads the caller's deadline, as time from now, if it states one.
+pub(super) fn parse_deadline(headers: &HeaderMap) -> Result<Option<Duration>, InvalidDeadline> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(None);
     };
     let text = value.to_str().map_err(|_| InvalidDeadline)?;
@@ -48,8 +50,9 @@
     Ok(Some(Duration::from_millis(milliseconds)))
 }
 
-/// Makes a caller's header fields those of the request to the back end.
-pub(super) fn prepare_request(headers: &mut HeaderMap, authority: Option<&str>) {
+/// Turns the header fields of a caller's request into those of the request to
+/// the back end.
+pub(super) fn prepare_back_end_request(headers: &mut HeaderMap, authority: Option<&str>) {
     remove_hop_by_hop(headers);
     headers.remove(EXPECT);
     headers.insert(CONNECTION, CLOSE);
@@ -59,13 +62,13 @@
     }
 }
 
-/// States the time that is left to the back end.
-pub(super) fn set_remaining(headers: &mut HeaderMap, remaining: Duration) {
+/// Sets the deadline field to the time that is left for the back end.
+pub(super) fn set_deadline(headers: &mut HeaderMap, remaining: Duration) {
     let milliseconds = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(DEADLINE, HeaderValue::from(milliseconds));
+    headers.insert(DEADLINE_HEADER, HeaderValue::from(milliseconds));
 }
 
-/// Removes the fields that concern the connection to the back end only.
+/// Removes hop-by-hop fields, including those that `connection` names.
 pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -79,28 +82,29 @@
     }
 }
 
-/// Whether an answer is a feed: events without a foreseen end.
+/// Whether an answer is a feed, that is, an event stream without a foreseen
+/// end.
 pub(super) fn is_feed(headers: &HeaderMap) -> bool {
     let content_type = headers.get(CONTENT_TYPE);
     let text = content_type.and_then(|value| value.to_str().ok());
     let media_type = text.and_then(|value| value.split(';').next());
-    media_type.is_some_and(|value| value.trim().eq_ignore_ascii_case(EVENT_STREAM))
+    media_type.is_some_and(|value| value.trim().eq_ignore_ascii_case(EVENT_STREAM_TYPE))
 }
 
-/// Whether an answer is the back end's own statement that it did not run the
-/// request.
+/// Whether the back end states in an answer that it did not run the request.
 pub(super) fn is_refusal(status: StatusCode, headers: &HeaderMap) -> bool {
-    let outcome = headers.get(OUTCOME);
+    let outcome = headers.get(OUTCOME_HEADER);
     status == StatusCode::SERVICE_UNAVAILABLE && outcome.is_some_and(|value| value == NOT_RUN)
 }
 
-/// When the back end says that it may be asked again.
-pub(super) fn stated_retry_after(headers: &HeaderMap) -> Option<Duration> {
+/// Time after which the back end accepts a repeated request, if it states one.
+pub(super) fn parse_retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     Some(Duration::from_secs(seconds))
 }
 
-/// Whether the end of an answer's body can be told from a cut connection.
-pub(super) fn states_its_end(headers: &HeaderMap) -> bool {
+/// Whether the answer states its length or uses chunks, so that the end of its
+/// body can be distinguished from a lost connection.
+pub(super) fn has_explicit_end(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/woodladder/src/agent/health.rs
+++ b/crates/woodladder/src/agent/health.rs
@@ -1,9 +1,9 @@
-//! Follows the back end's health endpoint.
+//! Polls the back end's health endpoint.
 //!
-//! A back end may begin to leave without a bundle or a signal, and only its
-//! health endpoint tells. The endpoint may lag or mislead, so what it says only
-//! turns new flows to other targets and asks callers to open another
-//! connection; the back end's own refusals do the rest.
+//! A back end may begin to leave without a change of the bundle or a signal to
+//! the agent, and only its health endpoint shows it. The endpoint may lag or be
+//! wrong, so its answers only make other targets preferred for new flows and
+//! ask callers to reconnect. Requests are refused by the back end itself.
 
 use std::sync::Weak;
 use std::time::Duration;
@@ -11,57 +11,63 @@
 use http::StatusCode;
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
+use super::admission_control::AdmissionControl;
 use super::back_end::BackEnd;
-use super::control::Control;
 
-/// Time between two questions, and the limit for an answer.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Answers in a row that say the same before it is believed.
-const CONFIRMATIONS: u32 = 2;
-/// Least time between two requests to move, so that an endpoint that wavers
-/// doesn't keep callers moving.
-const LEAST_BETWEEN_MOVES: Duration = Duration::from_secs(60);
+/// Interval between health checks, and the timeout of each.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of consecutive answers with status 503 after which the back end
+/// counts as leaving.
+const LEAVING_CONFIRMATIONS: u32 = 2;
+/// Shortest time between two requests to reconnect, so that a back end whose
+/// health flaps does not keep its callers reconnecting.
+const MINIMUM_RECONNECT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What an answer says.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Health {
     Serving,
     Leaving,
-    /// No answer, or one without a meaning: nothing changes.
+    /// No answer, or another status: the last known state is kept.
     Unknown,
 }
 
-/// Tells when callers are asked to move: once each time the back end leaves.
+/// Decides when callers are asked to reconnect: once each time that the back
+/// end begins to leave.
 #[derive(Debug, Default)]
-struct MoveRequests {
-    asked: bool,
-    last: Option<Instant>,
+struct ReconnectRequests {
+    already_asked: bool,
+    last_asked_at: Option<Instant>,
 }
 
-impl MoveRequests {
+impl ReconnectRequests {
     fn is_due(&mut self, leaving: bool, now: Instant) -> bool {
-        let rested = self
-            .last
-            .is_none_or(|last| now - last >= LEAST_BETWEEN_MOVES);
-        let due = leaving && rested && !self.asked;
-        self.asked = leaving && (self.asked || due);
+        let interval_passed = self
+            .last_asked_at
+            .is_none_or(|last_asked_at| now - last_asked_at >= MINIMUM_RECONNECT_INTERVAL);
+        let due = leaving && interval_passed && !self.already_asked;
+        self.already_asked = leaving && (self.already_asked || due);
         if due {
-            self.last = Some(now);
+            self.last_asked_at = Some(now);
         }
         due
     }
 }
 
-/// Asks until the agent is gone.
-pub(super) async fn follow(back_end: BackEnd, path: String, control: Weak<Control>) {
-    let mut ticks = interval(INTERVAL);
+/// Polls the health endpoint until the agent is dropped.
+pub(super) async fn poll_health(
+    back_end: BackEnd,
+    path: String,
+    admission_control: Weak<AdmissionControl>,
+) {
+    let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut leaving_answers = 0;
-    let mut moves = MoveRequests::default();
+    let mut reconnects = ReconnectRequests::default();
     loop {
         ticks.tick().await;
-        let health = ask(&back_end, &path).await;
-        let Some(control) = control.upgrade() else {
+        let health = check_health(&back_end, &path).await;
+        let Some(admission_control) = admission_control.upgrade() else {
             return;
         };
         match health {
@@ -69,16 +75,16 @@
             Health::Leaving => leaving_answers += 1,
             Health::Unknown => continue,
         }
-        let leaving = leaving_answers >= CONFIRMATIONS;
-        control.back_end_leaving(leaving);
-        if moves.is_due(leaving, Instant::now()) {
-            control.ask_to_move();
+        let leaving = leaving_answers >= LEAVING_CONFIRMATIONS;
+        admission_control.set_back_end_leaving(leaving);
+        if reconnects.is_due(leaving, Instant::now()) {
+            admission_control.ask_callers_to_reconnect();
         }
     }
 }
 
-async fn ask(back_end: &BackEnd, path: &str) -> Health {
-    match timeout(INTERVAL, back_end.status_of(path)).await {
+async fn check_health(back_end: &BackEnd, path: &str) -> Health {
+    match timeout(CHECK_INTERVAL, back_end.get_status(path)).await {
         Ok(Some(status)) if status.is_success() => Health::Serving,
         Ok(Some(StatusCode::SERVICE_UNAVAILABLE)) => Health::Leaving,
         _ => Health::Unknown,
--- a/crates/woodladder/src/agent/mod.rs
+++ b/crates/woodladder/src/agent/mod.rs
@@ -1,37 +1,40 @@
-//! The agent beside one back end: ends QUIC and HTTP/3, admits flows and
-//! requests, and asks the back end over HTTP/1.1.
+//! The agent of one back end. It terminates QUIC and HTTP/3 from callers,
+//! decides which flows and requests to accept, and forwards requests to the
+//! back end over HTTP/1.1.
 
 mod acceptor;
 mod address_book;
+mod admission_control;
+mod agent_context;
 mod back_end;
 mod certificate;
 mod clock;
 mod config;
 mod connection;
-mod control;
 mod counters;
 mod egress;
-mod gate;
+mod error_response;
 mod handle;
 mod headers;
 mod health;
-mod marked_flows;
-mod outcome;
+mod ingress;
 mod permitted_body;
 mod quic;
+mod rejected_flows;
 mod request;
 mod request_body;
-mod request_desk;
-mod shared;
+mod request_scheduler;
 mod shared_drain;
 mod socket;
 mod stream;
 
 pub use certificate::CertificateError;
 pub use config::{AgentConfig, AgentKeys, Certificate, Limits};
-pub use counters::{AgentStatus, DatagramDrop, DropCount, EndCount, FlowCounts, RequestEnd};
+pub use counters::{
+    AgentStatus, DatagramDropReason, DropCount, FlowCounts, OutcomeCount, RequestOutcome,
+};
+pub use error_response::NotRunReason;
 pub use handle::{Agent, AgentHandle, AgentStartError};
-pub use headers::{DEADLINE, OUTCOME, REASON, REPEATABLE};
-pub use outcome::NotRunReason;
+pub use headers::{DEADLINE_HEADER, OUTCOME_HEADER, REASON_HEADER, REPEATABLE_HEADER};
 pub use quic::QuicConfigError;
-pub use shared_drain::{Notice, SharedDrain};
+pub use shared_drain::{DrainNotice, SharedDrain};
--- a/crates/woodladder/src/agent/permitted_body.rs
+++ b/crates/woodladder/src/agent/permitted_body.rs
@@ -1,10 +1,10 @@
-//! A request body that asks for the permission to write.
+//! A request body that asks the scheduler for permission before it is written.
 //!
-//! The HTTP client connects and writes in one call. In between, right before
-//! it writes the head, it asks the body whether it is empty; at that moment
-//! the request passes from "surely not run" to "may have run". When it was
-//! given up meanwhile, the body fails, and the client drops the connection
-//! with the head still in its buffer.
+//! The HTTP client connects and writes in one call. Between the two, right
+//! before it writes the request's head, it asks the body whether it is empty.
+//! At that moment the request changes from "certainly not run" to "may have
+//! run". When the request has been given up meanwhile, the body fails, and the
+//! client drops the connection with the head still in its buffer.
 
 use std::io;
 use std::pin::Pin;
@@ -17,22 +17,22 @@
 use volo_http::error::BoxError;
 use woodladder_core::target::request::RequestId;
 
-use super::request_desk::RequestDesk;
+use super::request_scheduler::RequestScheduler;
 
-/// A body behind a permission to write.
+/// A body that can be read only once the send permit has been granted.
 pub(super) struct PermittedBody {
     body: Body,
     request: RequestId,
-    desk: Arc<RequestDesk>,
+    scheduler: Arc<RequestScheduler>,
     permitted: OnceLock<bool>,
 }
 
 impl PermittedBody {
-    pub(super) fn new(body: Body, request: RequestId, desk: Arc<RequestDesk>) -> Self {
+    pub(super) fn new(body: Body, request: RequestId, scheduler: Arc<RequestScheduler>) -> Self {
         Self {
             body,
             request,
-            desk,
+            scheduler,
             permitted: OnceLock::new(),
         }
     }
@@ -40,7 +40,7 @@
     fn is_permitted(&self) -> bool {
         *self
             .permitted
-            .get_or_init(|| self.desk.connected(self.request).is_some())
+            .get_or_init(|| self.scheduler.permit_send(self.request).is_some())
     }
 }
 
--- a/crates/woodladder/src/agent/quic.rs
+++ b/crates/woodladder/src/agent/quic.rs
@@ -1,4 +1,4 @@
-//! Settings of the QUIC endpoint.
+//! Configuration of the QUIC endpoint.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,42 +16,45 @@
 use woodladder_core::packets::token::{TOKEN_LENGTH, TOKEN_NONCE_LENGTH, TokenKeys};
 
 use super::config::{Certificate, Limits};
-use super::socket::MAXIMUM_DATAGRAM;
+use super::socket::MAXIMUM_DATAGRAM_LENGTH;
 
 /// Protocol identifier of HTTP/3 (RFC 9114, section 3.1).
 pub(super) const ALPN_HTTP3: &[u8] = b"h3";
 
-/// Longest packet: leaves room for envelopes on links of 1500 bytes.
-const MAXIMUM_PACKET: u16 = 1350;
-/// Unidirectional streams of a caller: control, QPACK's two, and spare ones.
-const UNIDIRECTIONAL_STREAMS: u32 = 8;
-/// Bytes that a caller may send ahead on one request.
+/// Longest UDP payload that path MTU discovery tries, in bytes; leaves room for
+/// the envelope on links with an MTU of 1500 bytes.
+const MAXIMUM_UDP_PAYLOAD_LENGTH: u16 = 1350;
+/// Unidirectional streams that a caller may open: the control stream, two of
+/// QPACK, and spare ones.
+const MAXIMUM_UNIDIRECTIONAL_STREAMS: u32 = 8;
+/// Bytes that a caller may send on one stream before the agent reads them.
 const STREAM_RECEIVE_WINDOW: u32 = 128 * 1024;
-/// Bytes that a caller may send ahead in all.
+/// Bytes that a caller may send on all streams of a connection before the agent
+/// reads them.
 const CONNECTION_RECEIVE_WINDOW: u32 = 512 * 1024;
-/// Bytes kept for one caller until it has acknowledged them.
+/// Unacknowledged bytes that the agent may send on one connection.
 const SEND_WINDOW: u64 = 512 * 1024;
-/// Shortest time between stateless resets. Only packets with a valid token
-/// get one, so the interval may be short enough to end all flows that a
-/// restarted agent has lost within a second.
+/// Shortest time between stateless resets. Only packets with a valid token are
+/// answered with one, so the interval may be short enough for a restarted agent
+/// to reset all flows that it has lost within a second.
 const RESET_INTERVAL: Duration = Duration::from_micros(100);
 const RESET_LABEL: &[u8] = b"stateless reset";
 
-/// Why the endpoint's settings cannot be built.
+/// Why the endpoint's configuration cannot be built.
 #[derive(Debug)]
 pub enum QuicConfigError {
     /// The certificate or its key is not usable.
     Certificate(rustls::Error),
-    /// The handshake lacks the cipher suite that first packets need.
+    /// The TLS provider lacks the cipher suite that Initial packets need.
     CipherSuite(NoInitialCipherSuite),
-    /// The idle timeout does not fit the protocol.
+    /// The idle timeout is longer than QUIC can express.
     IdleTimeout(Duration),
-    /// The transport refuses a value.
+    /// The QUIC library rejects a value.
     Transport(quinn::ConfigError),
 }
 
-/// Settings of the endpoint: connection identifiers are tokens of the target,
-/// and stateless resets outlive a restart.
+/// Configuration of the endpoint: connection identifiers are routing tokens of
+/// the target, and stateless resets still work after a restart.
 pub(super) fn endpoint_config(
     target: TargetId,
     tokens: TokenKeys,
@@ -59,14 +62,14 @@
 ) -> Result<EndpointConfig, QuicConfigError> {
     let mut config = EndpointConfig::new(Arc::new(reset_key(target, reset)));
     config
-        .max_udp_payload_size(MAXIMUM_DATAGRAM)
+        .max_udp_payload_size(MAXIMUM_DATAGRAM_LENGTH)
         .map_err(QuicConfigError::Transport)?;
     config.min_reset_interval(RESET_INTERVAL);
     config.cid_generator(move || Box::new(TokenGenerator { target, tokens }));
     Ok(config)
 }
 
-/// Settings of the server side.
+/// Configuration for accepting connections.
 pub(super) fn server_config(
     certificate: &Certificate,
     limits: &Limits,
@@ -86,8 +89,8 @@
         .with_single_cert(certificate.chain.clone(), certificate.key.clone_key())
         .map_err(QuicConfigError::Certificate)?;
     tls.alpn_protocols = vec![ALPN_HTTP3.to_vec()];
-    // No request byte may be read before the handshake has settled on one
-    // agent, so early data stays off.
+    // No request byte may be read before the handshake has decided which agent
+    // serves the flow, so early data stays off.
     tls.max_early_data_size = 0;
     QuicServerConfig::try_from(tls).map_err(QuicConfigError::CipherSuite)
 }
@@ -95,18 +98,18 @@
 fn transport_config(limits: &Limits) -> Result<TransportConfig, QuicConfigError> {
     let idle = IdleTimeout::try_from(limits.idle_timeout)
         .map_err(|_| QuicConfigError::IdleTimeout(limits.idle_timeout))?;
-    let mut discovery = MtuDiscoveryConfig::default();
-    discovery.upper_bound(MAXIMUM_PACKET);
+    let mut mtu_discovery = MtuDiscoveryConfig::default();
+    mtu_discovery.upper_bound(MAXIMUM_UDP_PAYLOAD_LENGTH);
     let mut config = TransportConfig::default();
     config
         .max_idle_timeout(Some(idle))
         .keep_alive_interval(Some(limits.keep_alive_interval))
         .max_concurrent_bidi_streams(VarInt::from_u32(limits.streams_per_connection))
-        .max_concurrent_uni_streams(VarInt::from_u32(UNIDIRECTIONAL_STREAMS))
+        .max_concurrent_uni_streams(VarInt::from_u32(MAXIMUM_UNIDIRECTIONAL_STREAMS))
         .stream_receive_window(VarInt::from_u32(STREAM_RECEIVE_WINDOW))
         .receive_window(VarInt::from_u32(CONNECTION_RECEIVE_WINDOW))
         .send_window(SEND_WINDOW)
-        .mtu_discovery_config(Some(discovery))
+        .mtu_discovery_config(Some(mtu_discovery))
         .enable_segmentation_offload(false);
     Ok(config)
 }
@@ -119,7 +122,7 @@
     hmac::Key::new(hmac::HMAC_SHA256, context.sign().as_ref())
 }
 
-/// Issues connection identifiers that are routing tokens.
+/// Generates connection identifiers that are routing tokens.
 struct TokenGenerator {
     target: TargetId,
     tokens: TokenKeys,
--- a/crates/woodladder/src/agent/request.rs
+++ b/crates/woodladder/src/agent/request.rs
@@ -1,4 +1,5 @@
-//! One request: from the caller's stream to the back end and back.
+//! Forwards one request from the caller's stream to the back end, and the
+//! answer back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +16,14 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::target::request::{RefusalReason, RequestAction, RequestEvent, UnknownReason};
 
+use super::agent_context::AgentContext;
 use super::back_end::BackEndError;
-use super::counters::{GaugeGuard, RequestEnd};
+use super::counters::{GaugeGuard, RequestOutcome};
+use super::error_response::{self, NotRunReason};
 use super::headers;
-use super::outcome::{self, NotRunReason};
 use super::permitted_body::PermittedBody;
 use super::request_body::{self, Receiver};
-use super::request_desk::Ticket;
-use super::shared::Shared;
+use super::request_scheduler::RequestHandle;
 use super::stream::AnswerStream;
 
 type Sender = RequestStream<AnswerStream<Bytes>, Bytes>;
@@ -30,23 +31,23 @@
 /// Longest deadline that a caller may state.
 const MAXIMUM_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// A request as the caller's stream brought it.
+/// A request with its head read and its stream split.
 pub(super) struct CallerRequest {
     pub(super) parts: Parts,
     pub(super) sender: Sender,
     pub(super) receiver: Receiver,
 }
 
-/// How a request's run ended.
-pub(super) struct Conclusion {
-    /// What became of the request.
-    pub(super) end: RequestEnd,
+/// How the handling of a request ended.
+pub(super) struct RequestCompletion {
+    /// Outcome to count.
+    pub(super) outcome: RequestOutcome,
     /// Whether the caller's stream was finished, rather than reset.
-    pub(super) finished: bool,
+    pub(super) stream_finished: bool,
 }
 
 /// Why a request has no answer of the back end.
-enum Failure {
+enum RequestFailure {
     NotRun {
         reason: NotRunReason,
         retry_after: Duration,
@@ -55,156 +56,168 @@
         reason: UnknownReason,
         repeatable: bool,
     },
-    /// The caller is gone.
+    /// The caller has cancelled the request or is gone.
     Cancelled,
 }
 
-/// The head of the back end's answer, its body still to come.
-struct Answer {
+/// The back end's answer: the head has arrived, the body is still being
+/// received.
+struct BackEndAnswer {
     response: Response<Body>,
-    /// Whether the back end says itself that it did not run the request.
-    refusal: bool,
-    begun_at: Instant,
-    ticket: Ticket,
+    /// Whether the back end states that it did not run the request.
+    refused_by_back_end: bool,
+    dispatched_at: Instant,
+    handle: RequestHandle,
 }
 
-/// Why an answer did not reach the caller whole.
+/// Why an answer was not passed to the caller in full.
 enum RelayError {
-    /// The caller's stream or connection is gone.
+    /// The caller's stream or connection was closed.
     Caller,
-    /// The back end's answer broke off.
+    /// The back end's answer ended early.
     BackEnd,
 }
 
-/// Runs one request; `refusal` is why it must not run, if it must not.
+/// Handles one request. With a `refusal` it is answered as not run for that
+/// reason.
 pub(super) async fn run(
     request: CallerRequest,
     refusal: Option<NotRunReason>,
-    shared: &Shared,
-) -> Conclusion {
+    context: &AgentContext,
+) -> RequestCompletion {
     let CallerRequest {
         parts,
         sender,
         receiver,
     } = request;
     let answer = match refusal {
-        Some(reason) => Err(shared.not_run(reason)),
-        None => dispatch(parts, receiver, shared).await,
+        Some(reason) => Err(context.not_run(reason)),
+        None => dispatch(parts, receiver, context).await,
     };
     match answer {
-        Ok(answer) => relay(sender, answer, shared).await,
-        Err(Failure::NotRun {
+        Ok(answer) => relay(sender, answer, context).await,
+        Err(RequestFailure::NotRun {
             reason,
             retry_after,
         }) => {
-            let response = outcome::not_run(reason, retry_after);
-            conclude(sender, response, RequestEnd::NotRun).await
+            let response = error_response::not_run(reason, retry_after);
+            send_agent_answer(sender, response, RequestOutcome::NotRun).await
         }
-        Err(Failure::Unknown { reason, repeatable }) => {
-            let response = outcome::unknown(reason, repeatable);
-            conclude(sender, response, RequestEnd::Unknown).await
+        Err(RequestFailure::Unknown { reason, repeatable }) => {
+            let response = error_response::unknown_outcome(reason, repeatable);
+            send_agent_answer(sender, response, RequestOutcome::Unknown).await
         }
-        Err(Failure::Cancelled) => Conclusion::reset(RequestEnd::Cancelled),
+        Err(RequestFailure::Cancelled) => RequestCompletion::reset(RequestOutcome::Cancelled),
     }
 }
 
-/// Takes the request to the back end and waits for the head of the answer.
+/// Sends the request to the back end and waits for the head of the answer.
 async fn dispatch(
     mut parts: Parts,
     receiver: Receiver,
-    shared: &Shared,
-) -> Result<Answer, Failure> {
-    let time = stated_time(&parts, shared)?;
-    let deadline = shared.clock.now() + time;
-    let body = timeout(time, request_body::receive(&parts, receiver))
+    context: &AgentContext,
+) -> Result<BackEndAnswer, RequestFailure> {
+    let time_limit = answer_timeout(&parts, context)?;
+    let deadline = context.clock.now() + time_limit;
+    let body = timeout(time_limit, request_body::receive_body(&parts, receiver))
         .await
-        .map_err(|_| shared.not_run(NotRunReason::Refused(RefusalReason::WaitedTooLong)))?
-        .map_err(|_| Failure::Cancelled)?;
-    let mut ticket = shared.desk.arrive(deadline, parts.method.is_idempotent());
-    await_dispatch(&mut ticket).await?;
+        .map_err(|_| context.not_run(NotRunReason::Refused(RefusalReason::WaitedTooLong)))?
+        .map_err(|_| RequestFailure::Cancelled)?;
+    let mut handle = context
+        .scheduler
+        .register(deadline, parts.method.is_idempotent());
+    await_dispatch(&mut handle).await?;
 
-    let begun_at = shared.clock.now();
+    let dispatched_at = context.clock.now();
     let authority = parts.uri.authority().map(ToString::to_string);
-    headers::prepare_request(&mut parts.headers, authority.as_deref());
-    headers::set_remaining(&mut parts.headers, shared.clock.until(deadline));
+    headers::prepare_back_end_request(&mut parts.headers, authority.as_deref());
+    headers::set_deadline(&mut parts.headers, context.clock.until(deadline));
     let framed_by_method = parts.method == Method::HEAD;
-    let body = PermittedBody::new(body, ticket.id(), Arc::clone(&shared.desk));
+    let body = PermittedBody::new(body, handle.id(), Arc::clone(&context.scheduler));
     let response = tokio::select! {
         biased;
-        failure = given_up(&mut ticket) => return Err(failure),
-        response = shared.back_end.send(parts, Body::from_body(body)) => response,
+        failure = wait_until_given_up(&mut handle) => return Err(failure),
+        response = context.back_end.send(parts, Body::from_body(body)) => response,
     };
     let response = match response {
-        Ok(response) if framed_by_method || ends_visibly(&response) => response,
-        Ok(_) => return Err(fail(ticket, None, shared).await),
-        Err(error) => return Err(fail(ticket, Some(error), shared).await),
+        Ok(response) if framed_by_method || has_detectable_end(&response) => response,
+        Ok(_) => return Err(report_failure(handle, None, context).await),
+        Err(error) => return Err(report_failure(handle, Some(error), context).await),
     };
-    Ok(begin_answer(response, begun_at, ticket))
+    Ok(report_answer_head(response, dispatched_at, handle))
 }
 
-fn stated_time(parts: &Parts, shared: &Shared) -> Result<Duration, Failure> {
-    let stated = headers::stated_deadline(&parts.headers)
-        .map_err(|_| shared.not_run(NotRunReason::InvalidRequest))?;
-    let time = stated.unwrap_or(shared.limits.default_deadline);
-    Ok(time.min(MAXIMUM_DEADLINE))
+fn answer_timeout(parts: &Parts, context: &AgentContext) -> Result<Duration, RequestFailure> {
+    let stated = headers::parse_deadline(&parts.headers)
+        .map_err(|_| context.not_run(NotRunReason::InvalidRequest))?;
+    let time_limit = stated.unwrap_or(context.limits.default_deadline);
+    Ok(time_limit.min(MAXIMUM_DEADLINE))
 }
 
-/// Waits until the request may go to the back end.
-async fn await_dispatch(ticket: &mut Ticket) -> Result<(), Failure> {
-    match ticket.next().await {
+/// Waits until the request holds a slot and may be sent to the back end.
+async fn await_dispatch(handle: &mut RequestHandle) -> Result<(), RequestFailure> {
+    match handle.next_action().await {
         Some(RequestAction::Dispatch(_)) => Ok(()),
-        Some(action) => Err(Failure::from(action)),
-        None => Err(Failure::Cancelled),
+        Some(action) => Err(RequestFailure::from(action)),
+        None => Err(RequestFailure::Cancelled),
     }
 }
 
-/// Waits until the request is given up, which may never happen.
-async fn given_up(ticket: &mut Ticket) -> Failure {
-    ticket
-        .outcome()
+/// Waits until the scheduler gives the request up, which may never happen.
+async fn wait_until_given_up(handle: &mut RequestHandle) -> RequestFailure {
+    handle
+        .final_action()
         .await
-        .map_or(Failure::Cancelled, Failure::from)
+        .map_or(RequestFailure::Cancelled, RequestFailure::from)
 }
 
-/// Reports a failed exchange; what the caller may be told follows from how far
-/// the request had come.
-async fn fail(mut ticket: Ticket, error: Option<BackEndError>, shared: &Shared) -> Failure {
+/// Reports a failed exchange to the scheduler. What the caller may be told
+/// depends on the stage that the request had reached.
+async fn report_failure(
+    mut handle: RequestHandle,
+    error: Option<BackEndError>,
+    context: &AgentContext,
+) -> RequestFailure {
     let event = match error {
         None => RequestEvent::AnswerEnd {
-            id: ticket.id(),
+            id: handle.id(),
             complete: false,
         },
-        Some(BackEndError::InvalidRequest) => return shared.not_run(NotRunReason::InvalidRequest),
+        Some(BackEndError::InvalidRequest) => return context.not_run(NotRunReason::InvalidRequest),
         Some(BackEndError::Unreachable) => {
-            ticket.handle(RequestEvent::BackEndFailed(ticket.id()));
-            shared.back_end_down();
-            return given_up(&mut ticket).await;
+            handle.report(RequestEvent::BackEndFailed(handle.id()));
+            context.report_back_end_down();
+            return wait_until_given_up(&mut handle).await;
         }
         Some(BackEndError::Failed) => {
-            // Any failure but that of the connection counts as after the
-            // first byte, also when the client failed before it wrote.
-            let _permit = shared.desk.connected(ticket.id());
-            RequestEvent::BackEndFailed(ticket.id())
+            // Every failure other than that to connect counts as one after the
+            // first byte was sent, even if the client failed before it wrote.
+            let _permit = context.scheduler.permit_send(handle.id());
+            RequestEvent::BackEndFailed(handle.id())
         }
     };
-    ticket.handle(event);
-    given_up(&mut ticket).await
+    handle.report(event);
+    wait_until_given_up(&mut handle).await
 }
 
-/// Whether a cut connection cannot pass for the end of the answer.
-fn ends_visibly(response: &Response<Body>) -> bool {
-    response.body().is_end_stream() || headers::states_its_end(response.headers())
+/// Whether the end of the answer can be distinguished from a lost connection.
+fn has_detectable_end(response: &Response<Body>) -> bool {
+    response.body().is_end_stream() || headers::has_explicit_end(response.headers())
 }
 
-/// Reports the head of an answer. One in which the back end says that it did
-/// not run the request is passed on as it is.
-fn begin_answer(response: Response<Body>, begun_at: Instant, ticket: Ticket) -> Answer {
-    let refusal = headers::is_refusal(response.status(), response.headers());
-    let id = ticket.id();
-    ticket.handle(if refusal {
+/// Reports the head of an answer to the scheduler. An answer that says that the
+/// request was not run is passed on unchanged.
+fn report_answer_head(
+    response: Response<Body>,
+    dispatched_at: Instant,
+    handle: RequestHandle,
+) -> BackEndAnswer {
+    let refused_by_back_end = headers::is_refusal(response.status(), response.headers());
+    let id = handle.id();
+    handle.report(if refused_by_back_end {
         RequestEvent::BackEndRefused {
             id,
-            retry_after: headers::stated_retry_after(response.headers()),
+            retry_after: headers::parse_retry_after(response.headers()),
         }
     } else {
         RequestEvent::AnswerHead {
@@ -212,62 +225,71 @@
             streaming: headers::is_feed(response.headers()),
         }
     });
-    Answer {
+    BackEndAnswer {
         response,
-        refusal,
-        begun_at,
-        ticket,
+        refused_by_back_end,
+        dispatched_at,
+        handle,
     }
 }
 
-/// Passes an answer on. One that breaks off resets the caller's stream.
-async fn relay(mut sender: Sender, answer: Answer, shared: &Shared) -> Conclusion {
-    let Answer {
+/// Passes an answer on to the caller, and resets the caller's stream when the
+/// answer ends early.
+async fn relay(
+    mut sender: Sender,
+    answer: BackEndAnswer,
+    context: &AgentContext,
+) -> RequestCompletion {
+    let BackEndAnswer {
         response,
-        refusal,
-        begun_at,
-        mut ticket,
+        refused_by_back_end,
+        dispatched_at,
+        mut handle,
     } = answer;
     let (mut parts, body) = response.into_parts();
     let feed = headers::is_feed(&parts.headers);
-    let _open = feed.then(|| GaugeGuard::new(&shared.counters.feeds));
+    let _open = feed.then(|| GaugeGuard::new(&context.counters.open_feeds));
     headers::remove_hop_by_hop(&mut parts.headers);
     let head = Response::from_parts(parts, ());
-    let relayed = if refusal {
-        copy(&mut sender, head, body).await
+    let relayed = if refused_by_back_end {
+        copy_answer(&mut sender, head, body).await
     } else {
         tokio::select! {
             biased;
-            _ = ticket.outcome() => Err(RelayError::BackEnd),
-            relayed = copy(&mut sender, head, body) => relayed,
+            _ = handle.final_action() => Err(RelayError::BackEnd),
+            relayed = copy_answer(&mut sender, head, body) => relayed,
         }
     };
     match relayed {
-        Ok(()) if refusal => Conclusion::finished(RequestEnd::NotRun),
+        Ok(()) if refused_by_back_end => RequestCompletion::finished(RequestOutcome::NotRun),
         Ok(()) => {
-            ticket.handle(RequestEvent::AnswerEnd {
-                id: ticket.id(),
+            handle.report(RequestEvent::AnswerEnd {
+                id: handle.id(),
                 complete: true,
             });
             if !feed {
-                let service_time = shared.clock.now().since(begun_at);
-                shared.desk.record_service_time(service_time);
+                let service_time = context.clock.now().since(dispatched_at);
+                context.scheduler.record_service_time(service_time);
             }
-            Conclusion::finished(RequestEnd::Answered)
+            RequestCompletion::finished(RequestOutcome::Answered)
         }
-        Err(RelayError::Caller) => Conclusion::reset(RequestEnd::Cancelled),
+        Err(RelayError::Caller) => RequestCompletion::reset(RequestOutcome::Cancelled),
         Err(RelayError::BackEnd) => {
-            ticket.handle(RequestEvent::AnswerEnd {
-                id: ticket.id(),
+            handle.report(RequestEvent::AnswerEnd {
+                id: handle.id(),
                 complete: false,
             });
             sender.stop_stream(Code::H3_INTERNAL_ERROR);
-            Conclusion::reset(RequestEnd::Unknown)
+            RequestCompletion::reset(RequestOutcome::Unknown)
         }
     }
 }
 
-async fn copy(sender: &mut Sender, head: Response<()>, mut body: Body) -> Result<(), RelayError> {
+async fn copy_answer(
+    sender: &mut Sender,
+    head: Response<()>,
+    mut body: Body,
+) -> Result<(), RelayError> {
     sender.send_response(head).await?;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| RelayError::BackEnd)?;
@@ -284,41 +306,45 @@
     Ok(())
 }
 
-/// Ends a request with an answer of the agent's own.
-async fn conclude(mut sender: Sender, response: Response<()>, end: RequestEnd) -> Conclusion {
+/// Ends a request with an answer of the agent itself.
+async fn send_agent_answer(
+    mut sender: Sender,
+    response: Response<()>,
+    outcome: RequestOutcome,
+) -> RequestCompletion {
     if sender.send_response(response).await.is_err() || sender.finish().await.is_err() {
-        return Conclusion::reset(RequestEnd::Cancelled);
+        return RequestCompletion::reset(RequestOutcome::Cancelled);
     }
-    Conclusion::finished(end)
+    RequestCompletion::finished(outcome)
 }
 
-impl Conclusion {
-    fn finished(end: RequestEnd) -> Self {
+impl RequestCompletion {
+    fn finished(outcome: RequestOutcome) -> Self {
         Self {
-            end,
-            finished: true,
+            outcome,
+            stream_finished: true,
         }
     }
 
-    pub(super) fn reset(end: RequestEnd) -> Self {
+    pub(super) fn reset(outcome: RequestOutcome) -> Self {
         Self {
-            end,
-            finished: false,
+            outcome,
+            stream_finished: false,
         }
     }
 }
 
-impl Shared {
-    /// A failure of a request that never came to the desk.
-    fn not_run(&self, reason: NotRunReason) -> Failure {
-        Failure::NotRun {
+impl AgentContext {
+    /// The failure of a request that never reached the scheduler.
+    fn not_run(&self, reason: NotRunReason) -> RequestFailure {
+        RequestFailure::NotRun {
             reason,
             retry_after: self.limits.minimum_retry_after,
         }
     }
 }
 
-impl From<RequestAction> for Failure {
+impl From<RequestAction> for RequestFailure {
     fn from(action: RequestAction) -> Self {
         match action {
             RequestAction::Refuse { refusal, .. } => Self::NotRun {
--- a/crates/woodladder/src/agent/request_body.rs
+++ b/crates/woodladder/src/agent/request_body.rs
@@ -1,4 +1,4 @@
-//! The request's body on its way from the caller's stream to the back end.
+//! Reads a request's body from the caller's stream.
 
 use bytes::{Buf as _, Bytes};
 use futures::{StreamExt as _, TryStreamExt as _, stream};
@@ -11,13 +11,16 @@
 
 use super::stream::BodyStream;
 
-/// The half of a caller's stream that brings the body.
+/// The receiving half of a request stream.
 pub(super) type Receiver = RequestStream<BodyStream, Bytes>;
 
-/// The body for the back end. Methods without one get none; for others the
-/// first part is awaited, so that a slot isn't held for a caller who has yet
-/// to begin.
-pub(super) async fn receive(parts: &Parts, mut receiver: Receiver) -> Result<Body, StreamError> {
+/// Returns the body for the back end; it is empty for GET and HEAD. For other
+/// methods, waits for the first part, so that no slot is held for a caller that
+/// has not begun to send.
+pub(super) async fn receive_body(
+    parts: &Parts,
+    mut receiver: Receiver,
+) -> Result<Body, StreamError> {
     if matches!(parts.method, Method::GET | Method::HEAD) {
         return Ok(Body::empty());
     }
--- a/crates/woodladder/src/agent/request_desk.rs
+++ b/crates/woodladder/src/agent/request_scheduler.rs
@@ -1,8 +1,9 @@
-//! The core's request table, driven by the requests' tasks and the clock.
+//! Runs the core's request table: passes events from request tasks and the
+//! clock into it, and its actions back to the tasks.
 //!
-//! Each request has a [`Ticket`]: its task reports events through it and gets
-//! its actions from it. A ticket dropped before a final action takes the
-//! request back.
+//! The task of a request reports events and receives actions through its
+//! [`RequestHandle`]. Dropping the handle before a final action cancels the
+//! request.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -20,14 +21,15 @@
 
 use super::clock::Clock;
 
-/// Longest sleep of the task that watches the clock.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// Longest time between two ticks of [`run_timer`].
+const MAXIMUM_TIMER_SLEEP: Duration = Duration::from_secs(1);
 
-/// Requests of one agent that have no final outcome.
-pub(super) struct RequestDesk {
+/// Requests of one agent that have no final outcome yet, and the back end's
+/// slots that they use.
+pub(super) struct RequestScheduler {
     clock: Clock,
     state: Mutex<State>,
-    limits_changed: Arc<Notify>,
+    timer_changed: Arc<Notify>,
 }
 
 struct State {
@@ -35,18 +37,18 @@
     slots: u16,
     slow_start: Option<SlowStart>,
     back_end_down: bool,
-    mailboxes: HashMap<RequestId, mpsc::UnboundedSender<RequestAction>>,
+    action_senders: HashMap<RequestId, mpsc::UnboundedSender<RequestAction>>,
     last_id: u64,
 }
 
-/// One request's place at the desk.
-pub(super) struct Ticket {
+/// A request's handle to the scheduler, held by the request's task.
+pub(super) struct RequestHandle {
     id: RequestId,
-    mailbox: mpsc::UnboundedReceiver<RequestAction>,
-    desk: Arc<RequestDesk>,
+    actions: mpsc::UnboundedReceiver<RequestAction>,
+    scheduler: Arc<RequestScheduler>,
 }
 
-impl RequestDesk {
+impl RequestScheduler {
     pub(super) fn new(
         clock: Clock,
         options: RequestOptions,
@@ -61,20 +63,21 @@
                 slots,
                 slow_start,
                 back_end_down: false,
-                mailboxes: HashMap::new(),
+                action_senders: HashMap::new(),
                 last_id: 0,
             }),
-            limits_changed: Arc::default(),
+            timer_changed: Arc::default(),
         }
     }
 
-    /// A request has arrived.
-    pub(super) fn arrive(self: &Arc<Self>, deadline: Instant, repeatable: bool) -> Ticket {
-        let (sender, mailbox) = mpsc::unbounded_channel();
+    /// Adds a request that a caller has sent. `repeatable` says whether the
+    /// caller may repeat it when its outcome is unknown.
+    pub(super) fn register(self: &Arc<Self>, deadline: Instant, repeatable: bool) -> RequestHandle {
+        let (sender, actions) = mpsc::unbounded_channel();
         let mut state = self.state();
         state.last_id += 1;
         let id = RequestId(state.last_id);
-        state.mailboxes.insert(id, sender);
+        state.action_senders.insert(id, sender);
         let arrived = RequestEvent::Arrived {
             id,
             deadline: Some(deadline),
@@ -82,41 +85,45 @@
         };
         state.handle(arrived, self.clock.now());
         drop(state);
-        self.limits_changed.notify_one();
-        Ticket {
+        self.timer_changed.notify_one();
+        RequestHandle {
             id,
-            mailbox,
-            desk: Arc::clone(self),
+            actions,
+            scheduler: Arc::clone(self),
         }
     }
 
-    /// A back-end connection is open for a request. Gives the permission to
-    /// write, unless the request has been given up.
-    pub(super) fn connected(&self, id: RequestId) -> Option<SendPermit> {
+    /// Reports that a back-end connection is open for a request. Returns the
+    /// permission to write the request, or `None` when the request has been
+    /// given up.
+    pub(super) fn permit_send(&self, id: RequestId) -> Option<SendPermit> {
         let now = self.clock.now();
         self.state().handle(RequestEvent::BackEndConnected(id), now)
     }
 
-    /// Takes an event in.
+    /// Passes an event to the request table.
     pub(super) fn handle(&self, event: RequestEvent) {
         let now = self.clock.now();
-        // No permission follows from any event but a connection.
+        // Only `BackEndConnected` leads to a send permit, and
+        // `permit_send` handles that event.
         let _ = self.state().handle(event, now);
-        self.limits_changed.notify_one();
+        self.timer_changed.notify_one();
     }
 
-    /// The back end does not take connections: requests that wait or arrive
-    /// are refused at once. Tells whether that is news.
-    pub(super) fn back_end_down(&self) -> bool {
+    /// Records that the back end accepts no connections: requests that wait or
+    /// arrive are refused at once. Returns whether it was not known to be down
+    /// before.
+    pub(super) fn mark_back_end_down(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
-        let news = !std::mem::replace(&mut state.back_end_down, true);
+        let newly_down = !std::mem::replace(&mut state.back_end_down, true);
         state.update_slots(now);
-        news
+        newly_down
     }
 
-    /// The back end takes connections again, and starts cold.
-    pub(super) fn back_end_up(&self) {
+    /// Records that the back end accepts connections again, and restarts the
+    /// slow start.
+    pub(super) fn mark_back_end_up(&self) {
         let now = self.clock.now();
         let mut state = self.state();
         state.back_end_down = false;
@@ -126,12 +133,12 @@
         state.update_slots(now);
     }
 
-    /// Whether the back end takes no connections, as far as is known.
+    /// Whether the back end is known to accept no connections.
     pub(super) fn is_back_end_down(&self) -> bool {
         self.state().back_end_down
     }
 
-    /// A request has held its slot for this time.
+    /// Passes the time that a request held its slot to the slow start.
     pub(super) fn record_service_time(&self, time: Duration) {
         let now = self.clock.now();
         if let Some(slow_start) = &mut self.state().slow_start {
@@ -139,17 +146,18 @@
         }
     }
 
-    /// How many requests are where.
+    /// Numbers of requests by stage.
     pub(super) fn counts(&self) -> RequestCounts {
         self.state().table.counts()
     }
 
-    /// Slots of the back end in all.
+    /// All slots of the back end, including those that the slow start holds
+    /// back.
     pub(super) fn slots(&self) -> u16 {
         self.state().slots
     }
 
-    /// Sets how many requests the back end runs at the same time.
+    /// Sets the number of requests that the back end runs at the same time.
     pub(super) fn set_slots(&self, slots: u16) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -157,17 +165,18 @@
             state.slots = slots;
             state.update_slots(now);
             drop(state);
-            self.limits_changed.notify_one();
+            self.timer_changed.notify_one();
         }
     }
 
-    /// Slots that may be used now.
+    /// Slots that the slow start lets requests use now; none while the back end
+    /// is down.
     pub(super) fn effective_slots(&self) -> EffectiveSlots {
         let now = self.clock.now();
         self.state().effective_slots(now)
     }
 
-    /// Looks at the clock.
+    /// Updates the slots and lets requests whose deadline has passed expire.
     pub(super) fn tick(&self) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -175,54 +184,59 @@
         state.handle(RequestEvent::Tick, now);
     }
 
-    fn next_sleep(&self) -> Duration {
+    fn time_to_next_tick(&self) -> Duration {
         let wake = self.state().table.next_wakeup();
-        wake.map_or(LONGEST_SLEEP, |at| self.clock.until(at).min(LONGEST_SLEEP))
+        wake.map_or(MAXIMUM_TIMER_SLEEP, |at| {
+            self.clock.until(at).min(MAXIMUM_TIMER_SLEEP)
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic elsewhere leaves the table as it was between events.
+        // The table is consistent between events, so a panic in another task
+        // that held the lock does no harm.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Ticks the desk whenever a request's time may be up; ends with the desk.
-pub(super) async fn watch_clock(desk: Weak<RequestDesk>) {
-    while let Some(strong) = desk.upgrade() {
+/// Ticks the scheduler whenever a timer of the request table is due. Ends when
+/// the scheduler is dropped.
+pub(super) async fn run_timer(scheduler: Weak<RequestScheduler>) {
+    while let Some(strong) = scheduler.upgrade() {
         strong.tick();
-        let changed = Arc::clone(&strong.limits_changed);
-        let next = strong.next_sleep();
+        let changed = Arc::clone(&strong.timer_changed);
+        let sleep_time = strong.time_to_next_tick();
         drop(strong);
         tokio::select! {
             () = changed.notified() => {}
-            () = sleep(next) => {}
+            () = sleep(sleep_time) => {}
         }
     }
 }
 
 impl State {
-    /// Takes an event in and posts the actions; a permission to write is
-    /// given back at once.
+    /// Passes an event to the request table and sends the actions to the
+    /// requests' tasks. A send permit is returned instead of sent.
     fn handle(&mut self, event: RequestEvent, now: Instant) -> Option<SendPermit> {
         let mut permit = None;
         for action in self.table.handle(event, now) {
             match action {
                 RequestAction::Send(given) => permit = Some(given),
-                other => self.post(other),
+                other => self.send_action(other),
             }
         }
         permit
     }
 
-    fn post(&mut self, action: RequestAction) {
+    fn send_action(&mut self, action: RequestAction) {
         let id = action.id();
         let is_final = action.is_final();
-        if let Some(mailbox) = self.mailboxes.get(&id) {
-            // A task that has ended needs its actions no more.
-            let _ = mailbox.send(action);
+        if let Some(sender) = self.action_senders.get(&id) {
+            // Fails when the request's task has ended, which then needs no more
+            // actions.
+            let _ = sender.send(action);
         }
         if is_final {
-            self.mailboxes.remove(&id);
+            self.action_senders.remove(&id);
         }
     }
 
@@ -240,43 +254,43 @@
     }
 }
 
-impl Ticket {
-    /// The request.
+impl RequestHandle {
+    /// The request's identifier.
     pub(super) fn id(&self) -> RequestId {
         self.id
     }
 
     /// The next action; `None` after a final one.
-    pub(super) async fn next(&mut self) -> Option<RequestAction> {
-        self.mailbox.recv().await
+    pub(super) async fn next_action(&mut self) -> Option<RequestAction> {
+        self.actions.recv().await
     }
 
-    /// The final action, all before it passed over.
-    pub(super) async fn outcome(&mut self) -> Option<RequestAction> {
+    /// Waits for the final action and skips all actions before it.
+    pub(super) async fn final_action(&mut self) -> Option<RequestAction> {
         loop {
-            let action = self.next().await?;
+            let action = self.next_action().await?;
             if action.is_final() {
                 return Some(action);
             }
         }
     }
 
-    /// Takes an event of this request in.
-    pub(super) fn handle(&self, event: RequestEvent) {
-        self.desk.handle(event);
+    /// Passes an event of this request to the request table.
+    pub(super) fn report(&self, event: RequestEvent) {
+        self.scheduler.handle(event);
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.desk.handle(RequestEvent::Cancelled(self.id));
+        self.scheduler.handle(RequestEvent::Cancelled(self.id));
     }
 }
 
-impl fmt::Debug for RequestDesk {
+impl fmt::Debug for RequestScheduler {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
-            .debug_struct("RequestDesk")
+            .debug_struct("RequestScheduler")
             .finish_non_exhaustive()
     }
 }
--- a/crates/woodladder/src/agent/shared_drain.rs
+++ b/crates/woodladder/src/agent/shared_drain.rs
@@ -1,4 +1,4 @@
-//! The drain of one agent, which all of its tasks share.
+//! The drain state machine of one agent, shared by all of its tasks.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -6,93 +6,97 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{Drain, DrainAction, DrainEvent, DrainPhase};
 
-/// How far callers are told that the agent leaves.
+/// Drain state that is announced to callers, in the order in which it advances.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Notice {
-    /// Not at all.
+pub enum DrainNotice {
+    /// Not draining.
     Serving,
-    /// Callers are asked to open no more requests; late ones are taken.
+    /// Callers are asked to open no more requests; requests that still arrive
+    /// are accepted.
     Leaving,
     /// Requests that arrive are answered as not run.
     Refusing,
-    /// No request is left.
+    /// The last request has ended.
     Drained,
 }
 
-/// The drain, and the notice that follows from it.
+/// The drain, and the notice to callers that follows from it.
 ///
-/// An event is made, handled and carried out under one lock. Otherwise a task that
-/// has counted the open requests could hand that count over after another task has
-/// handed over a later one, and a notice could take the place of a later one: the
-/// agent would then hold a request that has ended, or hide that it is drained, and
-/// would not stop before its time-out.
+/// One lock is held while an event is created and handled and its actions are
+/// carried out. Otherwise a task could count the open requests, then another
+/// task could report a later count, and the first would overwrite it with its
+/// older one; a notice could overwrite a later one in the same way. The agent
+/// would then wait for a request that has ended, or not publish that it has
+/// drained, and would stop only at its timeout.
 #[derive(Debug)]
 pub struct SharedDrain {
     drain: Mutex<Drain>,
-    notice: watch::Sender<Notice>,
+    notice: watch::Sender<DrainNotice>,
 }
 
 impl SharedDrain {
-    /// A drain that nobody has been told of.
+    /// Wraps a drain of which nothing has been announced to callers yet.
     #[must_use]
     pub fn new(drain: Drain) -> Self {
         Self {
             drain: Mutex::new(drain),
-            notice: watch::Sender::new(Notice::Serving),
+            notice: watch::Sender::new(DrainNotice::Serving),
         }
     }
 
-    /// Makes an event, takes it in, carries out what follows and tells it.
-    /// Neither closure may call this drain.
+    /// Creates an event, passes it to the drain, carries out the resulting
+    /// actions and publishes the notices. Neither closure may call this object,
+    /// because the lock is held.
     pub fn handle(
         &self,
-        event: impl FnOnce() -> DrainEvent,
+        make_event: impl FnOnce() -> DrainEvent,
         now: Instant,
         mut carry_out: impl FnMut(DrainAction),
     ) {
         let mut drain = self.lock();
-        let actions = drain.handle(event(), now);
+        let actions = drain.handle(make_event(), now);
         for action in actions {
             carry_out(action);
             self.notice.send_replace(notice(action));
         }
     }
 
-    /// How far the drain has come.
+    /// Phase of the drain.
     #[must_use]
     pub fn phase(&self) -> DrainPhase {
         self.lock().phase()
     }
 
-    /// Whether new flows are taken.
+    /// Whether new flows are accepted.
     #[must_use]
     pub fn takes_new_flows(&self) -> bool {
         self.lock().takes_new_flows()
     }
 
-    /// Whether a request that arrives now on an open connection is taken.
+    /// Whether a request that arrives now on an open connection is accepted.
     #[must_use]
     pub fn takes_new_requests(&self, now: Instant) -> bool {
         self.lock().takes_new_requests(now)
     }
 
-    /// Follows the notices to callers.
+    /// Subscribes to the notices for callers.
     #[must_use]
-    pub fn notices(&self) -> watch::Receiver<Notice> {
+    pub fn subscribe_notices(&self) -> watch::Receiver<DrainNotice> {
         self.notice.subscribe()
     }
 
     fn lock(&self) -> MutexGuard<'_, Drain> {
-        // A panic elsewhere leaves the drain as it was between events.
+        // The drain is consistent between events, so a panic in another task
+        // that held the lock does no harm.
         self.drain.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn notice(action: DrainAction) -> Notice {
+fn notice(action: DrainAction) -> DrainNotice {
     match action {
-        DrainAction::NotifyCallers => Notice::Leaving,
-        DrainAction::RefuseRequests => Notice::Refusing,
-        DrainAction::Resume => Notice::Serving,
-        DrainAction::Finish => Notice::Drained,
+        DrainAction::NotifyCallers => DrainNotice::Leaving,
+        DrainAction::RefuseRequests => DrainNotice::Refusing,
+        DrainAction::Resume => DrainNotice::Serving,
+        DrainAction::Finish => DrainNotice::Drained,
     }
 }
--- a/crates/woodladder/src/agent/socket.rs
+++ b/crates/woodladder/src/agent/socket.rs
@@ -1,7 +1,9 @@
-//! The transport's socket: envelopes in, PROXY protocol datagrams out.
+//! The transport's UDP socket: receives envelopes, sends datagrams with a PROXY
+//! header.
 //!
-//! The transport believes that it talks to callers; in truth each datagram
-//! comes from a balancer or another agent and leaves through the fabric.
+//! To the transport it looks as if it exchanged datagrams with callers
+//! directly. In fact each datagram comes from a balancer or another agent, and
+//! each one sent goes to the fabric.
 
 use std::fmt;
 use std::future::Future;
@@ -19,58 +21,60 @@
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::router::Forward;
 
-use super::counters::{Counters, DatagramDrop};
+use super::counters::{Counters, DatagramDropReason};
 use super::egress::{self, Egress};
-use super::gate::{Gate, Passage};
+use super::ingress::{Ingress, IngressAction};
 
-/// Longest datagram that the socket takes: an envelope round a full packet.
-pub(super) const MAXIMUM_DATAGRAM: u16 = 2048;
+/// Longest datagram that the socket receives, in bytes: a packet of full length
+/// in its envelope.
+pub(super) const MAXIMUM_DATAGRAM_LENGTH: u16 = 2048;
 
 /// The agent's UDP socket as the transport sees it.
 pub(super) struct AgentSocket {
     io: UdpSocket,
     envelope_key: TagKey,
-    gate: Arc<Gate>,
+    ingress: Arc<Ingress>,
     egress: Egress,
     counters: Arc<Counters>,
-    scratch: Mutex<Vec<u8>>,
+    forward_buffer: Mutex<Vec<u8>>,
 }
 
 impl AgentSocket {
     pub(super) fn new(
         io: UdpSocket,
         envelope_key: TagKey,
-        gate: Arc<Gate>,
+        ingress: Arc<Ingress>,
         egress: Egress,
         counters: Arc<Counters>,
     ) -> Self {
         Self {
             io,
             envelope_key,
-            gate,
+            ingress,
             egress,
             counters,
-            scratch: Mutex::new(Vec::with_capacity(usize::from(MAXIMUM_DATAGRAM))),
+            forward_buffer: Mutex::new(Vec::with_capacity(usize::from(MAXIMUM_DATAGRAM_LENGTH))),
         }
     }
 
-    /// Judges the datagram in `buffer`. When the transport is to see it, moves
-    /// it to the buffer's start and returns what the transport is told.
-    fn admit(&self, buffer: &mut [u8], length: usize) -> Option<RecvMeta> {
+    /// Decides on the datagram in `buffer`. If the transport gets it, moves its
+    /// payload to the start of the buffer and returns the metadata for the
+    /// transport.
+    fn process_datagram(&self, buffer: &mut [u8], length: usize) -> Option<RecvMeta> {
         let received = &buffer[..length];
         let Ok((envelope, datagram)) = Envelope::decode(&self.envelope_key, received) else {
-            self.counters.drop_datagram(DatagramDrop::BadEnvelope);
+            self.counters.count_drop(DatagramDropReason::BadEnvelope);
             return None;
         };
         let start = length - datagram.len();
-        let delivery = match self.gate.judge(envelope, datagram) {
-            Passage::Deliver(delivery) => delivery,
-            Passage::Forward(forward) => {
+        let delivery = match self.ingress.decide(envelope, datagram) {
+            IngressAction::Deliver(delivery) => delivery,
+            IngressAction::Forward(forward) => {
                 self.forward(&forward, datagram);
                 return None;
             }
-            Passage::Drop(reason) => {
-                self.counters.drop_datagram(reason);
+            IngressAction::Drop(reason) => {
+                self.counters.count_drop(reason);
                 return None;
             }
         };
@@ -85,14 +89,14 @@
     }
 
     fn forward(&self, forward: &Forward, datagram: &[u8]) {
-        let Ok(mut scratch) = self.scratch.lock() else {
+        let Ok(mut forward_buffer) = self.forward_buffer.lock() else {
             return;
         };
         forward
             .envelope
-            .encode_into(&self.envelope_key, datagram, &mut scratch);
-        if self.io.try_send_to(&scratch, forward.to).is_err() {
-            self.counters.drop_datagram(DatagramDrop::SendFailed);
+            .encode_into(&self.envelope_key, datagram, &mut forward_buffer);
+        if self.io.try_send_to(&forward_buffer, forward.to).is_err() {
+            self.counters.count_drop(DatagramDropReason::SendFailed);
         }
     }
 
@@ -100,13 +104,13 @@
         let caller = transmit.destination;
         let service_address = transmit
             .src_ip
-            .and_then(|address| self.gate.addresses().service_address(address));
+            .and_then(|address| self.ingress.addresses().service_address(address));
         let (Some(service_address), Some(egress)) =
             (service_address, self.egress.address_for(caller))
         else {
             return Err(io::ErrorKind::AddrNotAvailable.into());
         };
-        let datagram = egress::wrap(service_address, caller, transmit.contents)?;
+        let datagram = egress::add_proxy_header(service_address, caller, transmit.contents)?;
         self.io.try_send_to(&datagram, egress).map(|_| ())
     }
 }
@@ -115,17 +119,18 @@
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
         Box::pin(WritePoller {
             socket: self,
-            waiting: None,
+            writable: None,
         })
     }
 
-    /// Sends one datagram. Only a full socket is reported: the transport ends
-    /// a connection at any other error, and a lost datagram is sent again.
+    /// Sends one datagram. Only `WouldBlock` is reported, because the transport
+    /// closes a connection on any other error. A datagram that is lost here is
+    /// retransmitted.
     fn try_send(&self, transmit: &Transmit<'_>) -> io::Result<()> {
         match self.send_to_caller(transmit) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Err(error),
             Err(_) => {
-                self.counters.drop_datagram(DatagramDrop::SendFailed);
+                self.counters.count_drop(DatagramDropReason::SendFailed);
                 Ok(())
             }
             Ok(()) => Ok(()),
@@ -145,13 +150,14 @@
             match self.io.poll_recv_from(context, &mut buffer) {
                 Poll::Pending if filled == 0 => return Poll::Pending,
                 Poll::Pending => break,
-                // An error here speaks of an earlier datagram to some peer.
+                // An error here reports that an earlier datagram could not be
+                // delivered to some peer.
                 Poll::Ready(Err(_)) => continue,
                 Poll::Ready(Ok(_)) => {}
             }
             let length = buffer.filled().len();
-            if let Some(admitted) = self.admit(&mut buffers[filled], length) {
-                meta[filled] = admitted;
+            if let Some(received) = self.process_datagram(&mut buffers[filled], length) {
+                meta[filled] = received;
                 filled += 1;
             }
         }
@@ -178,21 +184,21 @@
 
 type Writable = Pin<Box<dyn Future<Output = io::Result<()>> + Send + Sync>>;
 
-/// Waits until the socket takes datagrams again; one per connection.
+/// Waits until the socket is writable again; one for each connection.
 struct WritePoller {
     socket: Arc<AgentSocket>,
-    waiting: Option<Writable>,
+    writable: Option<Writable>,
 }
 
 impl UdpPoller for WritePoller {
     fn poll_writable(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let socket = Arc::clone(&self.socket);
-        let waiting = self
-            .waiting
+        let writable = self
+            .writable
             .get_or_insert_with(|| Box::pin(async move { socket.io.writable().await }));
-        let result = waiting.as_mut().poll(context);
+        let result = writable.as_mut().poll(context);
         if result.is_ready() {
-            self.waiting = None;
+            self.writable = None;
         }
         result
     }
--- a/crates/woodladder/src/agent/stream.rs
+++ b/crates/woodladder/src/agent/stream.rs
@@ -1,10 +1,11 @@
-//! The HTTP/3 library's view of a QUIC connection.
+//! Adapts a QUIC connection to the interface of the HTTP/3 library.
 //!
-//! Unidirectional streams go through `h3-quinn`. Request streams are our own
-//! adapter, for two reasons. The agent has to know at once when a caller stops
-//! a stream that it isn't writing to, which `h3-quinn` doesn't show. And a
-//! send stream dropped before its end must be reset: `quinn` finishes it, and
-//! the caller would take a truncated answer for a whole one.
+//! Unidirectional streams use `h3-quinn`. Request streams have their own
+//! adapter, for two reasons. The agent must learn at once that a caller has
+//! stopped a stream, even while it is not writing to it, and `h3-quinn` does
+//! not expose that. And a send stream that is dropped before its end must be
+//! reset: `quinn` finishes it, and the caller would take a truncated answer for
+//! a complete one.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,53 +21,54 @@
 use tokio::io::ReadBuf;
 
 /// Bytes read from a request stream at a time.
-const READ_CHUNK: usize = 8 * 1024;
+const READ_CHUNK_LENGTH: usize = 8 * 1024;
 
 type Accepted = Result<(quinn::SendStream, quinn::RecvStream), ConnectionError>;
 type Accepting = Pin<Box<dyn Future<Output = Accepted> + Send + Sync>>;
 
-/// Ends when the caller stops a stream, when all of a finished stream has
-/// arrived, or when the connection is gone.
-pub(super) type Stopped =
+/// Completes when the caller stops a stream, when the caller has acknowledged a
+/// finished stream, or when the connection is lost.
+pub(super) type StreamEnd =
     Pin<Box<dyn Future<Output = Result<Option<VarInt>, StoppedError>> + Send + Sync>>;
 
-/// The end of the request stream that was accepted last.
+/// Holds the [`StreamEnd`] of the request stream that was accepted last.
 ///
-/// The HTTP/3 library accepts one stream at a time and shows nothing of ours
-/// in what it returns, so the end waits here until the acceptor claims it.
+/// The HTTP/3 library accepts one stream at a time and returns its own type,
+/// which does not expose the adapter's. So the future is kept here until the
+/// connection takes it.
 #[derive(Clone, Default)]
-pub(super) struct LastAccepted {
-    stopped: Arc<Mutex<Option<Stopped>>>,
+pub(super) struct LastAcceptedStream {
+    stream_end: Arc<Mutex<Option<StreamEnd>>>,
 }
 
-impl LastAccepted {
-    /// Takes the end of the stream that was accepted last.
-    pub(super) fn claim(&self) -> Option<Stopped> {
-        self.stopped.lock().ok()?.take()
+impl LastAcceptedStream {
+    /// Takes the future of the stream that was accepted last.
+    pub(super) fn take(&self) -> Option<StreamEnd> {
+        self.stream_end.lock().ok()?.take()
     }
 
-    fn replace(&self, stopped: Stopped) {
-        if let Ok(mut slot) = self.stopped.lock() {
-            *slot = Some(stopped);
+    fn replace(&self, stream_end: StreamEnd) {
+        if let Ok(mut slot) = self.stream_end.lock() {
+            *slot = Some(stream_end);
         }
     }
 }
 
-/// A caller's connection.
+/// A caller's QUIC connection.
 pub(super) struct CallerConnection {
     connection: quinn::Connection,
     streams: h3_quinn::Connection,
     accepting: Option<Accepting>,
-    last: LastAccepted,
+    last_accepted: LastAcceptedStream,
 }
 
 impl CallerConnection {
-    pub(super) fn new(connection: quinn::Connection, last: LastAccepted) -> Self {
+    pub(super) fn new(connection: quinn::Connection, last_accepted: LastAcceptedStream) -> Self {
         Self {
             streams: h3_quinn::Connection::new(connection.clone()),
             connection,
             accepting: None,
-            last,
+            last_accepted,
         }
     }
 }
@@ -94,7 +96,7 @@
         let accepted = ready!(accepting.as_mut().poll(context));
         self.accepting = None;
         let (send, receive) = accepted.map_err(connection_error)?;
-        self.last.replace(Box::pin(send.stopped()));
+        self.last_accepted.replace(Box::pin(send.stopped()));
         Poll::Ready(Ok(RequestStream {
             send: AnswerStream::new(send),
             receive: BodyStream::new(receive),
@@ -116,7 +118,7 @@
         &mut self,
         _: &mut Context<'_>,
     ) -> Poll<Result<Self::BidiStream, StreamErrorIncoming>> {
-        Poll::Ready(Err(servers_open_no_requests()))
+        Poll::Ready(Err(server_cannot_open_requests()))
     }
 
     fn poll_open_send(
@@ -144,7 +146,7 @@
         &mut self,
         _: &mut Context<'_>,
     ) -> Poll<Result<Self::BidiStream, StreamErrorIncoming>> {
-        Poll::Ready(Err(servers_open_no_requests()))
+        Poll::Ready(Err(server_cannot_open_requests()))
     }
 
     fn poll_open_send(
@@ -215,10 +217,11 @@
     }
 }
 
-/// The half that carries the answer; reset when dropped before its end.
+/// The sending half of a request stream; reset when dropped before it is
+/// finished.
 pub(super) struct AnswerStream<B: Buf> {
     stream: quinn::SendStream,
-    writing: Option<WriteBuf<B>>,
+    pending_write: Option<WriteBuf<B>>,
     ended: bool,
 }
 
@@ -226,7 +229,7 @@
     fn new(stream: quinn::SendStream) -> Self {
         Self {
             stream,
-            writing: None,
+            pending_write: None,
             ended: false,
         }
     }
@@ -234,7 +237,7 @@
 
 impl<B: Buf> quic::SendStream<B> for AnswerStream<B> {
     fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), StreamErrorIncoming>> {
-        if let Some(data) = &mut self.writing {
+        if let Some(data) = &mut self.pending_write {
             while data.has_remaining() {
                 let stream = Pin::new(&mut self.stream);
                 let written =
@@ -242,15 +245,15 @@
                 data.advance(written);
             }
         }
-        self.writing = None;
+        self.pending_write = None;
         Poll::Ready(Ok(()))
     }
 
     fn send_data<T: Into<WriteBuf<B>>>(&mut self, data: T) -> Result<(), StreamErrorIncoming> {
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             return Err(internal_error("data sent before the stream was ready"));
         }
-        self.writing = Some(data.into());
+        self.pending_write = Some(data.into());
         Ok(())
     }
 
@@ -263,7 +266,7 @@
     fn reset(&mut self, code: u64) {
         self.ended = true;
         let code = VarInt::from_u64(code).unwrap_or(VarInt::MAX);
-        // A stream that is already closed needs no reset.
+        // Fails only when the stream is closed, and then no reset is needed.
         let _ = self.stream.reset(code);
     }
 
@@ -280,7 +283,7 @@
     }
 }
 
-/// The half that carries the request's body.
+/// The receiving half of a request stream.
 pub(super) struct BodyStream {
     stream: quinn::RecvStream,
     buffer: BytesMut,
@@ -302,7 +305,7 @@
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Result<Option<Bytes>, StreamErrorIncoming>> {
-        self.buffer.resize(READ_CHUNK, 0);
+        self.buffer.resize(READ_CHUNK_LENGTH, 0);
         let mut read = ReadBuf::new(&mut self.buffer);
         ready!(self.stream.poll_read_buf(context, &mut read)).map_err(read_error)?;
         let length = read.filled().len();
@@ -314,7 +317,8 @@
 
     fn stop_sending(&mut self, code: u64) {
         let code = VarInt::from_u64(code).unwrap_or(VarInt::MAX);
-        // A stream that is already read to its end needs no stop.
+        // Fails only when the stream was read to its end, and then nothing
+        // needs to be stopped.
         let _ = self.stream.stop(code);
     }
 
@@ -334,7 +338,7 @@
     StreamId::try_from(number).expect("both libraries number streams alike")
 }
 
-fn servers_open_no_requests() -> StreamErrorIncoming {
+fn server_cannot_open_requests() -> StreamErrorIncoming {
     internal_error("a server opens no request streams")
 }
 
@@ -354,7 +358,7 @@
     }
 }
 
-fn lost(error: ConnectionError) -> StreamErrorIncoming {
+fn connection_lost(error: ConnectionError) -> StreamErrorIncoming {
     StreamErrorIncoming::ConnectionErrorIncoming {
         connection_error: connection_error(error),
     }
@@ -365,7 +369,7 @@
         ReadError::Reset(code) => StreamErrorIncoming::StreamTerminated {
             error_code: code.into_inner(),
         },
-        ReadError::ConnectionLost(error) => lost(error),
+        ReadError::ConnectionLost(error) => connection_lost(error),
         other => StreamErrorIncoming::Unknown(Box::new(other)),
     }
 }
@@ -375,7 +379,7 @@
         WriteError::Stopped(code) => StreamErrorIncoming::StreamTerminated {
             error_code: code.into_inner(),
         },
-        WriteError::ConnectionLost(error) => lost(error),
+        WriteError::ConnectionLost(error) => connection_lost(error),
         other => StreamErrorIncoming::Unknown(Box::new(other)),
     }
 }
--- a/crates/woodladder/tests/agent_support/back_end.rs
+++ b/crates/woodladder/tests/agent_support/back_end.rs
@@ -1,4 +1,4 @@
-//! A back end that tests script byte by byte.
+//! A back end whose answers a test writes byte by byte.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     exchanges: mpsc::UnboundedReceiver<Exchange>,
 }
 
-/// One request on its own connection, its head read.
+/// A request on its own connection, with its head read.
 pub struct Exchange {
     pub head: String,
     stream: TcpStream,
@@ -46,8 +46,8 @@
         Self { address, exchanges }
     }
 
-    /// A back end whose address nobody listens at.
-    pub async fn absent() -> Self {
+    /// A back end that refuses connections: nothing listens on its address.
+    pub async fn refusing_connections() -> Self {
         let listener = TcpListener::bind(ANY_PORT).await.unwrap();
         let (_, exchanges) = mpsc::unbounded_channel();
         Self {
@@ -56,8 +56,9 @@
         }
     }
 
-    /// A back end whose queue of connections is full, so that one more hangs.
-    pub async fn unaccepting() -> Self {
+    /// A back end whose backlog of connections is full, so that connecting to
+    /// it never completes.
+    pub async fn with_full_backlog() -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind(ANY_PORT).unwrap();
         let listener = socket.listen(1).unwrap();
@@ -81,7 +82,7 @@
             .unwrap()
     }
 
-    /// Whether no request has arrived that was not taken.
+    /// Whether every request that arrived was taken with `next`.
     pub fn is_idle(&mut self) -> bool {
         self.exchanges.try_recv().is_err()
     }
@@ -127,14 +128,14 @@
         self.stream.write_all(bytes).await.unwrap();
     }
 
-    /// Writes a whole answer and closes the connection.
+    /// Writes a complete answer and closes the connection.
     pub async fn answer(mut self, body: &str) {
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
         self.write(head.as_bytes()).await;
         self.write(body.as_bytes()).await;
     }
 
-    /// Begins a feed.
+    /// Writes the head of an event stream.
     pub async fn begin_feed(&mut self) {
         let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
                     transfer-encoding: chunked\r\n\r\n";
--- a/crates/woodladder/tests/agent_support/caller.rs
+++ b/crates/woodladder/tests/agent_support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP/3.
+//! An HTTP/3 client.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Opens a request and ends its body.
+    /// Sends a request with its whole body.
     pub async fn send(&self, request: Request<()>, body: &'static str) -> Stream {
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(request).await.unwrap();
@@ -59,7 +59,7 @@
         stream
     }
 
-    /// Goes on from another address, as after a change of network.
+    /// Continues from another local address, as after a change of network.
     pub fn change_address(&self) {
         let socket = UdpSocket::bind(ANY_PORT).unwrap();
         self.endpoint.rebind(socket).unwrap();
@@ -69,7 +69,8 @@
         self.send(get(path), "").await
     }
 
-    /// Whether the agent has asked for no more requests.
+    /// Sends a GET request. Fails when the agent has asked for no more
+    /// requests.
     pub async fn try_get(&self, path: &str) -> Result<Stream, StreamError> {
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(get(path)).await?;
@@ -97,16 +98,16 @@
         .unwrap()
 }
 
-/// The rest of the body, or the error that ended it.
+/// Reads the rest of the body, or returns the error that ended it.
 pub async fn body(stream: &mut Stream) -> Result<Vec<u8>, StreamError> {
     let mut whole = Vec::new();
-    while let Some(chunk) = next(stream).await? {
+    while let Some(chunk) = next_chunk(stream).await? {
         whole.extend_from_slice(&chunk);
     }
     Ok(whole)
 }
 
-pub async fn next(stream: &mut Stream) -> Result<Option<Vec<u8>>, StreamError> {
+pub async fn next_chunk(stream: &mut Stream) -> Result<Option<Vec<u8>>, StreamError> {
     let chunk = within("a part of the answer", stream.recv_data()).await?;
     Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining()).to_vec()))
 }
--- a/crates/woodladder/tests/agent_support/fabric.rs
+++ b/crates/woodladder/tests/agent_support/fabric.rs
@@ -1,5 +1,5 @@
-//! A fabric and one balancer in a task: wraps what callers send in envelopes
-//! and strips what agents send back.
+//! A fabric with one balancer, simulated in a task: puts datagrams of callers
+//! into envelopes, and takes the PROXY header off datagrams of agents.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,17 +14,17 @@
 
 use super::ANY_PORT;
 
-const DATAGRAM: usize = 4096;
+const MAXIMUM_DATAGRAM_LENGTH: usize = 4096;
 
-type Layout = Arc<ArcSwap<RoutingTable>>;
+type SharedRoutingTable = Arc<ArcSwap<RoutingTable>>;
 
-/// Changes an envelope on its way to an agent.
+/// Modifies an envelope before it is sent to an agent.
 pub type Tamper = Box<dyn Fn(&mut Envelope) + Send>;
 
 pub struct Fabric {
     pub service_address: SocketAddr,
     pub egress_address: SocketAddr,
-    layout: Arc<Mutex<Option<Layout>>>,
+    routing_table: Arc<Mutex<Option<SharedRoutingTable>>>,
     tamper: Arc<Mutex<Option<Tamper>>>,
 }
 
@@ -35,13 +35,13 @@
         let fabric = Self {
             service_address: front.local_addr().unwrap(),
             egress_address: egress.local_addr().unwrap(),
-            layout: Arc::default(),
+            routing_table: Arc::default(),
             tamper: Arc::default(),
         };
         let balancer = Balancer {
             service_address: fabric.service_address,
             keys,
-            layout: Arc::clone(&fabric.layout),
+            routing_table: Arc::clone(&fabric.routing_table),
             tamper: Arc::clone(&fabric.tamper),
         };
         tokio::spawn(balancer.run(Arc::clone(&front)));
@@ -49,8 +49,8 @@
         fabric
     }
 
-    pub fn route_by(&self, layout: &Layout) {
-        *self.layout.lock().unwrap() = Some(Arc::clone(layout));
+    pub fn set_routing_table(&self, routing_table: &SharedRoutingTable) {
+        *self.routing_table.lock().unwrap() = Some(Arc::clone(routing_table));
     }
 
     pub fn tamper(&self, tamper: Option<Tamper>) {
@@ -61,14 +61,14 @@
 struct Balancer {
     service_address: SocketAddr,
     keys: AgentKeys,
-    layout: Arc<Mutex<Option<Layout>>>,
+    routing_table: Arc<Mutex<Option<SharedRoutingTable>>>,
     tamper: Arc<Mutex<Option<Tamper>>>,
 }
 
 impl Balancer {
     async fn run(self, front: Arc<UdpSocket>) {
         let back = UdpSocket::bind(ANY_PORT).await.unwrap();
-        let mut received = [0; DATAGRAM];
+        let mut received = [0; MAXIMUM_DATAGRAM_LENGTH];
         let mut enveloped = Vec::new();
         loop {
             let (length, caller) = front.recv_from(&mut received).await.unwrap();
@@ -85,8 +85,8 @@
         datagram: &[u8],
         enveloped: &mut Vec<u8>,
     ) -> Option<SocketAddr> {
-        let layout = self.layout.lock().unwrap().clone()?;
-        let router = Router::new(layout.load_full(), self.keys.token, 2);
+        let routing_table = self.routing_table.lock().unwrap().clone()?;
+        let router = Router::new(routing_table.load_full(), self.keys.token, 2);
         let inbound = InboundDatagram {
             caller,
             service_address: self.service_address,
@@ -104,7 +104,7 @@
 }
 
 async fn deliver(egress: UdpSocket, front: Arc<UdpSocket>) {
-    let mut received = [0; DATAGRAM];
+    let mut received = [0; MAXIMUM_DATAGRAM_LENGTH];
     loop {
         let (length, _) = egress.recv_from(&mut received).await.unwrap();
         let header = Header::try_from(&received[..length]).unwrap();
--- a/crates/woodladder/tests/agent_support/mod.rs
+++ b/crates/woodladder/tests/agent_support/mod.rs
@@ -1,5 +1,5 @@
-//! A caller, a fabric with one balancer, and a scripted back end round one
-//! real agent.
+//! Test bed around real agents: HTTP/3 callers, a fabric with one balancer, and
+//! scripted back ends.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod back_end;
@@ -32,63 +32,63 @@
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const SLOTS: u16 = 7;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Agents of one service with all that is round them.
-pub struct World {
-    pub peers: Vec<Peer>,
+/// Agents of one service with their back ends, fabric and configuration.
+pub struct TestBed {
+    pub nodes: Vec<AgentNode>,
     pub fabric: Fabric,
-    pub directory: Arc<ArcSwap<RoutingTable>>,
+    pub routing_table: Arc<ArcSwap<RoutingTable>>,
     pub certificate: Certificate,
 }
 
 /// An agent and its back end.
-pub struct Peer {
+pub struct AgentNode {
     pub agent: AgentHandle,
     pub back_end: BackEnd,
     pub address: SocketAddr,
 }
 
-impl World {
+impl TestBed {
     pub async fn start(limits: Limits) -> Self {
         Self::with_back_ends(limits, vec![BackEnd::start().await]).await
     }
 
     pub async fn with_back_ends(limits: Limits, back_ends: Vec<BackEnd>) -> Self {
-        let (mut world, sockets) = Self::without_agents(back_ends.len()).await;
+        let (mut test_bed, sockets) = Self::without_agents(back_ends.len()).await;
         let addresses = sockets.iter().map(|socket| socket.local_addr().unwrap());
-        world.roll(targets(addresses, limits.slots));
+        test_bed.roll(targets(addresses, limits.slots));
         for (back_end, socket) in back_ends.into_iter().zip(sockets) {
             let address = socket.local_addr().unwrap();
-            let config = world.config(world.peers.len(), back_end.address, socket, limits);
-            world.peers.push(Peer {
+            let config = test_bed.config(test_bed.nodes.len(), back_end.address, socket, limits);
+            test_bed.nodes.push(AgentNode {
                 agent: Agent::start(config).unwrap(),
                 back_end,
                 address,
             });
         }
-        world
+        test_bed
     }
 
-    /// A world with the sockets of so many agents, none of which runs.
+    /// A test bed with bound sockets for `count` agents, none of which runs.
     pub async fn without_agents(count: usize) -> (Self, Vec<UdpSocket>) {
         let bind = |_| UdpSocket::bind(ANY_PORT).unwrap();
         let sockets: Vec<UdpSocket> = (0..count).map(bind).collect();
         let addresses = sockets.iter().map(|socket| socket.local_addr().unwrap());
         let targets = targets(addresses, SLOTS);
         let fabric = Fabric::start(keys()).await;
-        let layout = directory(Sequence(1), fabric.service_address, targets);
-        let world = Self {
-            peers: Vec::new(),
-            directory: Arc::new(ArcSwap::from_pointee(layout)),
+        let routing_table = routing_table(Sequence(1), fabric.service_address, targets);
+        let test_bed = Self {
+            nodes: Vec::new(),
+            routing_table: Arc::new(ArcSwap::from_pointee(routing_table)),
             certificate: Certificate::self_signed(&[LOCALHOST.to_owned()]).unwrap(),
             fabric,
         };
-        world.fabric.route_by(&world.directory);
-        (world, sockets)
+        test_bed.fabric.set_routing_table(&test_bed.routing_table);
+        (test_bed, sockets)
     }
 
-    /// Settings of the agent of the target at this position.
+    /// Configuration of the agent of the target at this position.
     pub fn config(
         &self,
         position: usize,
@@ -109,17 +109,17 @@
                 key: self.certificate.key.clone_key(),
             },
             limits,
-            directory: Arc::clone(&self.directory),
+            directory: Arc::clone(&self.routing_table),
             logger: slog::Logger::root(slog::Discard, slog::o!()),
         }
     }
 
     pub fn agent(&self) -> &AgentHandle {
-        &self.peers[0].agent
+        &self.nodes[0].agent
     }
 
     pub fn back_end(&mut self) -> &mut BackEnd {
-        &mut self.peers[0].back_end
+        &mut self.nodes[0].back_end
     }
 
     pub async fn caller(&self) -> Caller {
@@ -130,34 +130,35 @@
         Caller::connect(self.fabric.service_address, &self.certificate.chain).await
     }
 
-    /// What a balancer has whose bundle holds only the target at `position`.
-    pub fn older_layout(&self, position: usize) -> Arc<ArcSwap<RoutingTable>> {
+    /// Routing table of a balancer whose bundle holds only the target at
+    /// `position`.
+    pub fn routing_table_with_only(&self, position: usize) -> Arc<ArcSwap<RoutingTable>> {
         let mut targets = targets(self.addresses(), SLOTS);
         let target = targets.swap_remove(position);
-        let layout = directory(Sequence(1), self.fabric.service_address, vec![target]);
-        Arc::new(ArcSwap::from_pointee(layout))
+        let routing_table = routing_table(Sequence(1), self.fabric.service_address, vec![target]);
+        Arc::new(ArcSwap::from_pointee(routing_table))
     }
 
-    /// Puts a bundle in force in which the first target leaves.
-    pub fn roll_first_leaving(&self) {
+    /// Puts a bundle in force that lists the first target as leaving.
+    pub fn roll_first_target_leaving(&self) {
         let mut targets = targets(self.addresses(), SLOTS);
         targets[0].state = TargetState::Leaving;
         self.roll(targets);
     }
 
-    /// Puts a bundle in force whose targets have so many slots.
-    pub fn roll_slots(&self, slots: u16) {
+    /// Puts a bundle in force whose targets have `slots` slots each.
+    pub fn roll_with_slots(&self, slots: u16) {
         self.roll(targets(self.addresses(), slots));
     }
 
     fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.peers.iter().map(|peer| peer.address)
+        self.nodes.iter().map(|node| node.address)
     }
 
     fn roll(&self, targets: Vec<Target>) {
-        let sequence = self.directory.load().sequence().next();
-        let layout = directory(sequence, self.fabric.service_address, targets);
-        self.directory.store(Arc::new(layout));
+        let sequence = self.routing_table.load().sequence().next();
+        let routing_table = routing_table(sequence, self.fabric.service_address, targets);
+        self.routing_table.store(Arc::new(routing_table));
     }
 }
 
@@ -194,7 +195,7 @@
 }
 
 /// A directory of one service with these targets.
-fn directory(sequence: Sequence, service: SocketAddr, targets: Vec<Target>) -> RoutingTable {
+fn routing_table(sequence: Sequence, service: SocketAddr, targets: Vec<Target>) -> RoutingTable {
     let bundle = Bundle {
         version: sequence.0,
         deployment: "test".to_owned(),
@@ -214,19 +215,22 @@
     RoutingTable::new(sequence, &snapshot)
 }
 
-/// Waits until a condition holds; fails the test when it never does.
+/// Waits until a condition holds; panics after [`TIMEOUT`].
 pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "never came true: {what}");
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    assert!(
+        waited.is_ok(),
+        "condition not met within {TIMEOUT:?}: {what}"
+    );
 }
 
-/// Waits for a future; fails the test when it never ends.
+/// Waits for a future; panics after [`TIMEOUT`].
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
-    let waited = tokio::time::timeout(PATIENCE, future).await;
-    waited.unwrap_or_else(|_| panic!("never ended: {what}"))
+    let waited = tokio::time::timeout(TIMEOUT, future).await;
+    waited.unwrap_or_else(|_| panic!("not finished within {TIMEOUT:?}: {what}"))
 }
--- a/crates/woodladder/tests/shared_drain.rs
+++ b/crates/woodladder/tests/shared_drain.rs
@@ -1,26 +1,29 @@
-//! Two tasks that end their requests at the same moment, while the agent leaves.
+//! Guards against an agent that never reports that it has drained: two tasks
+//! end their requests at the same moment, and the older count of open requests
+//! must not overwrite the newer one.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc;
 use std::thread;
 use std::time::Duration;
 
-use woodladder::agent::{Notice, SharedDrain};
+use woodladder::agent::{DrainNotice, SharedDrain};
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{
     Activity, DEFAULT_DRAIN_GRACE, Drain, DrainEvent, DrainPhase, DrainReason,
 };
 
-/// Time that a task which has counted gives the other to hand its count over first.
-/// It passes in full where that is impossible, as it should be.
-const CHANCE: Duration = Duration::from_millis(200);
+/// How long the first task, after it has counted, lets the second one try to
+/// report before it. Since the drain's lock prevents that, the test always
+/// waits for the whole time.
+const SECOND_REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn after_grace() -> Instant {
     Instant::from_origin(DEFAULT_DRAIN_GRACE + Duration::from_secs(1))
 }
 
 #[test]
-fn a_count_of_requests_never_takes_the_place_of_a_later_one() {
+fn an_older_request_count_never_overwrites_a_newer_one() {
     let drain = SharedDrain::new(Drain::new(DEFAULT_DRAIN_GRACE));
     let begin = || DrainEvent::AddReason(DrainReason::Signal);
     drain.handle(begin, Instant::ORIGIN, |_| {});
@@ -33,22 +36,22 @@
     };
     drain.handle(count, Instant::ORIGIN, |_| {});
 
-    let (has_counted, counted) = mpsc::channel();
-    let (has_handed_over, handed_over) = mpsc::channel();
-    let (shared, left) = (&drain, &requests);
+    let (count_done, first_counted) = mpsc::channel();
+    let (report_done, second_reported) = mpsc::channel();
+    let (shared, open_requests) = (&drain, &requests);
     thread::scope(|scope| {
         scope.spawn(move || {
-            counted.recv().expect("the first counts");
-            left.fetch_sub(1, Ordering::AcqRel);
+            first_counted.recv().expect("the first counts");
+            open_requests.fetch_sub(1, Ordering::AcqRel);
             shared.handle(count, Instant::ORIGIN, |_| {});
-            // The first may have stopped waiting.
-            let _ = has_handed_over.send(());
+            // Fails when the first task has stopped waiting.
+            let _ = report_done.send(());
         });
         requests.fetch_sub(1, Ordering::AcqRel);
         let first = || {
             let event = count();
-            has_counted.send(()).expect("the second waits");
-            let _ = handed_over.recv_timeout(CHANCE);
+            count_done.send(()).expect("the second waits");
+            let _ = second_reported.recv_timeout(SECOND_REPORT_TIMEOUT);
             event
         };
         drain.handle(first, Instant::ORIGIN, |_| {});
@@ -56,5 +59,5 @@
     drain.handle(|| DrainEvent::Tick, after_grace(), |_| {});
 
     assert_eq!(drain.phase(), DrainPhase::Drained);
-    assert_eq!(*drain.notices().borrow(), Notice::Drained);
+    assert_eq!(*drain.subscribe_notices().borrow(), DrainNotice::Drained);
 }
