--- a/crates/woodladder/src/balancer/counters.rs
+++ b/crates/woodladder/src/balancer/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of the packet path: one set for each worker, so that no two
-//! threads write the same cache line.
+//! Counters of the packet path. Each worker has its own set, so that no two
+//! threads write to the same cache line.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,13 +12,13 @@
 pub enum PacketDropReason {
     /// Its PROXY header is malformed.
     MalformedProxyHeader,
-    /// Its PROXY header speaks of no datagram between IP addresses.
+    /// Its PROXY header does not describe a datagram between two IP addresses.
     NotProxied,
     /// No bundle is in force yet.
     NoBundle,
-    /// It is not a packet of the transport.
+    /// It holds no QUIC packet.
     MalformedPacket,
-    /// No service has the address.
+    /// No service has its destination address.
     UnknownService,
     /// Its token is not valid, and it cannot open a flow.
     InvalidToken,
@@ -26,20 +26,20 @@
     WrongService,
     /// The service has no target.
     NoTarget,
-    /// The socket did not take it.
+    /// Sending it failed.
     SendFailed,
 }
 
-const DROP_KINDS: usize = PacketDropReason::ALL.len();
+const DROP_REASONS: usize = PacketDropReason::ALL.len();
 
-/// Figures of all workers together.
+/// Totals over all workers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PacketCounts {
     /// Datagrams received.
     pub received: u64,
     /// Datagrams sent to agents.
     pub forwarded: u64,
-    dropped: [u64; DROP_KINDS],
+    dropped: [u64; DROP_REASONS],
 }
 
 /// Counters of one worker; only that worker writes them.
@@ -48,11 +48,11 @@
 pub(super) struct WorkerCounters {
     received: AtomicU64,
     forwarded: AtomicU64,
-    dropped: [AtomicU64; DROP_KINDS],
+    dropped: [AtomicU64; DROP_REASONS],
 }
 
 impl PacketDropReason {
-    /// Every reason.
+    /// All reasons, in declaration order.
     pub const ALL: [Self; 9] = [
         Self::MalformedProxyHeader,
         Self::NotProxied,
@@ -65,7 +65,7 @@
         Self::SendFailed,
     ];
 
-    /// Name in figures.
+    /// Name in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -112,20 +112,20 @@
 }
 
 impl WorkerCounters {
-    pub(super) fn received(&self) {
+    pub(super) fn count_received(&self) {
         increment(&self.received);
     }
 
-    pub(super) fn forwarded(&self) {
+    pub(super) fn count_forwarded(&self) {
         increment(&self.forwarded);
     }
 
-    pub(super) fn dropped(&self, reason: PacketDropReason) {
+    pub(super) fn count_dropped(&self, reason: PacketDropReason) {
         increment(&self.dropped[reason as usize]);
     }
 
-    /// Adds this worker's figures to a sum.
-    pub(super) fn add_to(&self, counts: &mut PacketCounts) {
+    /// Adds this worker's counts to the totals.
+    pub(super) fn add_totals(&self, counts: &mut PacketCounts) {
         counts.received += self.received.load(Ordering::Relaxed);
         counts.forwarded += self.forwarded.load(Ordering::Relaxed);
         for (sum, counter) in counts.dropped.iter_mut().zip(&self.dropped) {
@@ -134,7 +134,8 @@
     }
 }
 
-/// One writer only, so a plain load and store do.
+/// Increments without an atomic read-modify-write: only one thread writes to
+/// the counter.
 fn increment(counter: &AtomicU64) {
     let value = counter.load(Ordering::Relaxed);
     counter.store(value.wrapping_add(1), Ordering::Relaxed);
--- a/crates/woodladder/src/balancer/mod.rs
+++ b/crates/woodladder/src/balancer/mod.rs
@@ -1,5 +1,5 @@
-//! The balancer: datagrams in from the fabric, one decision, datagrams out to
-//! agents. It keeps no state per flow.
+//! The balancer: receives datagrams from the fabric, chooses an agent for each,
+//! and sends them on in envelopes. It keeps no state per flow.
 
 mod counters;
 mod packet_path;
@@ -10,4 +10,4 @@
 
 pub use counters::{PacketCounts, PacketDropReason};
 pub use packet_path::{PacketPath, PacketPathConfig};
-pub use proxy_header::{ProxyHeaderError, parse};
+pub use proxy_header::{ProxyHeaderError, parse_proxy_header};
--- a/crates/woodladder/src/balancer/packet_path.rs
+++ b/crates/woodladder/src/balancer/packet_path.rs
@@ -1,4 +1,5 @@
-//! All workers together.
+//! The packet path of a balancer: its workers, their sockets and their
+//! counters.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,24 +16,26 @@
 use super::worker::Worker;
 use crate::process::{StopSignal, StopSwitch};
 
-/// What the packet path is started with.
+/// Configuration of the packet path.
 pub struct PacketPathConfig {
-    /// Address for datagrams from the fabric.
+    /// Address that receives datagrams from the fabric.
     pub listen: SocketAddr,
     /// Number of workers, at least one.
     pub workers: usize,
-    /// Bytes asked for as each socket's buffers.
+    /// Size requested for each socket's receive buffer and send buffer, in
+    /// bytes.
     pub socket_buffer_bytes: usize,
-    /// Decides about each datagram; replaced when a roll comes into force, and
-    /// absent before the first.
+    /// Chooses the agent for each datagram. Replaced when a roll comes into
+    /// force or targets become available or unavailable; `None` before the
+    /// first roll.
     pub router: Arc<ArcSwapOption<Router>>,
     /// Key of the envelopes to agents.
     pub envelope_key: TagKey,
-    /// Where faults are logged.
+    /// Logger for failures of workers.
     pub logger: Logger,
 }
 
-/// Running workers; they end when it is dropped.
+/// Running workers. Dropping it stops them and waits for their threads to end.
 pub struct PacketPath {
     address: SocketAddr,
     counters: Vec<Arc<WorkerCounters>>,
@@ -44,7 +47,8 @@
     /// Binds the sockets and starts the workers.
     ///
     /// # Errors
-    /// The system's error when a socket or a thread cannot be had.
+    /// The system's error when a socket cannot be bound or a thread cannot be
+    /// started.
     pub fn start(config: &PacketPathConfig) -> io::Result<Self> {
         let sockets = socket::bind(config.listen, config.workers, config.socket_buffer_bytes)?;
         let address = match sockets.first() {
@@ -76,24 +80,25 @@
         Ok(path)
     }
 
-    /// Address that the workers receive on.
+    /// Address that the workers receive datagrams on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a worker has failed.
+    /// Whether the thread of a worker has ended, which before a stop happens
+    /// only when the worker has failed.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.threads.iter().any(JoinHandle::is_finished)
     }
 
-    /// Figures of all workers together.
+    /// Totals over all workers.
     #[must_use]
     pub fn counts(&self) -> PacketCounts {
         let mut counts = PacketCounts::default();
         for counters in &self.counters {
-            counters.add_to(&mut counts);
+            counters.add_totals(&mut counts);
         }
         counts
     }
--- a/crates/woodladder/src/balancer/proxy_header.rs
+++ b/crates/woodladder/src/balancer/proxy_header.rs
@@ -1,8 +1,8 @@
 //! The PROXY protocol header (version 2) that the fabric puts before each
 //! datagram.
 //!
-//! Source: HAProxy Technologies, "The PROXY protocol, versions 1 & 2",
-//! section 2.2. The header is read by a library and nothing is copied.
+//! Specification: HAProxy Technologies, "The PROXY protocol, versions 1 & 2",
+//! section 2.2. The `ppp` library parses the header without copying.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,20 +10,21 @@
 use ppp::v2::{Addresses, Command, Header, Protocol};
 use woodladder_core::packets::router::InboundDatagram;
 
-/// Why a datagram's header is not accepted.
+/// Why a datagram's PROXY header is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProxyHeaderError {
-    /// It is not a header of version 2, or it is cut short.
+    /// It is no header of version 2, or it is truncated.
     Malformed,
-    /// It does not speak of a datagram between two IP addresses.
+    /// It does not describe a datagram between two IP addresses.
     NotProxied,
 }
 
-/// Reads the header and finds the caller's datagram behind it.
+/// Parses the header and returns the addresses in it and the caller's datagram
+/// that follows it.
 ///
 /// # Errors
-/// [`ProxyHeaderError`] when the header is not accepted.
-pub fn parse(bytes: &[u8]) -> Result<InboundDatagram<'_>, ProxyHeaderError> {
+/// [`ProxyHeaderError`] when the header is rejected.
+pub fn parse_proxy_header(bytes: &[u8]) -> Result<InboundDatagram<'_>, ProxyHeaderError> {
     let header = Header::try_from(bytes).map_err(|_| ProxyHeaderError::Malformed)?;
     if header.command != Command::Proxy || header.protocol != Protocol::Datagram {
         return Err(ProxyHeaderError::NotProxied);
@@ -58,7 +59,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Malformed => "the PROXY header is malformed",
-            Self::NotProxied => "the PROXY header speaks of no datagram between IP addresses",
+            Self::NotProxied => {
+                "the PROXY header does not describe a datagram between two IP addresses"
+            }
         })
     }
 }
--- a/crates/woodladder/src/balancer/receive.rs
+++ b/crates/woodladder/src/balancer/receive.rs
@@ -1,4 +1,4 @@
-//! Batched receiving into buffers that are made once.
+//! Receives datagrams in batches, into buffers that are allocated once.
 
 use std::io::{self, IoSliceMut};
 
@@ -6,32 +6,33 @@
 use tokio::io::Interest;
 use tokio::net::UdpSocket;
 
-/// Longest payload that the system hands over in one buffer: datagrams that it
-/// coalesced included.
-const MAXIMUM_PAYLOAD: usize = 65_535;
-/// Distance between buffers. Not a power of two, so that the starts of the
-/// buffers do not compete for the same cache sets.
-const BUFFER_STRIDE: usize = MAXIMUM_PAYLOAD + 1 + 1344;
+/// Longest payload that the system returns in one buffer, in bytes. A buffer
+/// may hold several datagrams that the system has coalesced.
+const MAXIMUM_PAYLOAD_LENGTH: usize = 65_535;
+/// Distance between the starts of two buffers, in bytes. It is not a power of
+/// two, so that these starts do not map to the same cache sets.
+const BUFFER_STRIDE_BYTES: usize = MAXIMUM_PAYLOAD_LENGTH + 1 + 1344;
 
-/// Buffers for one batch.
-pub(super) struct Receiver {
+/// A receive state with buffers for one batch.
+pub(super) struct BatchReceiver {
     state: UdpSocketState,
     memory: Box<[u8]>,
     meta: [RecvMeta; BATCH_SIZE],
 }
 
-impl Receiver {
+impl BatchReceiver {
     pub(super) fn new(socket: &UdpSocket) -> io::Result<Self> {
         Ok(Self {
             state: UdpSocketState::new(UdpSockRef::from(socket))?,
-            memory: vec![0; BUFFER_STRIDE * BATCH_SIZE].into_boxed_slice(),
+            memory: vec![0; BUFFER_STRIDE_BYTES * BATCH_SIZE].into_boxed_slice(),
             meta: [RecvMeta::default(); BATCH_SIZE],
         })
     }
 
-    /// Receives a batch without waiting; gives the number of filled buffers.
-    pub(super) fn receive(&mut self, socket: &UdpSocket) -> io::Result<usize> {
-        let mut chunks = self.memory.chunks_exact_mut(BUFFER_STRIDE);
+    /// Receives a batch without waiting and returns the number of filled
+    /// buffers.
+    pub(super) fn receive_batch(&mut self, socket: &UdpSocket) -> io::Result<usize> {
+        let mut chunks = self.memory.chunks_exact_mut(BUFFER_STRIDE_BYTES);
         let mut buffers: [IoSliceMut<'_>; BATCH_SIZE] =
             std::array::from_fn(|_| IoSliceMut::new(chunks.next().unwrap_or_default()));
         let state = &self.state;
@@ -41,9 +42,9 @@
         })
     }
 
-    /// The datagrams of the first `filled` buffers.
+    /// The datagrams in the first `filled` buffers, with coalesced ones split.
     pub(super) fn datagrams(&self, filled: usize) -> impl Iterator<Item = &[u8]> {
-        let chunks = self.memory.chunks_exact(BUFFER_STRIDE);
+        let chunks = self.memory.chunks_exact(BUFFER_STRIDE_BYTES);
         let buffers = chunks.zip(&self.meta).take(filled);
         buffers.flat_map(|(chunk, meta)| {
             let payload = chunk.get(..meta.len).unwrap_or_default();
--- a/crates/woodladder/src/balancer/worker.rs
+++ b/crates/woodladder/src/balancer/worker.rs
@@ -13,13 +13,13 @@
 
 use super::counters::{PacketDropReason, WorkerCounters};
 use super::proxy_header;
-use super::receive::Receiver;
+use super::receive::BatchReceiver;
 use crate::process::StopSignal;
 
-/// Longest datagram that is forwarded, envelope included.
-const SEND_CAPACITY: usize = 65_535 + MAXIMUM_OVERHEAD_LENGTH;
+/// Longest datagram that is sent to an agent, in bytes, envelope included.
+const MAXIMUM_SENT_DATAGRAM_LENGTH: usize = 65_535 + MAXIMUM_OVERHEAD_LENGTH;
 
-/// What a worker works with.
+/// A worker before its thread runs.
 pub(super) struct Worker {
     pub(super) router: Arc<ArcSwapOption<Router>>,
     pub(super) envelope_key: TagKey,
@@ -28,7 +28,7 @@
 }
 
 impl Worker {
-    /// Forwards until a stop is asked for.
+    /// Forwards datagrams until a stop is requested.
     pub(super) fn run(self, socket: StandardSocket, stop: StopSignal) {
         let logger = self.logger.clone();
         let result = tokio::runtime::Builder::new_current_thread()
@@ -42,16 +42,16 @@
 
     async fn forward_all(self, socket: StandardSocket, mut stop: StopSignal) -> io::Result<()> {
         let socket = UdpSocket::from_std(socket)?;
-        let mut receiver = Receiver::new(&socket)?;
-        let mut buffer = Vec::with_capacity(SEND_CAPACITY);
+        let mut receiver = BatchReceiver::new(&socket)?;
+        let mut buffer = Vec::with_capacity(MAXIMUM_SENT_DATAGRAM_LENGTH);
         loop {
             tokio::select! {
                 readable = socket.readable() => readable?,
                 () = stop.wait_until_requested() => return Ok(()),
             }
-            match receiver.receive(&socket) {
+            match receiver.receive_batch(&socket) {
                 Ok(filled) => self.forward_batch(&socket, &receiver, filled, &mut buffer),
-                Err(error) if is_passing(&error) => {}
+                Err(error) if is_transient(&error) => {}
                 Err(error) => return Err(error),
             }
         }
@@ -60,16 +60,16 @@
     fn forward_batch(
         &self,
         socket: &UdpSocket,
-        receiver: &Receiver,
+        receiver: &BatchReceiver,
         filled: usize,
         buffer: &mut Vec<u8>,
     ) {
         let router = self.router.load();
         for datagram in receiver.datagrams(filled) {
-            self.counters.received();
+            self.counters.count_received();
             match self.forward(socket, router.as_deref(), datagram, buffer) {
-                Ok(()) => self.counters.forwarded(),
-                Err(reason) => self.counters.dropped(reason),
+                Ok(()) => self.counters.count_forwarded(),
+                Err(reason) => self.counters.count_dropped(reason),
             }
         }
     }
@@ -81,7 +81,7 @@
         datagram: &[u8],
         buffer: &mut Vec<u8>,
     ) -> Result<(), PacketDropReason> {
-        let inbound = proxy_header::parse(datagram)?;
+        let inbound = proxy_header::parse_proxy_header(datagram)?;
         let router = router.ok_or(PacketDropReason::NoBundle)?;
         let forward = router.route(&inbound)?;
         forward
@@ -94,8 +94,8 @@
     }
 }
 
-/// Whether receiving may go on after this error.
-fn is_passing(error: &io::Error) -> bool {
+/// Whether receiving can continue after this error.
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock
--- a/crates/woodladder/tests/balancer.rs
+++ b/crates/woodladder/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The packet path over real sockets.
+//! Tests the packet path of a balancer over real sockets.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -19,12 +19,12 @@
 use woodladder_core::packets::token::{TOKEN_NONCE_LENGTH, TokenKey, TokenKeys};
 use woodladder_core::signature::OperatorKey;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const ENVELOPE_SECRET: [u8; 16] = [7; 16];
 const TARGET: TargetId = TargetId(12);
 const SERVICE: ServiceId = ServiceId(1);
 
-struct Bench {
+struct TestBench {
     path: PacketPath,
     router: Arc<ArcSwapOption<Router>>,
     agent: UdpSocket,
@@ -45,10 +45,10 @@
     address("10.0.0.1:4433")
 }
 
-impl Bench {
+impl TestBench {
     fn start(workers: usize) -> std::io::Result<Self> {
         let agent = UdpSocket::bind("127.0.0.1:0")?;
-        agent.set_read_timeout(Some(PATIENCE))?;
+        agent.set_read_timeout(Some(TIMEOUT))?;
         let router = Arc::new(ArcSwapOption::empty());
         let path = PacketPath::start(&PacketPathConfig {
             listen: address("127.0.0.1:0"),
@@ -74,7 +74,7 @@
         })
     }
 
-    fn install(&self) -> std::io::Result<()> {
+    fn install_router(&self) -> std::io::Result<()> {
         let bundle = Bundle {
             version: 1,
             deployment: "test".to_owned(),
@@ -100,9 +100,9 @@
         let signed = SignedBundle::sign(bundle, &OperatorKey::from_bytes([3; 32]));
         let snapshot =
             Snapshot::following(None, signed, 0, Duration::ZERO).map_err(std::io::Error::other)?;
-        let directory = Arc::new(RoutingTable::new(Sequence(5), &snapshot));
+        let routing_table = Arc::new(RoutingTable::new(Sequence(5), &snapshot));
         self.router
-            .store(Some(Arc::new(Router::new(directory, self.keys, 2))));
+            .store(Some(Arc::new(Router::new(routing_table, self.keys, 2))));
         Ok(())
     }
 
@@ -121,8 +121,8 @@
         self.fabric.send_to(bytes, self.path.address()).map(drop)
     }
 
-    /// What the agent gets next.
-    fn at_agent(&self) -> std::io::Result<(Envelope, Vec<u8>)> {
+    /// Receives the next datagram that is sent to the agent.
+    fn receive_at_agent(&self) -> std::io::Result<(Envelope, Vec<u8>)> {
         let mut buffer = [0; 4096];
         let length = self.agent.recv(&mut buffer)?;
         let (envelope, datagram) =
@@ -135,7 +135,7 @@
         let start = Instant::now();
         while self.path.counts().dropped(reason) < count {
             assert!(
-                start.elapsed() < PATIENCE,
+                start.elapsed() < TIMEOUT,
                 "{reason:?}: {:?}",
                 self.path.counts()
             );
@@ -144,7 +144,7 @@
         assert_eq!(self.path.counts().dropped(reason), count);
     }
 
-    fn established(&self) -> Vec<u8> {
+    fn established_packet(&self) -> Vec<u8> {
         let token = self.keys.issue(TARGET, [1; TOKEN_NONCE_LENGTH]);
         let mut packet = vec![0x40];
         packet.extend_from_slice(&token);
@@ -163,11 +163,11 @@
 
 #[test]
 fn packets_reach_the_agent_that_their_token_names() -> std::io::Result<()> {
-    let bench = Bench::start(2)?;
-    bench.install()?;
-    let packet = bench.established();
+    let bench = TestBench::start(2)?;
+    bench.install_router()?;
+    let packet = bench.established_packet();
     bench.send(service_address(), &packet)?;
-    let (envelope, datagram) = bench.at_agent()?;
+    let (envelope, datagram) = bench.receive_at_agent()?;
     assert_eq!(datagram, packet);
     assert_eq!(envelope.route, Route::Established(TARGET));
     assert_eq!(envelope.caller, caller());
@@ -178,10 +178,10 @@
 
 #[test]
 fn first_packets_carry_a_hop_list() -> std::io::Result<()> {
-    let bench = Bench::start(1)?;
-    bench.install()?;
+    let bench = TestBench::start(1)?;
+    bench.install_router()?;
     bench.send(service_address(), &first_packet())?;
-    let (envelope, datagram) = bench.at_agent()?;
+    let (envelope, datagram) = bench.receive_at_agent()?;
     assert_eq!(datagram.len(), 1200);
     assert_eq!(envelope.target(), Some(TARGET));
     assert!(matches!(envelope.route, Route::NewFlow(first) if first.must_decide));
@@ -190,7 +190,7 @@
 
 #[test]
 fn before_the_first_bundle_packets_are_dropped_and_counted() -> std::io::Result<()> {
-    let bench = Bench::start(1)?;
+    let bench = TestBench::start(1)?;
     bench.send(service_address(), &first_packet())?;
     bench.wait_for_drops(PacketDropReason::NoBundle, 1);
     Ok(())
@@ -198,8 +198,8 @@
 
 #[test]
 fn malformed_datagrams_are_dropped_counted_and_do_no_harm() -> std::io::Result<()> {
-    let bench = Bench::start(1)?;
-    bench.install()?;
+    let bench = TestBench::start(1)?;
+    bench.install_router()?;
     let header = Builder::with_addresses(
         Version::Two | Command::Proxy,
         Protocol::Datagram,
@@ -221,13 +221,13 @@
     bench.send(service_address(), &[])?;
     bench.send(service_address(), &[0xc0, 0, 0])?;
     bench.wait_for_drops(PacketDropReason::MalformedPacket, 2);
-    bench.send(address("10.9.9.9:1"), &bench.established())?;
+    bench.send(address("10.9.9.9:1"), &bench.established_packet())?;
     bench.wait_for_drops(PacketDropReason::UnknownService, 1);
-    let mut forged = bench.established();
+    let mut forged = bench.established_packet();
     forged[3] ^= 1;
     bench.send(service_address(), &forged)?;
     bench.wait_for_drops(PacketDropReason::InvalidToken, 1);
-    bench.send(service_address(), &bench.established())?;
-    assert_eq!(bench.at_agent()?.1, bench.established());
+    bench.send(service_address(), &bench.established_packet())?;
+    assert_eq!(bench.receive_at_agent()?.1, bench.established_packet());
     Ok(())
 }
--- a/crates/woodladder/tests/datagrams.rs
+++ b/crates/woodladder/tests/datagrams.rs
@@ -1,25 +1,26 @@
-//! Datagrams as bytes: what the readers of PROXY headers, QUIC headers and
-//! envelopes make of them. Each case states its layer, bytes and result.
+//! Parses datagrams from case files with the parsers of PROXY headers, QUIC
+//! headers and envelopes. Each case states the parser, the bytes and the
+//! expected result.
 
 use std::path::Path;
 
 use serde::Deserialize;
-use woodladder::balancer::parse;
+use woodladder::balancer::parse_proxy_header;
 use woodladder_core::packets::envelope::Envelope;
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::packets::quic_header::parse_header;
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
-/// Key that the cases' envelopes are tagged with.
+/// Key that authenticates the envelopes in the cases.
 const ENVELOPE_KEY: [u8; 16] = [7; 16];
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
     layer: Layer,
-    /// Bytes in hexadecimal digits; white space is ignored.
+    /// Bytes in hexadecimal; white space is ignored.
     hex: String,
-    /// Length to fill up to with zeros.
+    /// Length in bytes to which the datagram is padded with zeros.
     #[serde(default)]
     filled_to: usize,
     expect: String,
@@ -51,7 +52,7 @@
 }
 
 fn read_proxy(bytes: &[u8]) -> Result<String, String> {
-    let inbound = parse(bytes).map_err(|error| error.to_string())?;
+    let inbound = parse_proxy_header(bytes).map_err(|error| error.to_string())?;
     Ok(format!(
         "{} to {}, {} bytes",
         inbound.caller,
--- a/crates/woodladder/tests/proxy_header.rs
+++ b/crates/woodladder/tests/proxy_header.rs
@@ -1,7 +1,7 @@
-//! Reading of the PROXY header under arbitrary input.
+//! Property tests of the PROXY header parser with arbitrary input.
 
 use proptest::prelude::*;
-use woodladder::balancer::parse;
+use woodladder::balancer::parse_proxy_header;
 
 const SIGNATURE: &[u8] = b"\r\n\r\n\0\r\nQUIT\n";
 const VERSION_2_PROXY: u8 = 0x21;
@@ -10,7 +10,7 @@
 proptest! {
     #[test]
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
-        let _ = parse(&bytes);
+        let _ = parse_proxy_header(&bytes);
     }
 
     #[test]
@@ -18,7 +18,7 @@
         rest in prop::collection::vec(any::<u8>(), 0..256),
     ) {
         let bytes = [SIGNATURE, &rest].concat();
-        if let Ok(inbound) = parse(&bytes) {
+        if let Ok(inbound) = parse_proxy_header(&bytes) {
             prop_assert!(bytes.ends_with(inbound.datagram));
         }
     }
@@ -40,7 +40,7 @@
         bytes.extend_from_slice(&service.1.to_be_bytes());
         bytes.extend_from_slice(&options);
         bytes.extend_from_slice(&datagram);
-        let inbound = parse(&bytes);
+        let inbound = parse_proxy_header(&bytes);
         prop_assert!(inbound.is_ok());
         if let Ok(inbound) = inbound {
             prop_assert_eq!(inbound.caller, caller.into());
--- a/crates/woodladder/tests/steady_path.rs
+++ b/crates/woodladder/tests/steady_path.rs
@@ -1,13 +1,13 @@
-//! The steady path of a balancer takes no memory from the allocator: reading
-//! the PROXY header, deciding, and writing the envelope of a packet whose flow
-//! is established.
+//! A balancer must not allocate memory while it forwards a packet of an
+//! established flow: parsing the PROXY header, choosing the agent, and writing
+//! the envelope.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use ppp::v2::{Builder, Command, Protocol, Version};
-use woodladder::balancer::parse;
+use woodladder::balancer::parse_proxy_header;
 use woodladder_core::configuration::bundle::{
     Bundle, Service, SignedBundle, Target, TargetState, Zone,
 };
@@ -57,8 +57,8 @@
     };
     let signed = SignedBundle::sign(bundle, &OperatorKey::from_bytes([3; 32]));
     let snapshot = Snapshot::following(None, signed, 0, Duration::ZERO)?;
-    let directory = Arc::new(RoutingTable::new(Sequence(1), &snapshot));
-    Ok(Router::new(directory, keys(), 2))
+    let routing_table = Arc::new(RoutingTable::new(Sequence(1), &snapshot));
+    Ok(Router::new(routing_table, keys(), 2))
 }
 
 fn established_packet(service_address: SocketAddr) -> Result<Vec<u8>, Box<dyn std::error::Error>> {
@@ -86,7 +86,9 @@
     let mut forwarded = 0;
     let allocations = allocation_counter::measure(|| {
         for _ in 0..PACKETS {
-            let Ok(inbound) = parse(&packet) else { return };
+            let Ok(inbound) = parse_proxy_header(&packet) else {
+                return;
+            };
             let Ok(forward) = router.route(&inbound) else {
                 return;
             };
