--- a/crates/woodladder/src/control/clock.rs
+++ b/crates/woodladder/src/control/clock.rs
@@ -1,10 +1,10 @@
-//! The process's clock, as the core wants it.
+//! The core's monotonic clock, based on the system's.
 
 use std::time::Instant as SystemInstant;
 
 use woodladder_core::clock::Instant;
 
-/// A monotonic clock whose origin is its creation.
+/// A monotonic clock that counts from its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: SystemInstant,
@@ -17,7 +17,7 @@
 }
 
 impl ProcessClock {
-    /// A clock that begins now.
+    /// Creates a clock whose origin is now.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -25,13 +25,13 @@
         }
     }
 
-    /// The time now.
+    /// Time since the origin.
     #[must_use]
     pub fn now(&self) -> Instant {
         Instant::from_origin(self.origin.elapsed())
     }
 
-    /// Waits until this time.
+    /// Waits until `instant`.
     pub async fn sleep_until(&self, instant: Instant) {
         let until = self.origin + instant.since_origin();
         tokio::time::sleep_until(until.into()).await;
--- a/crates/woodladder/src/control/driver.rs
+++ b/crates/woodladder/src/control/driver.rs
@@ -1,4 +1,4 @@
-//! Feeds events to the replica and carries its actions out.
+//! Drives the core's replica: passes events to it and carries out its actions.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 use woodladder_core::packets::routing_table::RoutingTable;
 
 use super::clock::ProcessClock;
-use super::socket::{ControlSocket, Received};
+use super::socket::{ControlSocket, ReceivedDatagram};
 use super::{ControlPlaneStatus, RoutingTableInstaller};
 use crate::store::Store;
 
-/// What reaches the driver from other tasks.
-pub(super) enum Input {
+/// Input to the driver from other tasks.
+pub(super) enum DriverInput {
     StoreAnswer(StoreRequestId, StoreAnswer),
     Machines(Vec<ListedMachine>),
     SequenceSeen(Sequence),
@@ -29,23 +29,24 @@
     Status(oneshot::Sender<ControlPlaneStatus>),
 }
 
-/// Owns the replica.
-pub(super) struct Driver {
+/// Owns the replica, and with it the clock, the socket and the store that its
+/// actions need.
+pub(super) struct ReplicaDriver {
     node: NodeId,
     replica: Replica,
     clock: ProcessClock,
     socket: ControlSocket,
     store: Arc<dyn Store>,
-    install: RoutingTableInstaller,
+    routing_table_installer: RoutingTableInstaller,
     logger: Logger,
 }
 
-impl Driver {
+impl ReplicaDriver {
     pub(super) fn new(
         settings: ReplicaSettings,
         socket: ControlSocket,
         store: Arc<dyn Store>,
-        install: RoutingTableInstaller,
+        routing_table_installer: RoutingTableInstaller,
         logger: Logger,
     ) -> Self {
         let clock = ProcessClock::new();
@@ -56,16 +57,17 @@
             clock,
             socket,
             store,
-            install,
+            routing_table_installer,
             logger,
         }
     }
 
-    /// Runs until the node ends; `answers` is given to the store's tasks.
+    /// Runs until the task is aborted. Tasks of store operations send their
+    /// answers through `answers`.
     pub(super) async fn run(
         mut self,
-        answers: mpsc::UnboundedSender<Input>,
-        mut inputs: mpsc::UnboundedReceiver<Input>,
+        answers: mpsc::UnboundedSender<DriverInput>,
+        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
     ) {
         loop {
             let wakeup = self.replica.next_wakeup();
@@ -80,32 +82,34 @@
         }
     }
 
-    fn input_event(&self, input: Input) -> Option<ReplicaEvent> {
+    fn input_event(&self, input: DriverInput) -> Option<ReplicaEvent> {
         match input {
-            Input::StoreAnswer(request, answer) => {
+            DriverInput::StoreAnswer(request, answer) => {
                 Some(ReplicaEvent::StoreAnswer { request, answer })
             }
-            Input::Machines(machines) => Some(ReplicaEvent::MachineList(machines)),
-            Input::SequenceSeen(sequence) => Some(ReplicaEvent::SequenceSeen(sequence)),
-            Input::Leaving => Some(ReplicaEvent::Leaving),
-            Input::TakesNewFlows(takes) => Some(ReplicaEvent::TakesNewFlows(takes)),
-            Input::Status(reply) => {
+            DriverInput::Machines(machines) => Some(ReplicaEvent::MachineList(machines)),
+            DriverInput::SequenceSeen(sequence) => Some(ReplicaEvent::SequenceSeen(sequence)),
+            DriverInput::Leaving => Some(ReplicaEvent::Leaving),
+            DriverInput::TakesNewFlows(takes) => Some(ReplicaEvent::TakesNewFlows(takes)),
+            DriverInput::Status(reply) => {
                 let _ = reply.send(self.status());
                 None
             }
         }
     }
 
-    fn handle(&mut self, event: ReplicaEvent, answers: &mpsc::UnboundedSender<Input>) {
+    fn handle(&mut self, event: ReplicaEvent, answers: &mpsc::UnboundedSender<DriverInput>) {
         let was_ready = self.replica.is_ready();
         for action in self.replica.handle(event, self.clock.now()) {
             match action {
                 ReplicaAction::Send { to, message } => self.socket.send(to, &message),
                 ReplicaAction::Store { request, operation } => {
-                    self.ask_store(request, operation, answers)
+                    self.start_store_operation(request, operation, answers)
+                }
+                ReplicaAction::Install(installed) => self.install_roll(&installed),
+                ReplicaAction::ReplaceDirectory(routing_table) => {
+                    self.replace_routing_table(&routing_table)
                 }
-                ReplicaAction::Install(installed) => self.install(&installed),
-                ReplicaAction::ReplaceDirectory(directory) => self.refresh(&directory),
             }
         }
         if self.replica.is_ready() && !was_ready {
@@ -113,22 +117,22 @@
         }
     }
 
-    fn ask_store(
+    fn start_store_operation(
         &self,
         request: StoreRequestId,
         operation: StoreOperation,
-        answers: &mpsc::UnboundedSender<Input>,
+        answers: &mpsc::UnboundedSender<DriverInput>,
     ) {
         let store = self.store.clone();
         let answers = answers.clone();
         tokio::spawn(async move {
             let answer = store.perform(&operation).await;
-            let _ = answers.send(Input::StoreAnswer(request, answer));
+            let _ = answers.send(DriverInput::StoreAnswer(request, answer));
         });
     }
 
-    fn install(&self, installed: &Arc<InstalledRoll>) {
-        (self.install)(&Arc::new(installed.directory.clone()));
+    fn install_roll(&self, installed: &Arc<InstalledRoll>) {
+        (self.routing_table_installer)(&Arc::new(installed.directory.clone()));
         let statement = &installed.record.statement;
         info!(self.logger, "control: roll in force";
             "sequence" => %statement.sequence,
@@ -137,10 +141,10 @@
         debug!(self.logger, "control: snapshot in force"; "digest" => %statement.snapshot_digest);
     }
 
-    fn refresh(&self, directory: &Arc<RoutingTable>) {
-        (self.install)(directory);
-        let marked = self.replica.unavailable_target_count();
-        info!(self.logger, "control: available targets changed"; "marked" => marked);
+    fn replace_routing_table(&self, routing_table: &Arc<RoutingTable>) {
+        (self.routing_table_installer)(routing_table);
+        let unavailable_targets = self.replica.unavailable_target_count();
+        info!(self.logger, "control: available targets changed"; "marked" => unavailable_targets);
     }
 
     fn status(&self) -> ControlPlaneStatus {
@@ -160,7 +164,7 @@
     }
 }
 
-fn message_event(received: Received) -> ReplicaEvent {
+fn message_event(received: ReceivedDatagram) -> ReplicaEvent {
     match received.message {
         Ok(message) => ReplicaEvent::Message {
             from: received.from,
--- a/crates/woodladder/src/control/machines.rs
+++ b/crates/woodladder/src/control/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reads the machine list at intervals.
+//! Polls the machine list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 use tokio::sync::{mpsc, watch};
 use woodladder_core::control::membership::{ListedMachine, ListedState};
 
-use super::driver::Input;
+use super::driver::DriverInput;
 use crate::store::{Machine, MachineListClient, MachineState};
 
-/// Pause after a reading that failed.
-const RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// Least pause between two readings.
-const SHORTEST_PAUSE: Duration = Duration::from_secs(2);
-/// Bytes that one machine takes in the list, nearly.
+/// Pause after a failed read.
+const PAUSE_AFTER_FAILURE: Duration = Duration::from_secs(2);
+/// Shortest pause between two reads.
+const MINIMUM_PAUSE: Duration = Duration::from_secs(2);
+/// Approximate size of one machine's entry in the list, in bytes.
 const BYTES_PER_MACHINE: u64 = 72;
-/// Mean bytes a second that the readings of the list may take.
-const BYTES_PER_SECOND: u64 = 1024;
+/// Average rate that reading the list may take, in bytes per second.
+const MAXIMUM_BYTES_PER_SECOND: u64 = 1024;
 
-/// Reads the list until the node ends.
-pub(super) async fn poll(
+/// Reads the list repeatedly until the node stops.
+pub(super) async fn poll_machine_list(
     list: MachineListClient,
-    own: SocketAddr,
-    inputs: mpsc::UnboundedSender<Input>,
+    own_address: SocketAddr,
+    inputs: mpsc::UnboundedSender<DriverInput>,
     leaving: watch::Sender<bool>,
     logger: Logger,
 ) {
@@ -31,36 +31,37 @@
         let pause = match list.read().await {
             Ok(machines) => {
                 let pause = pause_after(machines.len());
-                leaving.send_replace(is_leaving(&machines, own));
+                leaving.send_replace(lists_as_leaving(&machines, own_address));
                 let machines = machines.iter().map(listed).collect();
-                if inputs.send(Input::Machines(machines)).is_err() {
+                if inputs.send(DriverInput::Machines(machines)).is_err() {
                     return;
                 }
                 pause
             }
             Err(error) => {
                 debug!(logger, "control: no machine list"; "reason" => %error);
-                RETRY_PAUSE
+                PAUSE_AFTER_FAILURE
             }
         };
-        tokio::time::sleep(jittered(pause)).await;
+        tokio::time::sleep(with_jitter(pause)).await;
     }
 }
 
-/// The longer the list, the rarer the readings.
+/// Pause after reading a list of this many machines. A longer list is read less
+/// often, so that the average transfer rate stays the same.
 fn pause_after(machines: usize) -> Duration {
     let bytes = BYTES_PER_MACHINE * u64::try_from(machines).unwrap_or(u64::MAX / BYTES_PER_MACHINE);
-    Duration::from_millis(bytes * 1000 / BYTES_PER_SECOND).max(SHORTEST_PAUSE)
+    Duration::from_millis(bytes * 1000 / MAXIMUM_BYTES_PER_SECOND).max(MINIMUM_PAUSE)
 }
 
-fn jittered(pause: Duration) -> Duration {
+fn with_jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.75..1.25))
 }
 
-fn is_leaving(machines: &[Machine], own: SocketAddr) -> bool {
+fn lists_as_leaving(machines: &[Machine], own_address: SocketAddr) -> bool {
     machines
         .iter()
-        .any(|machine| machine.address == own && machine.state == MachineState::Leaving)
+        .any(|machine| machine.address == own_address && machine.state == MachineState::Leaving)
 }
 
 fn listed(machine: &Machine) -> ListedMachine {
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! Control traffic of a node: a UDP socket, the key-value service and the
-//! machine list, all driven by the core's replica. Nothing is kept on disk; a
-//! node that starts learns the roll in force from the service or from others.
+//! The control plane of a node: a UDP socket for control messages, the
+//! key-value service and the machine list, all driven by the core's replica.
+//! Nothing is stored on disk; a node that starts learns the roll in force from
+//! the key-value service or from other nodes.
 
 mod clock;
 mod driver;
-mod machines;
+mod machine_list;
 mod socket;
 
 use std::net::SocketAddr;
@@ -28,73 +29,81 @@
 pub use clock::ProcessClock;
 pub use socket::ControlSocket;
 
-use driver::{Driver, Input};
+use driver::{DriverInput, ReplicaDriver};
 
-/// Gives the data path a directory: that of a roll that comes into force, or
-/// one of the same roll with other targets available.
+/// Callback that gives the data path a new routing table: that of a roll that
+/// comes into force, or one of the same roll with other targets available.
 pub type RoutingTableInstaller = Box<dyn Fn(&Arc<RoutingTable>) + Send>;
 
-/// What the control traffic is started with.
+/// Configuration of the control plane.
 pub struct ControlPlaneConfig {
-    /// Address for control datagrams.
+    /// Address that receives control datagrams.
     pub listen: SocketAddr,
-    /// Address that other nodes send to; the socket's own when not set.
+    /// Address that other nodes send control datagrams to; the socket's own
+    /// when `None`.
     pub advertise: Option<SocketAddr>,
-    /// Key of control messages.
+    /// Key that authenticates control messages.
     pub key: TagKey,
-    /// Identity of the node; `control` is replaced by the address advertised.
+    /// Settings of the replica; `control_address` is replaced by the advertised
+    /// address.
     pub replica: ReplicaSettings,
     /// The key-value service.
     pub store: Arc<dyn Store>,
-    /// The list of machines, if there is one.
+    /// Client of the machine list, if there is one.
     pub machine_list: Option<MachineListClient>,
-    /// Gives the data path a directory.
+    /// Callback that gives the data path a new routing table: that of a roll
+    /// that comes into force, or one of the same roll with other targets
+    /// available.
     pub routing_table_installer: RoutingTableInstaller,
-    /// Where events are logged.
+    /// Logger of the process.
     pub logger: Logger,
 }
 
-/// State of a node's control traffic.
+/// State of a node's control plane.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlPlaneStatus {
     /// Identifier of this run of the process.
     pub node: NodeId,
-    /// Whether the node has a roll in force and heard enough to serve.
+    /// Whether the node may serve: it has a roll in force and has heard from
+    /// enough peers and the key-value service that none is later, or has waited
+    /// long enough for them.
     pub ready: bool,
-    /// Whether the node was paused and its state is not confirmed since.
+    /// Whether the process was paused and its roll in force has not been
+    /// confirmed since.
     pub suspect: bool,
-    /// Sequence in force; zero before the first.
+    /// Sequence of the roll in force; zero before the first.
     pub sequence: Sequence,
     /// Version of the bundle in force.
     pub bundle_version: Option<u64>,
     /// Digest of the snapshot in force.
     pub snapshot: Option<Digest>,
-    /// Counts over the nodes that are known.
+    /// Numbers of known nodes, by state.
     pub members: MemberCounts,
-    /// Targets that are known to take no new flows.
+    /// Number of targets that are known to accept no new flows.
     pub unavailable_target_count: usize,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: ReplicaCounters,
 }
 
-/// Running control traffic; it ends when this is dropped.
+/// A running control plane; dropping it aborts its tasks.
 pub struct ControlPlane {
     address: SocketAddr,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
     listed_leaving: watch::Receiver<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl ControlPlaneConfig {
-    /// The configuration that a node's settings ask for.
+    /// Builds the configuration from a node's settings.
     ///
     /// # Errors
-    /// [`StartError::Client`] when a client cannot be made.
+    /// [`StartError::PlatformClient`] when a client of the key-value service or
+    /// the machine list cannot be created.
     pub fn from_settings(
         node: &NodeSettings,
         role: Role,
         served_target: Option<ServedTarget>,
-        install: RoutingTableInstaller,
+        routing_table_installer: RoutingTableInstaller,
         logger: &Logger,
     ) -> Result<Self, StartError> {
         let stores = node.platform.stores.clone();
@@ -118,14 +127,15 @@
             machine_list: machine_list
                 .transpose()
                 .map_err(StartError::PlatformClient)?,
-            routing_table_installer: install,
+            routing_table_installer,
             logger: logger.clone(),
         })
     }
 }
 
 impl ControlPlane {
-    /// Binds the socket and starts the traffic on the running Tokio runtime.
+    /// Binds the control socket and starts the control plane on the running
+    /// Tokio runtime.
     ///
     /// # Errors
     /// [`StartError::Listen`] when the address cannot be listened on.
@@ -142,14 +152,15 @@
         if let Some(list) = config.machine_list {
             let logger = config.logger.clone();
             let inputs = inputs.clone();
-            let poll = machines::poll(list, advertised, inputs, leaving, logger);
-            tasks.push(tokio::spawn(poll));
+            let polling =
+                machine_list::poll_machine_list(list, advertised, inputs, leaving, logger);
+            tasks.push(tokio::spawn(polling));
         }
         let settings = ReplicaSettings {
             control_address: advertised,
             ..config.replica
         };
-        let driver = Driver::new(
+        let driver = ReplicaDriver::new(
             settings,
             socket,
             config.store,
@@ -165,35 +176,36 @@
         })
     }
 
-    /// Address that control datagrams come to.
+    /// Address that receives control datagrams.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// State at this moment; `None` once the traffic has ended.
+    /// Current state; `None` once the driver has ended.
     pub async fn status(&self) -> Option<ControlPlaneStatus> {
         let (reply, status) = oneshot::channel();
-        self.inputs.send(Input::Status(reply)).ok()?;
+        self.inputs.send(DriverInput::Status(reply)).ok()?;
         status.await.ok()
     }
 
     /// Tells other nodes that a planned stop has begun.
     pub fn announce_leaving(&self) {
-        let _ = self.inputs.send(Input::Leaving);
+        let _ = self.inputs.send(DriverInput::Leaving);
     }
 
-    /// Tells other nodes whether the own target takes new flows.
+    /// Tells other nodes whether this node's target accepts new flows.
     pub fn announce_accepting_flows(&self, takes: bool) {
-        let _ = self.inputs.send(Input::TakesNewFlows(takes));
+        let _ = self.inputs.send(DriverInput::TakesNewFlows(takes));
     }
 
-    /// Tells the replica that the data path saw this sequence.
+    /// Tells the replica of a sequence that the data path has seen in an
+    /// envelope.
     pub fn report_sequence_seen(&self, sequence: Sequence) {
-        let _ = self.inputs.send(Input::SequenceSeen(sequence));
+        let _ = self.inputs.send(DriverInput::SequenceSeen(sequence));
     }
 
-    /// Whether the machine list says that this machine is leaving.
+    /// Subscribes to whether the machine list lists this machine as leaving.
     #[must_use]
     pub fn subscribe_listed_leaving(&self) -> watch::Receiver<bool> {
         self.listed_leaving.clone()
--- a/crates/woodladder/src/control/socket.rs
+++ b/crates/woodladder/src/control/socket.rs
@@ -1,4 +1,4 @@
-//! The control socket: one message in each datagram.
+//! The UDP socket for control messages, one message in each datagram.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,30 +9,31 @@
 };
 use woodladder_core::packets::keyed_tag::TagKey;
 
-/// One byte more than allowed, so that longer datagrams are noticed.
+/// One byte more than allowed, so that longer datagrams are detected instead of
+/// truncated to a valid length.
 const BUFFER_LENGTH: usize = MAXIMUM_DATAGRAM_LENGTH + 1;
 
-/// A UDP socket for control messages.
+/// A UDP socket that sends and receives authenticated control messages.
 pub struct ControlSocket {
     socket: UdpSocket,
     address: SocketAddr,
     key: TagKey,
 }
 
-/// A datagram that came.
+/// A received datagram.
 #[derive(Debug)]
-pub struct Received {
-    /// Where it came from.
+pub struct ReceivedDatagram {
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The message in it.
+    /// The decoded message, or why it was rejected.
     pub message: Result<ControlMessage, FrameError>,
 }
 
 impl ControlSocket {
-    /// Binds a socket for messages under this key.
+    /// Binds a socket for messages that are authenticated with this key.
     ///
     /// # Errors
-    /// The system's error.
+    /// The system's error when the address cannot be bound.
     pub async fn bind(address: SocketAddr, key: TagKey) -> io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         let address = socket.local_addr()?;
@@ -49,21 +50,21 @@
         self.address
     }
 
-    /// Sends a message. Datagrams may be lost anywhere, so one that the system
-    /// does not take is lost as well.
+    /// Sends a message. Control messages may be lost anyway, so a datagram that
+    /// cannot be sent is dropped without an error.
     pub fn send(&self, to: SocketAddr, message: &ControlMessage) {
         if let Ok(frame) = message.encode(&self.key) {
             let _ = self.socket.try_send_to(&frame, to);
         }
     }
 
-    /// Waits for a datagram.
-    pub async fn receive(&self) -> Received {
+    /// Waits for the next datagram.
+    pub async fn receive(&self) -> ReceivedDatagram {
         let mut buffer = [0; BUFFER_LENGTH];
         loop {
             if let Ok((length, from)) = self.socket.recv_from(&mut buffer).await {
                 let message = ControlMessage::decode(&self.key, &buffer[..length]);
-                return Received { from, message };
+                return ReceivedDatagram { from, message };
             }
         }
     }
--- a/crates/woodladder/tests/control.rs
+++ b/crates/woodladder/tests/control.rs
@@ -1,4 +1,5 @@
-//! The control traffic over real sockets: who learns of a roll, and from whom.
+//! Tests the control plane over real sockets: which nodes learn of a roll, and
+//! from which sources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,22 +25,22 @@
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::signature::{OperatorKey, TrustedKeys};
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const STEP: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CONTROL_SECRET: [u8; 16] = [5; 16];
 const OTHER_SECRET: [u8; 16] = [6; 16];
 
-/// A store in memory, which may be cut off.
+/// A store in memory that can be made unreachable.
 #[derive(Default)]
 struct MemoryStore {
     entries: Mutex<BTreeMap<String, Vec<u8>>>,
-    cut_off: bool,
+    unreachable: bool,
 }
 
 #[async_trait]
 impl Store for MemoryStore {
     async fn perform(&self, operation: &StoreOperation) -> StoreAnswer {
-        if self.cut_off {
+        if self.unreachable {
             return StoreAnswer::Unreachable;
         }
         let StoreOperation::Read { key, .. } = operation else {
@@ -60,7 +61,7 @@
     OperatorKey::from_bytes([3; 32])
 }
 
-/// A store that holds the first roll, signed by this operator.
+/// A store that holds a first roll signed with this operator's key.
 fn store_with_roll(key: &OperatorKey) -> Result<MemoryStore, Box<dyn std::error::Error>> {
     let bundle = Bundle {
         version: 4,
@@ -97,11 +98,11 @@
     ]);
     Ok(MemoryStore {
         entries: Mutex::new(entries),
-        cut_off: false,
+        unreachable: false,
     })
 }
 
-async fn node(
+async fn start_node(
     number: u64,
     secret: [u8; 16],
     store: MemoryStore,
@@ -112,12 +113,12 @@
         .map_err(Into::into)
 }
 
-/// A node that stands beside the target of its number.
-async fn agent(
+/// The control plane of an agent whose target has the given number.
+async fn start_agent(
     number: u32,
     seeds: Vec<SocketAddr>,
 ) -> Result<ControlPlane, Box<dyn std::error::Error>> {
-    let mut config = config(number.into(), CONTROL_SECRET, cut_off(), seeds)?;
+    let mut config = config(number.into(), CONTROL_SECRET, unreachable_store(), seeds)?;
     config.replica.role = Role::Agent;
     config.replica.served_target = Some(ServedTarget {
         target: TargetId(number),
@@ -154,9 +155,9 @@
     })
 }
 
-fn cut_off() -> MemoryStore {
+fn unreachable_store() -> MemoryStore {
     MemoryStore {
-        cut_off: true,
+        unreachable: true,
         ..MemoryStore::default()
     }
 }
@@ -169,19 +170,25 @@
         loop {
             match control.status().await {
                 Some(status) if condition(&status) => return status,
-                _ => sleep(STEP).await,
+                _ => sleep(POLL_INTERVAL).await,
             }
         }
     };
-    Ok(timeout(PATIENCE, wait).await?)
+    Ok(timeout(TIMEOUT, wait).await?)
 }
 
 #[tokio::test]
 async fn a_node_without_the_store_learns_the_roll_from_a_peer()
 -> Result<(), Box<dyn std::error::Error>> {
-    let first = node(1, CONTROL_SECRET, store_with_roll(&operator())?, Vec::new()).await?;
+    let first = start_node(1, CONTROL_SECRET, store_with_roll(&operator())?, Vec::new()).await?;
     wait_until(&first, |status| status.sequence == Sequence(1)).await?;
-    let second = node(2, CONTROL_SECRET, cut_off(), vec![first.address()]).await?;
+    let second = start_node(
+        2,
+        CONTROL_SECRET,
+        unreachable_store(),
+        vec![first.address()],
+    )
+    .await?;
     let status = wait_until(&second, |status| status.ready).await?;
     assert_eq!(status.sequence, Sequence(1));
     assert_eq!(status.bundle_version, Some(4));
@@ -191,10 +198,10 @@
 #[tokio::test]
 async fn messages_under_another_key_are_refused_and_counted()
 -> Result<(), Box<dyn std::error::Error>> {
-    let alone = node(1, CONTROL_SECRET, cut_off(), Vec::new()).await?;
+    let alone = start_node(1, CONTROL_SECRET, unreachable_store(), Vec::new()).await?;
     let seeds = vec![alone.address()];
-    let stranger = node(2, OTHER_SECRET, store_with_roll(&operator())?, seeds).await?;
-    wait_until(&stranger, |status| status.sequence == Sequence(1)).await?;
+    let other = start_node(2, OTHER_SECRET, store_with_roll(&operator())?, seeds).await?;
+    wait_until(&other, |status| status.sequence == Sequence(1)).await?;
     let forged = |status: &ControlPlaneStatus| status.counters.rejections.frame_tag_mismatch > 0;
     let status = wait_until(&alone, forged).await?;
     assert_eq!(status.sequence, Sequence(0));
@@ -204,8 +211,8 @@
 
 #[tokio::test]
 async fn a_roll_by_an_untrusted_operator_is_refused() -> Result<(), Box<dyn std::error::Error>> {
-    let stranger = OperatorKey::from_bytes([4; 32]);
-    let node = node(1, CONTROL_SECRET, store_with_roll(&stranger)?, Vec::new()).await?;
+    let other = OperatorKey::from_bytes([4; 32]);
+    let node = start_node(1, CONTROL_SECRET, store_with_roll(&other)?, Vec::new()).await?;
     let refused = |status: &ControlPlaneStatus| status.counters.rejections.record_signature > 0;
     let status = wait_until(&node, refused).await?;
     assert_eq!(status.sequence, Sequence(0));
@@ -214,13 +221,13 @@
 }
 
 #[tokio::test]
-async fn agents_that_end_without_a_word_or_leave_are_marked()
+async fn agents_that_crash_or_leave_are_marked_unavailable()
 -> Result<(), Box<dyn std::error::Error>> {
-    let first = agent(1, Vec::new()).await?;
+    let first = start_agent(1, Vec::new()).await?;
     let seeds = vec![first.address()];
-    let second = agent(2, seeds.clone()).await?;
-    let third = agent(3, seeds.clone()).await?;
-    let fourth = agent(4, seeds).await?;
+    let second = start_agent(2, seeds.clone()).await?;
+    let third = start_agent(3, seeds.clone()).await?;
+    let fourth = start_agent(4, seeds).await?;
     let knows_all = |status: &ControlPlaneStatus| status.members.heard == 3;
     for node in [&first, &second, &third, &fourth] {
         wait_until(node, knows_all).await?;
