--- a/crates/woodladder/src/endpoint/figures.rs
+++ b/crates/woodladder/src/endpoint/figures.rs
@@ -1,11 +1,11 @@
-//! Figures of a node by their names.
+//! Values of a node's metrics, by name.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counters and gauges, each with a name in lower case with underscores. The
-/// names of counters end with `_total`.
+/// Counters and gauges by name. Names are in lower case with underscores; those
+/// of counters end in `_total`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Figures {
@@ -13,29 +13,29 @@
 }
 
 impl Figures {
-    /// No figures.
+    /// An empty set.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a figure; an earlier one of the same name is replaced.
+    /// Sets the value of a metric, replacing any earlier one.
     pub fn add(&mut self, name: impl Into<String>, value: u64) {
         self.by_name.insert(name.into(), value);
     }
 
-    /// Adds all figures of another set.
+    /// Adds all metrics of another set, replacing those of the same name.
     pub fn append(&mut self, other: Self) {
         self.by_name.extend(other.by_name);
     }
 
-    /// The value of a figure.
+    /// The value of a metric.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<u64> {
         self.by_name.get(name).copied()
     }
 
-    /// Names and values, in the order of the names.
+    /// Names and values, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, u64)> {
         let pairs = self.by_name.iter();
         pairs.map(|(name, value)| (name.as_str(), *value))
--- a/crates/woodladder/src/endpoint/mod.rs
+++ b/crates/woodladder/src/endpoint/mod.rs
@@ -3,16 +3,16 @@
 //! | path | answer |
 //! | --- | --- |
 //! | `/health` | 200 while every part of the process runs, otherwise 503 |
-//! | `/ready` | 200 when the node takes traffic, otherwise 503 with the reason |
+//! | `/ready` | 200 when the node accepts traffic, otherwise 503 with the reason |
 //! | `/status` | JSON: role, sequence, bundle, peers, counters |
-//! | `/metrics` | the same figures as Prometheus text |
+//! | `/metrics` | the same values in the Prometheus text format |
 
 mod figures;
-mod metrics;
+mod prometheus_text;
 mod server;
 mod status;
 
 pub use figures::Figures;
-pub use metrics::render;
+pub use prometheus_text::render_prometheus;
 pub use server::{StatusProvider, StatusServer};
 pub use status::{ListenAddresses, NodeStatus, NotReadyReason, PeerCounts, Role};
--- a/crates/woodladder/src/endpoint/metrics.rs
+++ b/crates/woodladder/src/endpoint/prometheus_text.rs
@@ -1,4 +1,4 @@
-//! Figures as Prometheus text.
+//! Renders a node's metrics in the Prometheus text format.
 
 use prometheus::{Encoder as _, IntGauge, Opts, Registry, TextEncoder};
 
@@ -6,19 +6,20 @@
 
 const NAMESPACE: &str = "woodladder";
 
-/// Figures that are gathered once for each answer.
-struct Gauges {
+/// Registry that is filled for a single scrape.
+struct ScrapeRegistry {
     registry: Registry,
 }
 
-impl Gauges {
+impl ScrapeRegistry {
     fn new() -> Self {
         Self {
             registry: Registry::new(),
         }
     }
 
-    /// Adds a figure; one with a name that cannot be shown is left out.
+    /// Adds a gauge. A metric whose name is not valid in Prometheus is left
+    /// out.
     fn add(&mut self, name: &str, help: &str, value: u64) {
         let options = Opts::new(name, help).namespace(NAMESPACE);
         let Ok(gauge) = IntGauge::with_opts(options) else {
@@ -38,27 +39,27 @@
     }
 }
 
-/// The figures of a node's status as Prometheus text.
+/// Renders the metrics of a node's status in the Prometheus text format.
 #[must_use]
-pub fn render(status: &NodeStatus) -> String {
-    let mut gauges = Gauges::new();
+pub fn render_prometheus(status: &NodeStatus) -> String {
+    let mut registry = ScrapeRegistry::new();
     let ready = u64::from(status.not_ready.is_none());
     let peers = u64::try_from(status.peers.known).unwrap_or(u64::MAX);
-    gauges.add("ready", "Whether the node takes traffic.", ready);
-    gauges.add("sequence", "Sequence in force.", status.sequence);
-    gauges.add(
+    registry.add("ready", "Whether the node takes traffic.", ready);
+    registry.add("sequence", "Sequence in force.", status.sequence);
+    registry.add(
         "bundle_version",
         "Version of the bundle in force.",
         status.bundle_version.unwrap_or(0),
     );
-    gauges.add("peers", "Nodes that this node knows.", peers);
-    gauges.add(
+    registry.add("peers", "Nodes that this node knows.", peers);
+    registry.add(
         "uptime_seconds",
         "Seconds since the process started.",
         status.uptime_seconds,
     );
     for (name, value) in status.figures.iter() {
-        gauges.add(name, "Since the start for a total, otherwise now.", value);
+        registry.add(name, "Since the start for a total, otherwise now.", value);
     }
-    gauges.text()
+    registry.text()
 }
--- a/crates/woodladder/src/endpoint/server.rs
+++ b/crates/woodladder/src/endpoint/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the endpoints.
+//! The HTTP server for health, readiness, status and metrics.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use volo_http::server::Server;
 use volo_http::server::route::{Router, get};
 
-use super::metrics::render;
+use super::prometheus_text::render_prometheus;
 use super::status::{NodeStatus, NotReadyReason};
 use crate::process::StopSignal;
 
@@ -20,25 +20,26 @@
 const METRICS_TEXT: &str = "text/plain; version=0.0.4";
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 
-/// What the endpoints ask a node for.
+/// Gives the server the node's status.
 #[async_trait]
 pub trait StatusProvider: Send + Sync + 'static {
-    /// Status at this moment.
+    /// The current status.
     async fn status(&self) -> NodeStatus;
 }
 
-/// A running HTTP server.
+/// A running HTTP server; dropping it stops the server.
 pub struct StatusServer {
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl StatusServer {
-    /// Listens on `address` and answers for `view` until it is dropped.
+    /// Listens on `address` and answers requests from `view` until it is
+    /// dropped.
     ///
-    /// volo-http's server stops accepting at SIGTERM by itself. Readiness must
-    /// stay visible while a node drains, so once `stop` is asked for a second
-    /// server takes over the same listening socket.
+    /// volo-http's server stops accepting connections when the process gets
+    /// SIGTERM. Readiness must stay visible while a node drains, so once a stop
+    /// is requested a second server accepts on the same listening socket.
     ///
     /// # Errors
     /// The system's error when the address cannot be listened on.
@@ -51,13 +52,13 @@
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let first = incoming(&listener)?;
-        let second = incoming(&listener)?;
-        let while_running = tokio::spawn(serve(first, view.clone(), log.clone()));
+        let first_incoming = incoming(&listener)?;
+        let second_incoming = incoming(&listener)?;
+        let while_running = tokio::spawn(serve(first_incoming, view.clone(), log.clone()));
         let log = log.clone();
         let while_stopping = tokio::spawn(async move {
             stop.wait_until_requested().await;
-            serve(second, view, log).await;
+            serve(second_incoming, view, log).await;
         });
         Ok(Self {
             address,
@@ -65,7 +66,7 @@
         })
     }
 
-    /// Address that it listens on.
+    /// Address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -119,7 +120,7 @@
 }
 
 fn metrics(status: &NodeStatus) -> Response<Body> {
-    answer(StatusCode::OK, METRICS_TEXT, render(status))
+    answer(StatusCode::OK, METRICS_TEXT, render_prometheus(status))
 }
 
 fn ready(status: &NodeStatus) -> Response<Body> {
--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells about itself.
+//! Status of a node as the HTTP server reports it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,51 +7,51 @@
 
 use super::figures::Figures;
 
-/// What a node does.
+/// Kind of node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// Forwards datagrams to agents.
     Balancer,
-    /// Stands beside a back end.
+    /// Serves the flows of one back end.
     Agent,
 }
 
-/// Why a node does not take traffic.
+/// Why a node accepts no traffic.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotReadyReason {
-    /// No bundle has reached it yet.
+    /// No bundle is in force yet.
     NoBundle,
     /// A planned stop has begun.
     Stopping,
-    /// Its target takes no new work.
+    /// Its target accepts no new work.
     Leaving,
-    /// A part of it has failed.
+    /// A part of the process has failed.
     Failed,
 }
 
 /// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListenAddresses {
-    /// For datagrams of callers.
+    /// For datagrams that carry callers' traffic.
     pub data: SocketAddr,
     /// For control messages.
     pub control: SocketAddr,
 }
 
-/// Counts over the nodes that a node knows.
+/// Numbers of nodes that a node knows, by state.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerCounts {
-    /// All of them.
+    /// All known nodes.
     pub known: usize,
-    /// Heard from lately.
+    /// Nodes heard from recently.
     pub heard: usize,
-    /// Not answering.
+    /// Nodes that do not answer.
     pub silent: usize,
-    /// About to go.
+    /// Nodes that are leaving, according to themselves or the machine list.
     pub leaving: usize,
-    /// Named by the machine list.
+    /// Nodes in the machine list.
     pub listed: usize,
 }
 
@@ -60,27 +60,28 @@
 pub struct NodeStatus {
     /// What the node does.
     pub role: Role,
-    /// Identifier of this run of the process.
+    /// Random identifier of this run of the process.
     pub node: u64,
-    /// Zone that it is in.
+    /// Zone that the node is in.
     pub zone: String,
-    /// Addresses that it listens on.
+    /// Addresses that the node listens on.
     pub listening: ListenAddresses,
-    /// Why it takes no traffic, when it takes none.
+    /// Why the node accepts no traffic; `None` when it accepts traffic.
     pub not_ready: Option<NotReadyReason>,
-    /// Whether the process was paused and its state is not confirmed since.
+    /// Whether the process was paused and its roll in force has not been
+    /// confirmed since.
     pub suspect: bool,
-    /// Sequence in force; zero before the first.
+    /// Sequence of the roll in force; zero before the first.
     pub sequence: u64,
     /// Version of the bundle in force.
     pub bundle_version: Option<u64>,
     /// Digest of the snapshot in force.
     pub snapshot: Option<String>,
-    /// Counts over the nodes that it knows.
+    /// Numbers of nodes that it knows, by state.
     pub peers: PeerCounts,
     /// Seconds since the process started.
     pub uptime_seconds: u64,
-    /// Counters and gauges of its parts.
+    /// Counters and gauges of the node's components.
     #[serde(rename = "counters")]
     pub figures: Figures,
 }
--- a/crates/woodladder/tests/planned_stop.rs
+++ b/crates/woodladder/tests/planned_stop.rs
@@ -1,13 +1,13 @@
-//! A balancer as a process: not ready without a bundle, and a planned stop
-//! that ends by itself.
+//! Runs a balancer process: it is not ready without a bundle, and after SIGTERM
+//! it exits by itself once its grace period has passed.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::TcpStream;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const TRUSTED: &str = "d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a";
+const TIMEOUT: Duration = Duration::from_secs(30);
+const TRUSTED_KEY: &str = "d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a";
 
 struct Balancer {
     process: Child,
@@ -15,8 +15,8 @@
 }
 
 impl Balancer {
-    /// Starts a balancer whose store nobody listens at, and waits until its
-    /// log names the address of its endpoints.
+    /// Starts a balancer whose store is unreachable, and waits until its log
+    /// names the address of its HTTP server.
     fn start() -> std::io::Result<Self> {
         let mut process = Command::new(env!("CARGO_BIN_EXE_woodladder"))
             .args(["balancer", "--zone", "north-1", "--log-format", "json"])
@@ -27,7 +27,7 @@
                 "127.0.0.1:0",
             ])
             .args(["--http-listen", "127.0.0.1:0", "--store", "127.0.0.1:1"])
-            .args(["--trusted-key", TRUSTED, "--stop-grace", "3s"])
+            .args(["--trusted-key", TRUSTED_KEY, "--stop-grace", "3s"])
             .args(["--cluster-key", "000102030405060708090a0b0c0d0e0f"])
             .args(["--token-key-current", "1:101112131415161718191a1b1c1d1e1f"])
             .stderr(Stdio::piped())
@@ -45,7 +45,7 @@
 
     fn get(&self, path: &str) -> std::io::Result<String> {
         let mut stream = TcpStream::connect(&self.http)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         write!(
             stream,
             "GET {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n"
@@ -81,7 +81,7 @@
     balancer.terminate()?;
     let start = Instant::now();
     while !balancer.get("/ready")?.contains("planned stop") {
-        assert!(start.elapsed() < PATIENCE);
+        assert!(start.elapsed() < TIMEOUT);
     }
     assert_eq!(balancer.process.wait()?.code(), Some(0));
     Ok(())
