--- a/crates/woodladder/src/agent/headers.rs
+++ b/crates/woodladder/src/agent/headers.rs
@@ -9,8 +9,8 @@
     RETRY_AFTER, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Time in milliseconds, from when the request is sent, that the caller waits
-/// for the answer.
+/// Time in milliseconds, counted from the arrival of the request, that the
+/// caller waits for the answer.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("woodladder-deadline-ms");
 /// Whether a request that has no answer of the back end was run.
 pub const OUTCOME_HEADER: HeaderName = HeaderName::from_static("woodladder-outcome");
