--- a/crates/woodladder-core/src/flow/agent/admission/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/mod.rs
@@ -1,11 +1,11 @@
-//! What reaches the target and when: the queue of openings and of requests on open
-//! flows, and the limit on what a cold target is handed.
+//! Which work reaches the target and when: the queues of openings and of requests on open
+//! flows, and the limit on requests for a cold target.
 
-pub(crate) mod choosing;
-pub(crate) mod held_requests;
-pub(crate) mod holding;
-pub(crate) mod openings;
-pub(crate) mod order;
-pub(crate) mod queue;
+pub(crate) mod opening_admission;
+pub(crate) mod opening_queue;
+pub(crate) mod request_admission;
+pub(crate) mod request_queue;
 pub(crate) mod service_times;
+pub(crate) mod serving_order;
 pub(crate) mod warm_up;
+pub(crate) mod work_selection;
--- a/crates/woodladder-core/src/flow/agent/admission/service_times.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/service_times.rs
@@ -1,20 +1,22 @@
-//! The time that a target takes for a request of each route.
+//! Mean service time of the target for the requests of each route.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
 
-/// Time of the packets between an opening and the answer to its request.
-pub(crate) const EXCHANGE: Duration = Duration::from_millis(8);
-/// Most routes that are told apart; requests of others count by the mean of all.
-const ROUTES: usize = 256;
-/// Samples before a route's own time is used.
-const LEAST_SAMPLES: u32 = 3;
-/// A new sample counts for one part in this many.
+/// Time for the exchange of packets between an opening and the answer to its request,
+/// without the service time.
+pub(crate) const EXCHANGE_TIME: Duration = Duration::from_millis(8);
+/// Maximum number of routes with a mean of their own; requests of other routes are
+/// expected to take the mean of all requests.
+const MAXIMUM_ROUTES: usize = 256;
+/// Number of samples before a route's own mean is used.
+const MINIMUM_SAMPLES: u32 = 3;
+/// Weight of a new sample: one part in this many.
 const MEAN_DIVISOR: u32 = 8;
-/// A sample counts for no more than this many times the present mean, so that one
-/// request that hangs does not make all others of its route look late.
+/// A sample is capped at this multiple of the present mean, so that one request that
+/// hangs does not make all others of its route look late.
 const OUTLIER_FACTOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -23,19 +25,19 @@
     samples: u32,
 }
 
-/// Running means of the time from a request's first packet at the target to the first
-/// byte of its answer, by the address of the route.
+/// Running means, by address of the route, of the time from a request's first packet at
+/// the target to the first byte of its answer.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
     routes: FxHashMap<SocketAddrV4, RouteTime>,
 }
 
 impl ServiceTimes {
-    /// Takes one request's time in.
+    /// Adds the service time of one request.
     pub fn add(&mut self, route: SocketAddrV4, sample: Duration) {
-        if let Some(known) = self.routes.get_mut(&route) {
-            known.add(sample);
-        } else if self.routes.len() < ROUTES {
+        if let Some(route_time) = self.routes.get_mut(&route) {
+            route_time.add(sample);
+        } else if self.routes.len() < MAXIMUM_ROUTES {
             let first = RouteTime {
                 mean: sample,
                 samples: 1,
@@ -44,15 +46,14 @@
         }
     }
 
-    /// The time that a request of a route is expected to take; `None` before enough of
-    /// them were seen.
+    /// The expected service time of a request of the route; `None` before enough samples.
     #[must_use]
-    pub fn expected(&self, route: SocketAddrV4) -> Option<Duration> {
-        let known = self.routes.get(&route)?;
-        (known.samples >= LEAST_SAMPLES).then_some(known.mean)
+    pub fn expected_time(&self, route: SocketAddrV4) -> Option<Duration> {
+        let route_time = self.routes.get(&route)?;
+        (route_time.samples >= MINIMUM_SAMPLES).then_some(route_time.mean)
     }
 
-    /// Forgets all: another target has begun.
+    /// Forgets all samples because another target has started.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
@@ -60,7 +61,7 @@
 
 impl RouteTime {
     fn add(&mut self, sample: Duration) {
-        let counted = if self.samples < LEAST_SAMPLES {
+        let counted = if self.samples < MINIMUM_SAMPLES {
             sample
         } else {
             sample.min(self.mean * OUTLIER_FACTOR)
--- /dev/null
+++ b/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
@@ -0,0 +1,197 @@
+//! The order in which queued work is delivered to a target.
+//!
+//! Work that can still be answered within its aim (the desired response time) goes first,
+//! and among it the work of urgent routes, those with a higher priority than another
+//! route of the service. Late work gets the remaining slots, because a slot given to it
+//! is taken from work that would have been in time. So that it does not starve, less
+//! urgent work gets a share of the slots beside urgent work that is in time or late like
+//! it. The share never makes urgent work late: it is granted only if all urgent work that
+//! can be in time still is afterwards.
+//!
+//! Within a group, the earliest deadline goes first among the work that would still meet
+//! it if it took twice as long as expected; then the newest. The deadline is the aim of
+//! work that can be in time and the timeout of late work. Queued work is thus delivered
+//! before its aim passes, and when not all of a group can be in time, no slots are spent
+//! on work that is on the brink of being late.
+
+use std::cmp::Reverse;
+use std::time::Duration;
+
+use crate::clock::Instant;
+
+/// Period, in slots, with which less urgent work gets a slot while it is queued beside
+/// urgent work and is in time or late like it.
+const SHARE_PERIOD_SLOTS: u32 = 8;
+
+/// Time that must remain before the deadline beside the expected time of the work, as a
+/// multiple of the expected time: few requests take longer, and the way to the caller
+/// takes time, too.
+const DEADLINE_MARGIN_FACTOR: u32 = 1;
+
+/// What the order needs to know of one piece of work: an opening, or a request on an open
+/// flow.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct QueuedWork {
+    /// When the caller first sent the work, as far as that is known.
+    pub first_sent: Instant,
+    /// Desired time from `first_sent` to the answer.
+    pub aim: Duration,
+    /// Time from `first_sent` after which an answer is of no use any more.
+    pub timeout: Duration,
+    /// Expected time from delivery to the first byte of the answer.
+    pub expected_time: Duration,
+    /// Whether the work's route has a higher priority than another route of the same
+    /// service.
+    pub is_urgent: bool,
+    /// Whether the work may be delivered now; an opening may not while a cold target has
+    /// reached its limit.
+    pub is_eligible: bool,
+}
+
+/// Groups of work; greater groups are served first.
+#[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
+pub enum WorkGroup {
+    /// Cannot be in time, and its route is not urgent.
+    Late,
+    /// Cannot be in time, and its route is urgent.
+    LateUrgent,
+    /// Can be in time, and its route is not urgent.
+    InTime,
+    /// Can be in time, and its route is urgent.
+    InTimeUrgent,
+}
+
+impl WorkGroup {
+    /// The group of work that can or cannot be in time, of an urgent route or another
+    /// one.
+    pub(crate) fn from_flags(is_in_time: bool, is_urgent: bool) -> Self {
+        match (is_in_time, is_urgent) {
+            (true, true) => Self::InTimeUrgent,
+            (true, false) => Self::InTime,
+            (false, true) => Self::LateUrgent,
+            (false, false) => Self::Late,
+        }
+    }
+
+    /// The group of less urgent work that is in time or late like the urgent work of this
+    /// group.
+    fn less_urgent(self) -> Option<Self> {
+        match self {
+            Self::InTimeUrgent => Some(Self::InTime),
+            Self::LateUrgent => Some(Self::Late),
+            Self::InTime | Self::Late => None,
+        }
+    }
+}
+
+impl QueuedWork {
+    /// The group of this work.
+    #[must_use]
+    pub fn group(&self, now: Instant) -> WorkGroup {
+        let is_in_time = now.since(self.first_sent) + self.expected_time <= self.aim;
+        WorkGroup::from_flags(is_in_time, self.is_urgent)
+    }
+
+    /// Rank within the group; the greatest is served first.
+    fn rank(&self, now: Instant) -> (bool, Reverse<Instant>, Instant) {
+        let spent = now.since(self.first_sent) + self.expected_time;
+        let limit = if spent <= self.aim {
+            self.aim
+        } else {
+            self.timeout
+        };
+        let has_margin = spent + self.expected_time * DEADLINE_MARGIN_FACTOR <= limit;
+        let deadline = if has_margin {
+            self.first_sent + limit
+        } else {
+            Instant::ORIGIN
+        };
+        (has_margin, Reverse(deadline), self.first_sent)
+    }
+
+    /// How long the work may still be queued if it is to be in time.
+    fn slack(&self, now: Instant) -> Duration {
+        let spent = now.since(self.first_sent) + self.expected_time;
+        self.aim.saturating_sub(spent)
+    }
+}
+
+/// Chooses the work that is delivered next, and counts the slots towards the share of
+/// less urgent work.
+#[derive(Clone, Debug, Default)]
+pub struct ServingOrder {
+    /// Slots since less urgent work last got one, counted while such work is queued and
+    /// is in time or late like the urgent work.
+    slots_since_share: u32,
+}
+
+impl ServingOrder {
+    /// Index of the work that is delivered next to a target with this many slots; `None`
+    /// when none of it may be delivered.
+    pub fn choose(&mut self, queued: &[QueuedWork], slots: u16, now: Instant) -> Option<usize> {
+        let first = best_index(queued, now, |_| true)?;
+        let first_group = queued[first].group(now);
+        let lesser_group = first_group.less_urgent();
+        let Some(less_urgent) = best_index(queued, now, |group| Some(group) == lesser_group) else {
+            self.slots_since_share = 0;
+            return Some(first);
+        };
+        self.slots_since_share += 1;
+        let is_share_due = self.slots_since_share >= SHARE_PERIOD_SLOTS;
+        if is_share_due && has_slack_for(&queued[less_urgent], queued, slots, now) {
+            self.slots_since_share = 0;
+            return Some(less_urgent);
+        }
+        Some(first)
+    }
+}
+
+/// Index of the first work of the greatest group among the groups for which `is_considered` holds.
+fn best_index(
+    queued: &[QueuedWork],
+    now: Instant,
+    is_considered: impl Fn(WorkGroup) -> bool,
+) -> Option<usize> {
+    queued
+        .iter()
+        .enumerate()
+        .filter(|(_, work)| work.is_eligible && is_considered(work.group(now)))
+        .max_by_key(|(_, work)| (work.group(now), work.rank(now)))
+        .map(|(index, _)| index)
+}
+
+/// Whether all urgent work that can be in time would still be in time if `other` were
+/// delivered first.
+fn has_slack_for(other: &QueuedWork, queued: &[QueuedWork], slots: u16, now: Instant) -> bool {
+    let mut urgent: Vec<&QueuedWork> = queued
+        .iter()
+        .filter(|work| work.group(now) == WorkGroup::InTimeUrgent)
+        .collect();
+    urgent.sort_by_key(|work| work.slack(now));
+    let slots = u32::from(slots.max(1));
+    let mut work_ahead = other.expected_time;
+    urgent.iter().all(|work| {
+        // A slot becomes free at the latest when one piece of work has ended.
+        let begins_after = other.expected_time + work_ahead / slots;
+        work_ahead += work.expected_time;
+        begins_after <= work.slack(now)
+    })
+}
+
+/// Expected time from now until a piece of work would be delivered behind the queued
+/// work.
+#[must_use]
+pub fn expected_wait(
+    work: &QueuedWork,
+    queued: &[QueuedWork],
+    slots: u16,
+    now: Instant,
+) -> Duration {
+    let group = work.group(now);
+    let work_ahead: Duration = queued
+        .iter()
+        .filter(|other| other.group(now) > group)
+        .map(|other| other.expected_time)
+        .sum();
+    work_ahead / u32::from(slots.max(1))
+}
--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -1,4 +1,4 @@
-//! What an agent decides, for the shell to carry out.
+//! Decisions of an agent, which the node that runs it carries out.
 
 use super::super::identity::{FlowKey, NodeAddress};
 use super::super::message::{PeerMessage, SnapshotRequest};
@@ -6,19 +6,19 @@
 /// What happens to a packet that a balancer sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ForwardDecision {
-    /// It goes to the target, marked so that the target's return of it names
-    /// the balancer.
+    /// The packet goes to the target. It is marked so that the target, if it returns the
+    /// packet, names the balancer.
     Deliver {
-        /// What the balancer is told.
+        /// Message to the balancer.
         reply: Option<PeerMessage>,
-        /// Whether a request begins with it.
+        /// Whether the packet contains the first byte of a request.
         begins_request: bool,
     },
-    /// It waits in the agent's queue; the balancer is told.
+    /// The packet is queued at the agent; the message goes to the balancer.
     Queued(PeerMessage),
-    /// It does not; the balancer is told.
+    /// The packet is not delivered; the message goes to the balancer.
     Reply(PeerMessage, ReplyBody),
-    /// It does not, or waits in the agent's queue; nobody is told.
+    /// The packet is not delivered, or is queued at the agent; no message is sent.
     Drop,
 }
 
@@ -31,61 +31,61 @@
     }
 }
 
-/// What follows an answer.
+/// What follows the message of a reply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReplyBody {
-    /// The packet.
+    /// The packet that the reply is about.
     Packet,
-    /// Nothing.
+    /// No packet.
     Empty,
 }
 
-/// What happens to a packet of the target.
+/// What happens to a packet that the target sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TargetPacketDecision {
-    /// It goes to the caller, and a balancer may be told something.
+    /// The packet goes to the caller; a message may go to a balancer.
     ToCaller(Option<(NodeAddress, PeerMessage)>),
-    /// The target gave it back; a balancer is told.
+    /// The target returned the packet; a balancer is told.
     Returned {
-        /// The balancer, as the packet names it.
+        /// The balancer that the packet names.
         to: NodeAddress,
-        /// What it is told.
+        /// Message to the balancer.
         message: PeerMessage,
-        /// What follows.
+        /// What follows the message.
         body: ReplyBody,
     },
 }
 
-/// What the shell carries out.
+/// An action that the node that runs the agent carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
-    /// Send a message.
+    /// Sends a message.
     Send {
         /// Receiver.
         to: NodeAddress,
         /// The message.
         message: PeerMessage,
     },
-    /// Hand a packet that has waited to the target, marked so that the target's return
-    /// of it names the balancer.
+    /// Delivers a packet that was queued to the target. It is marked so that the target,
+    /// if it returns the packet, names the balancer.
     Deliver {
-        /// The balancer that sent it.
+        /// The balancer that sent the packet.
         balancer: NodeAddress,
         /// The packet.
         packet: Vec<u8>,
-        /// The flow whose request begins with it, if one does.
+        /// The flow whose request begins with the packet, if any.
         begins_request: Option<FlowKey>,
     },
-    /// Give an opening back.
+    /// Returns a queued opening to its balancer.
     Return {
-        /// The balancer that sent it.
+        /// The balancer that sent the opening.
         to: NodeAddress,
-        /// Why.
+        /// Message with the reason.
         message: PeerMessage,
         /// The opening.
         packet: Vec<u8>,
     },
-    /// Ask a node for a snapshot and pass it to [`Agent::apply_snapshot`].
+    /// Asks a node for a snapshot and passes it to [`Agent::apply_snapshot`].
     FetchSnapshot {
         /// The node.
         from: NodeAddress,
@@ -94,38 +94,40 @@
     },
 }
 
-/// Running totals.
+/// Counters of an agent since the start of its process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AgentCounters {
-    /// Packets from balancers.
+    /// Packets received from balancers.
     pub packets_received: u64,
-    /// Openings handed to the target.
+    /// Openings delivered to the target.
     pub openings_offered: u64,
-    /// Openings given back to their balancer.
+    /// Openings returned to their balancer.
     pub openings_declined: u64,
-    /// Openings that have waited in the agent's queue.
+    /// Openings that were queued at the agent.
     pub openings_queued: u64,
-    /// Openings given back because the target may be cold and has had its share.
+    /// Openings returned because the target may be cold and has reached its limit of
+    /// requests.
     pub openings_declined_cold: u64,
-    /// Openings given back because the target's zone is excluded.
+    /// Openings returned because the target's zone is excluded.
     pub openings_declined_excluded: u64,
-    /// Openings that have waited there for too long.
+    /// Openings returned after they had been queued for too long.
     pub openings_expired: u64,
-    /// Openings given back because they would have been answered too late.
+    /// Openings returned because they would have been answered too late.
     pub openings_declined_late: u64,
-    /// Requests of open flows that have waited.
+    /// Requests of open flows that were queued at the agent.
     pub requests_queued: u64,
-    /// Repetitions of packets that waited, dropped.
+    /// Retransmissions of queued packets, dropped.
     pub duplicate_packets_dropped: u64,
-    /// Requests of open flows dropped because their callers have left.
+    /// Queued requests of open flows that were dropped because their callers have left.
     pub requests_given_up: u64,
-    /// Requests of open flows handed to a target that was not heard, stuck or replaced.
+    /// Queued requests of open flows that were delivered early because the target was
+    /// silent, stuck or replaced, or the agent was stopping.
     pub requests_released_early: u64,
-    /// Packets of open flows handed to the target.
+    /// Packets of open flows delivered to the target.
     pub packets_delivered: u64,
-    /// Searches that were denied.
+    /// Searches that were answered with a denial.
     pub searches_denied: u64,
-    /// Packets that the target gave back.
+    /// Packets that the target returned.
     pub packets_returned_by_target: u64,
     /// Packets of the target sent to callers.
     pub packets_sent_to_callers: u64,
@@ -133,16 +135,16 @@
     pub requests_answered: u64,
     /// Requests that the target failed.
     pub requests_failed: u64,
-    /// Packets dropped.
+    /// Messages and packets that were dropped.
     pub packets_dropped: u64,
-    /// Heartbeats taken.
+    /// Heartbeats accepted.
     pub heartbeats: u64,
-    /// Heartbeats of starts that a later one has replaced.
+    /// Heartbeats of starts that a later start has replaced.
     pub heartbeats_replaced: u64,
     /// Heartbeats of starts that may be older than the known one.
     pub heartbeats_unproven: u64,
-    /// Deregistrations that may be of a former start.
+    /// Deregistrations that were ignored because they may concern a former start.
     pub deregistrations_ignored: u64,
-    /// Parts of lists of flows sent to balancers.
+    /// Parts of flow lists sent to balancers.
     pub flow_list_parts_sent: u64,
 }
--- a/crates/woodladder-core/src/flow/agent/flows.rs
+++ b/crates/woodladder-core/src/flow/agent/flows.rs
@@ -1,17 +1,18 @@
-//! Open flows of the target: packets to it and from it, and who holds what.
+//! Packets of open flows, to the target and from it, and the table of flows that the
+//! target holds.
 
 use super::super::identity::{FlowKey, NodeAddress};
 use super::super::message::{PeerMessage, ReturnReason, TargetState};
 use super::super::packet::{FlowPacket, PacketKind};
-use super::target::resting_work::RestingWork;
+use super::target::idle_flow_work::IdleFlowWork;
 use super::{
-    Agent, ColdReason, FailureRecord, FlowState, ForwardDecision, HeldFlow, ReplyBody,
-    TargetPacketDecision, not_held,
+    Agent, ColdReason, FailureRecord, FlowState, ForwardDecision, ReplyBody, TargetFlow,
+    TargetPacketDecision, not_held_message,
 };
 use crate::clock::Instant;
 
 impl Agent {
-    pub(super) fn established(
+    pub(super) fn handle_established(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -19,10 +20,10 @@
         now: Instant,
     ) -> ForwardDecision {
         if self.flows.touch(&packet.key).is_some() {
-            if self.waits(from, packet, bytes, now) {
+            if self.queue_if_full(from, packet, bytes, now) {
                 return ForwardDecision::Drop;
             }
-            let begins_request = self.count_delivery(from, packet, now);
+            let begins_request = self.record_delivery(from, packet, now);
             return ForwardDecision::Deliver {
                 reply: None,
                 begins_request,
@@ -30,15 +31,18 @@
         }
         if self.knows_all_flows(now) {
             self.counters.searches_denied += 1;
-            return ForwardDecision::Reply(self.returned(ReturnReason::NotHeld), ReplyBody::Packet);
+            return ForwardDecision::Reply(
+                self.returned_message(ReturnReason::NotHeld),
+                ReplyBody::Packet,
+            );
         }
-        self.try_target(from, packet, now)
+        self.deliver_unconfirmed(from, packet, now)
     }
 
-    /// Counts what a packet on its way to the target means for its load; says
-    /// whether a request's first byte is in it. Packets overtake each other, so
-    /// a request can be load before that one comes.
-    pub(super) fn count_delivery(
+    /// Updates the load for a packet on its way to the target. Returns whether the packet
+    /// contains the first byte of a request. Because packets overtake each other, a
+    /// request can count as load before that byte arrives.
+    pub(super) fn record_delivery(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -49,77 +53,81 @@
             return false;
         };
         flow.balancer = from;
-        let was_counted = matches!(flow.state, FlowState::Offered | FlowState::Accepted);
-        if was_counted {
+        let was_opening = matches!(flow.state, FlowState::Offered | FlowState::Accepted);
+        if was_opening {
             flow.state = FlowState::Open;
-            flow.since = now;
+            flow.state_since = now;
             self.load.flows += 1;
-            self.stop_expecting(&packet.key);
+            self.stop_counting_as_opening(&packet.key);
         }
         let Some(flow) = self.flows.touch(&packet.key) else {
             return false;
         };
         let end = packet.sequence.wrapping_add(packet.payload_length.into());
-        let is_new = packet.payload_length > 0 && is_after(end, flow.caller_next);
+        let is_new = packet.payload_length > 0 && is_sequence_after(end, flow.caller_next_sequence);
         let begins_request = is_new && flow.busy_since.is_none();
         if begins_request {
-            flow.request_start = flow.caller_next;
+            flow.request_start_sequence = flow.caller_next_sequence;
             flow.awaits_outcome = true;
         }
         if is_new {
-            flow.caller_next = end;
+            flow.caller_next_sequence = end;
         }
-        let is_head = flow.awaits_outcome && packet.sequence == flow.request_start;
+        let has_first_byte = flow.awaits_outcome && packet.sequence == flow.request_start_sequence;
         if begins_request {
             flow.busy_since = Some(now);
-            self.held.passed(&packet.key);
+            self.request_queue.forget_given_up(&packet.key);
             if self.load.busy == 0 {
-                self.progress_at = now;
+                self.last_progress_at = now;
             }
             self.load.busy += 1;
-            if !was_counted {
-                self.warm_up.count(now);
+            if !was_opening {
+                self.warm_up.count_request(now);
             }
         }
         match packet.kind {
             PacketKind::Reset => {
                 self.count_abandoned(&packet.key, now);
-                self.forget_flow(&packet.key);
+                self.remove_flow(&packet.key);
             }
-            PacketKind::Finish => self.close_flow(&packet.key),
+            PacketKind::Finish => self.begin_closing(&packet.key),
             _ => {}
         }
-        is_head && packet.payload_length > 0
+        has_first_byte && packet.payload_length > 0
     }
 
-    /// Decides about a packet that the target sent. `returned_to` is the
-    /// balancer that the packet names when the target gave it back.
+    /// Decides about a packet that the target sent. `returned_to` is the balancer that
+    /// the packet names if the target returned it.
     pub fn handle_target_packet(
         &mut self,
         packet: &FlowPacket,
         returned_to: Option<NodeAddress>,
         now: Instant,
     ) -> TargetPacketDecision {
-        self.target.sent_at = Some(now);
+        self.target.last_packet_at = Some(now);
         self.target.unanswered_since = None;
         if self.target.state == TargetState::Unresponsive {
             self.set_state(TargetState::Ready);
-            self.doubt_warmth(ColdReason::Silent, now);
+            self.assume_cold(ColdReason::Silent, now);
         }
         match returned_to {
-            Some(balancer) => self.given_back(packet, balancer),
+            Some(balancer) => self.handle_returned_by_target(packet, balancer),
             None => self.send_to_caller(packet, now),
         }
     }
 
-    fn given_back(&mut self, packet: &FlowPacket, balancer: NodeAddress) -> TargetPacketDecision {
+    fn handle_returned_by_target(
+        &mut self,
+        packet: &FlowPacket,
+        balancer: NodeAddress,
+    ) -> TargetPacketDecision {
         self.counters.packets_returned_by_target += 1;
         let state = self.flows.peek(&packet.key).map(|flow| flow.state);
-        self.forget_flow(&packet.key);
+        self.remove_flow(&packet.key);
         if packet.kind != PacketKind::Open && state == Some(FlowState::Unconfirmed) {
             return TargetPacketDecision::Returned {
                 to: balancer,
-                message: not_held(packet.key),
+                message: not_held_message(packet.key),
                 body: ReplyBody::Empty,
             };
         }
@@ -130,7 +138,7 @@
         };
         TargetPacketDecision::Returned {
             to: balancer,
-            message: self.returned(reason),
+            message: self.returned_message(reason),
             body: ReplyBody::Packet,
         }
     }
@@ -138,10 +146,10 @@
     fn send_to_caller(&mut self, packet: &FlowPacket, now: Instant) -> TargetPacketDecision {
         self.counters.packets_sent_to_callers += 1;
         if packet.kind == PacketKind::Reset {
-            if self.take_awaited(&packet.key) {
+            if self.take_awaits_outcome(&packet.key) {
                 self.count_outcome(false, now);
             }
-            self.forget_flow(&packet.key);
+            self.remove_flow(&packet.key);
             return TargetPacketDecision::ToCaller(None);
         }
         if self.flows.touch(&packet.key).is_none() {
@@ -154,8 +162,8 @@
         let message = match (packet.kind, flow.state) {
             (PacketKind::Accept, FlowState::Offered) => {
                 flow.state = FlowState::Accepted;
-                flow.since = now;
-                self.accepted.push_back((packet.key, now));
+                flow.state_since = now;
+                self.accepted_without_request.push_back((packet.key, now));
                 Some(PeerMessage::Accepted {
                     key: packet.key,
                     sequence: packet.sequence,
@@ -166,44 +174,44 @@
             (_, FlowState::Unconfirmed) => {
                 flow.state = FlowState::Open;
                 self.load.flows += 1;
-                self.located(&packet.key)
+                self.located_message(&packet.key)
             }
             _ => None,
         };
         if packet.payload_length > 0 {
-            self.answered(&packet.key, now);
+            self.record_answer(&packet.key, now);
         }
         if packet.kind == PacketKind::Finish {
             self.end_request(&packet.key);
-            self.close_flow(&packet.key);
+            self.begin_closing(&packet.key);
         }
         TargetPacketDecision::ToCaller(message.map(|message| (balancer, message)))
     }
 
-    /// A flow that the target holds and the agent did not know: it was opened
+    /// Adds a flow that the target holds and the agent did not know: the flow was opened
     /// before the agent started.
     fn learn_flow(&mut self, packet: &FlowPacket, now: Instant) {
         if packet.kind == PacketKind::Accept {
             return;
         }
-        let flow = HeldFlow {
+        let flow = TargetFlow {
             state: FlowState::Open,
-            is_expected: false,
+            counts_as_opening: false,
             has_answered: false,
             balancer: self.options.address,
-            since: now,
+            state_since: now,
             busy_since: None,
-            caller_next: packet.acknowledgement,
-            request_start: 0,
+            caller_next_sequence: packet.acknowledgement,
+            request_start_sequence: 0,
             awaits_outcome: false,
         };
         self.flows.insert(packet.key, flow, now);
         self.load.flows += 1;
     }
 
-    /// One end closes its side: the flow is no longer open, and stays in the
-    /// table for its last packets.
-    fn close_flow(&mut self, key: &FlowKey) {
+    /// Marks a flow as closing after one end has closed its side. The flow no longer
+    /// counts as open; its entry stays in the table for its last packets.
+    fn begin_closing(&mut self, key: &FlowKey) {
         if let Some(flow) = self.flows.touch(key)
             && flow.state == FlowState::Open
         {
@@ -212,9 +220,9 @@
         }
     }
 
-    pub(super) fn forget_flow(&mut self, key: &FlowKey) {
-        if self.held.forget(key) > 0 {
-            self.count_queue();
+    pub(super) fn remove_flow(&mut self, key: &FlowKey) {
+        if self.request_queue.remove_flow(key) > 0 {
+            self.update_queued_count();
         }
         let Some(flow) = self.flows.remove(key) else {
             return;
@@ -222,7 +230,7 @@
         if flow.busy_since.is_some() {
             self.load.busy = self.load.busy.saturating_sub(1);
         }
-        if flow.is_expected {
+        if flow.counts_as_opening {
             self.load.opening = self.load.opening.saturating_sub(1);
         }
         if flow.state == FlowState::Open {
@@ -230,31 +238,38 @@
         }
     }
 
-    /// The target was replaced: its flows are gone, but for those that were opened
-    /// after its last heartbeat. A target takes flows before its own first
-    /// heartbeat, so these may be open at the new one; if not, it gives their
-    /// packets back. What they had at work is no load any more: most of it ended
-    /// with the former incarnation, and would keep the new one's slots taken.
-    pub(super) fn forget_flows_before(&mut self, last_beat: Option<Instant>, now: Instant) {
-        let last_beat = last_beat.unwrap_or(now);
-        self.flows.retain(|_, flow| flow.since > last_beat);
+    /// Removes the flows of a target that was replaced, except for those that were opened
+    /// after its last heartbeat. A target takes flows before its own first heartbeat, so
+    /// these may be open at the new target; if they are not, the target returns their
+    /// packets. The requests that they had in service no longer count as load: most of
+    /// them ended with the former incarnation, and would keep slots of the new one
+    /// occupied.
+    pub(super) fn remove_flows_of_replaced_target(
+        &mut self,
+        last_heartbeat: Option<Instant>,
+        now: Instant,
+    ) {
+        let last_heartbeat = last_heartbeat.unwrap_or(now);
+        self.flows
+            .retain(|_, flow| flow.state_since > last_heartbeat);
         for (_, flow) in self.flows.iter_mut() {
             flow.busy_since = None;
             flow.awaits_outcome = false;
-            flow.is_expected = false;
+            flow.counts_as_opening = false;
         }
-        self.accepted.retain(|(_, at)| *at > last_beat);
+        self.accepted_without_request
+            .retain(|(_, at)| *at > last_heartbeat);
         self.load.service_time_us = 0;
         self.service_times.clear();
-        self.failures = FailureRecord::new(now);
-        self.resting_work = RestingWork::new(now);
+        self.failure_record = FailureRecord::new(now);
+        self.idle_flow_work = IdleFlowWork::new(now);
         self.load.failed_percent = 0;
-        self.count_load(now);
+        self.recount_load(now);
     }
 }
 
-/// Whether one number of a wrapping sequence lies after another.
-pub(super) fn is_after(one: u32, other: u32) -> bool {
+/// Whether one sequence number is after another, in wrapping order.
+pub(super) fn is_sequence_after(one: u32, other: u32) -> bool {
     let distance = one.wrapping_sub(other);
     distance != 0 && distance < u32::MAX / 2
 }
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -1,10 +1,11 @@
-//! The agent on the carrier without tokens.
+//! The agent: a state machine that stands beside one target, decides which packets reach
+//! it and reports the target's load to the balancers.
 //!
 //! # Lifecycle
-//! It starts without knowledge of its target's flows and takes no new flow
-//! before the target's first heartbeat. It learns open flows from what the
-//! target sends. Once a target has said that it leaves, no new flow reaches
-//! it through this agent, whatever any balancer believes.
+//! An agent starts without knowledge of its target's flows and admits no new flow before
+//! the target's first heartbeat. It learns of flows that are already open from the
+//! packets that the target sends. Once a target has announced that it leaves, the agent
+//! delivers no further new flow to it, whatever a balancer still believes.
 
 mod admission;
 mod decision;
@@ -32,92 +33,96 @@
 use super::promises::{BrokenPromises, PromiseWatch};
 use super::store_session::ListNeed;
 use super::target_restart::RestartDetector;
-use admission::queue::AdmissionQueue;
+use admission::opening_queue::OpeningQueue;
 use admission::warm_up::WarmUp;
-use reporting::flow_statements::FlowStatements;
+use reporting::flow_announcer::FlowAnnouncer;
 use reporting::report_schedule::ReportSchedule;
 use target::failure_record::FailureRecord;
-use target::resting_work::RestingWork;
+use target::idle_flow_work::IdleFlowWork;
 
 use crate::clock::Instant;
 
 pub use super::cold_reason::ColdReason;
-pub use admission::choosing::QueuedCounts;
-pub use admission::held_requests::{
-    HELD_BYTES, HELD_FLOWS, HELD_PACKETS, Held, HeldPacket, HeldRequest, HeldRequests, HeldTerms,
+pub use admission::opening_queue::{MAXIMUM_OPENING_AGE, MAXIMUM_QUEUED_OPENINGS};
+pub use admission::request_queue::{
+    EnqueueResult, MAXIMUM_PACKETS_PER_REQUEST, MAXIMUM_QUEUED_BYTES, MAXIMUM_QUEUED_REQUESTS,
+    QueuedPacket, QueuedRequest, RequestQueue, RequestTerms,
 };
-pub use admission::order::{ServingOrder, WaitingWork, WorkGroup, expected_wait};
-pub use admission::queue::{CAPACITY as QUEUE_CAPACITY, LONGEST_WAIT};
 pub use admission::service_times::ServiceTimes;
+pub use admission::serving_order::{QueuedWork, ServingOrder, WorkGroup, expected_wait};
 pub use admission::warm_up::WarmUpBounds;
+pub use admission::work_selection::QueuedCounts;
 pub use decision::{AgentAction, AgentCounters, ForwardDecision, ReplyBody, TargetPacketDecision};
-pub use reporting::flow_statements;
+pub use reporting::flow_announcer;
 pub use target::failure_record::{AnswerKind, Suspicion};
 pub use target::heartbeat::{Heartbeat, HeartbeatError};
 
 /// Settings of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentOptions {
-    /// Its address for other nodes.
+    /// Address at which other nodes reach the agent.
     pub address: NodeAddress,
-    /// Zone of the machine.
+    /// Zone of the agent's machine.
     pub zone: ZoneKey,
-    /// Service of its target.
+    /// Service of the agent's target.
     pub service: ServiceKey,
-    /// A number that differs between starts of the process.
+    /// A number that differs between starts of the agent's process.
     pub epoch: u64,
-    /// Most flows in the table.
+    /// Maximum number of flows in the flow table.
     pub flow_capacity: usize,
-    /// Least time that a flow at rest stays in the table.
+    /// Minimum time for which an idle flow stays in the flow table.
     pub flow_retention: Duration,
-    /// Longest life of a flow; after it, the table knows all that are open.
+    /// Longest life of a flow. An agent that has run for this long has every open flow in
+    /// its table.
     pub flow_lifetime: Duration,
-    /// What cold targets may be handed; `None` when the operators set no limit.
+    /// Limit on the requests that a cold target may be sent; `None` when the operators
+    /// set no limit.
     pub warm_up: Option<WarmUpBounds>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FlowState {
-    /// An opening was handed to the target.
+    /// An opening was delivered to the target.
     Offered,
     /// The target has answered the opening.
     Accepted,
-    /// Packets of an unknown flow were handed to the target; it has not shown
-    /// yet whether it holds the flow.
+    /// Packets of an unknown flow were delivered to the target, which has not yet shown
+    /// whether it holds the flow.
     Unconfirmed,
     /// The target holds the flow.
     Open,
-    /// One end has closed its side; the flow makes no load any more.
+    /// One end has closed its side; the flow no longer counts as load.
     Closing,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldFlow {
+struct TargetFlow {
     state: FlowState,
-    /// Whether it counts as an opening that will become a request.
-    is_expected: bool,
-    /// Whether the target has answered a request of it.
+    /// Whether the flow counts as an opening that is expected to become a request.
+    counts_as_opening: bool,
+    /// Whether the target has answered a request of the flow.
     has_answered: bool,
-    /// Balancer that sent the last packet.
+    /// Balancer that sent the flow's last packet.
     balancer: NodeAddress,
-    /// When the state began.
-    since: Instant,
-    /// When a request arrived that has no answer yet.
+    /// When the flow entered its state.
+    state_since: Instant,
+    /// When the request arrived that has no answer yet; `None` while no request is being
+    /// served.
     busy_since: Option<Instant>,
-    /// Number after the caller's last new byte.
-    caller_next: u32,
-    /// Number of the first byte of the latest request.
-    request_start: u32,
-    /// Whether it is not known yet how the latest request was answered. The
-    /// target's end of the flow may overtake its answer.
+    /// Sequence number after the last new byte of the caller.
+    caller_next_sequence: u32,
+    /// Sequence number of the first byte of the latest request.
+    request_start_sequence: u32,
+    /// Whether the outcome of the latest request is still unknown. The packet with which
+    /// the target ends the flow may overtake its answer.
     awaits_outcome: bool,
 }
 
-/// Whether anything listens at the target's address, before its first
-/// heartbeat.
+/// Whether anything listens at the target's address, as probed until there is a first
+/// sign of the target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListenState {
-    /// It was not asked yet.
+    /// Not probed yet, or the probe gave no result.
     Unknown,
     /// Something listens.
     Listening,
@@ -125,89 +130,89 @@
     NotListening,
 }
 
-/// A start of the target that a later one has replaced.
+/// A start of the target that a later start has replaced.
 #[derive(Clone, Copy, Debug)]
 struct ReplacedStart {
     incarnation: Incarnation,
-    /// The incarnation by its name alone.
-    name: Incarnation,
+    /// Identifies the target by its name alone, whichever start it is.
+    instance: Incarnation,
 }
 
 #[derive(Clone, Debug)]
 struct Target {
     state: TargetState,
     incarnation: Option<Incarnation>,
-    /// The incarnation by its name alone.
-    name: Option<Incarnation>,
-    /// When it began, by what it says, in milliseconds of Unix time.
-    born_ms: Option<u64>,
-    replaced: Vec<ReplacedStart>,
-    succession: RestartDetector,
-    /// Whether it has said that it is gone.
+    /// Identifies the target by its name alone, whichever start it is.
+    instance: Option<Incarnation>,
+    /// When this start began according to the target, in milliseconds of Unix time.
+    started_at_ms: Option<u64>,
+    replaced_starts: Vec<ReplacedStart>,
+    restart_detector: RestartDetector,
+    /// Whether the target has said that it is gone.
     is_deregistered: bool,
-    first_beat_at: Option<Instant>,
-    sequence: u64,
-    capacity: u16,
-    warm_at: Instant,
-    beat_at: Option<Instant>,
-    /// When the incarnation before sent its last heartbeat.
-    former_beat_at: Option<Instant>,
-    sent_at: Option<Instant>,
+    first_heartbeat_at: Option<Instant>,
+    heartbeat_sequence: u64,
+    slots: u16,
+    warm_from: Instant,
+    last_heartbeat_at: Option<Instant>,
+    /// When the previous incarnation sent its last heartbeat.
+    previous_last_heartbeat_at: Option<Instant>,
+    last_packet_at: Option<Instant>,
     unanswered_since: Option<Instant>,
-    presence: ListenState,
-    /// Whether the target began while the agent ran, so that the agent has seen each of
+    listen_state: ListenState,
+    /// Whether the target started while the agent ran, so that the agent has seen each of
     /// its flows.
-    began_later: bool,
+    started_after_agent: bool,
 }
 
-/// The agent's state.
+/// State of an agent.
 #[derive(Clone, Debug)]
 pub struct Agent {
     options: AgentOptions,
     target: Target,
     routes: RouteTable,
     mechanisms: ActiveMechanisms,
-    version_known_at: Instant,
-    /// When a greater version than the own was first heard of.
+    version_adopted_at: Instant,
+    /// When the agent first heard of a newer configuration version than its own.
     newer_heard_at: Option<Instant>,
     excluded_zones: ExcludedZones,
-    /// When a node last told which zones are excluded.
+    /// When a node last said which zones are excluded.
     zones_heard_at: Option<Instant>,
     warm_up: WarmUp,
     balancers: BalancerPeers,
-    flows: FlowTable<HeldFlow>,
-    queue: AdmissionQueue,
-    /// Requests of open flows that wait together with the openings.
-    held: HeldRequests,
-    order: ServingOrder,
+    flows: FlowTable<TargetFlow>,
+    opening_queue: OpeningQueue,
+    /// Requests of open flows that are queued together with the openings.
+    request_queue: RequestQueue,
+    serving_order: ServingOrder,
     service_times: ServiceTimes,
-    /// Requests at work that are most likely not answered any more.
-    doubtful: u16,
+    /// Requests in service for so long that the target has most likely dropped them.
+    presumed_lost: u16,
     /// Whether the process is about to end.
     is_stopping: bool,
-    /// Openings that the target has accepted and whose callers have not sent a
-    /// request yet, the oldest first.
-    accepted: VecDeque<(FlowKey, Instant)>,
+    /// Openings that the target has accepted and whose callers have not sent a request
+    /// yet, oldest first.
+    accepted_without_request: VecDeque<(FlowKey, Instant)>,
     load: TargetLoad,
-    failures: FailureRecord,
-    resting_work: RestingWork,
-    /// When the target last began an answer, or had nothing to answer.
-    progress_at: Instant,
+    failure_record: FailureRecord,
+    idle_flow_work: IdleFlowWork,
+    /// When the target last began an answer, or last had nothing to answer.
+    last_progress_at: Instant,
     started_at: Instant,
-    reports: ReportSchedule,
+    report_schedule: ReportSchedule,
     report_sequence: u64,
-    statements: FlowStatements,
-    /// Whether something has changed that every balancer must know.
-    report_due: bool,
-    fetch: Option<(NodeAddress, Instant)>,
+    flow_announcer: FlowAnnouncer,
+    /// Whether something has changed that every balancer must learn at once.
+    is_report_to_all_due: bool,
+    pending_fetch: Option<(NodeAddress, Instant)>,
     ticked_at: Option<Instant>,
-    notes: LogEventBuffer,
+    log_events: LogEventBuffer,
     counters: AgentCounters,
     promises: PromiseWatch,
 }
 
 impl Agent {
-    /// An agent that knows nothing yet.
+    /// An agent that knows nothing of its target or of other nodes yet.
     #[must_use]
     pub fn new(options: AgentOptions, now: Instant) -> Self {
         Self {
@@ -215,32 +220,32 @@
             target: Target::unknown(now),
             routes: RouteTable::default(),
             mechanisms: ActiveMechanisms::default(),
-            version_known_at: now,
+            version_adopted_at: now,
             newer_heard_at: None,
             excluded_zones: ExcludedZones::default(),
             zones_heard_at: None,
             warm_up: WarmUp::default(),
             balancers: BalancerPeers::default(),
             flows: FlowTable::new(options.flow_capacity, options.flow_retention),
-            queue: AdmissionQueue::default(),
-            held: HeldRequests::default(),
-            order: ServingOrder::default(),
+            opening_queue: OpeningQueue::default(),
+            request_queue: RequestQueue::default(),
+            serving_order: ServingOrder::default(),
             service_times: ServiceTimes::default(),
-            doubtful: 0,
+            presumed_lost: 0,
             is_stopping: false,
-            accepted: VecDeque::new(),
+            accepted_without_request: VecDeque::new(),
             load: TargetLoad::default(),
-            failures: FailureRecord::new(now),
-            resting_work: RestingWork::new(now),
-            progress_at: now,
+            failure_record: FailureRecord::new(now),
+            idle_flow_work: IdleFlowWork::new(now),
+            last_progress_at: now,
             started_at: now,
-            reports: ReportSchedule::default(),
+            report_schedule: ReportSchedule::default(),
             report_sequence: 0,
-            statements: FlowStatements::new(options.epoch, now),
-            report_due: false,
-            fetch: None,
+            flow_announcer: FlowAnnouncer::new(options.epoch, now),
+            is_report_to_all_due: false,
+            pending_fetch: None,
             ticked_at: None,
-            notes: LogEventBuffer::default(),
+            log_events: LogEventBuffer::default(),
             counters: AgentCounters::default(),
             promises: PromiseWatch::default(),
         }
@@ -252,19 +257,19 @@
         self.target.state
     }
 
-    /// Load of the target.
+    /// Load of the target as counted by the agent.
     #[must_use]
     pub fn load(&self) -> TargetLoad {
         self.load
     }
 
-    /// The optional mechanisms that act here.
+    /// The optional mechanisms that are active at this agent.
     #[must_use]
     pub fn mechanisms(&self) -> ActiveMechanisms {
         self.mechanisms
     }
 
-    /// Configuration that the agent knows.
+    /// Version of the configuration that the agent knows; zero before the first.
     #[must_use]
     pub fn configuration_version(&self) -> u64 {
         self.routes.version()
@@ -276,8 +281,9 @@
         &self.balancers
     }
 
-    /// What the agent needs the store's list of balancers for: two halves of the
-    /// fleet that do not know each other meet through balancers.
+    /// How urgently the agent needs the store's list of balancers. It needs none while it
+    /// hears a balancer: two halves of a fleet that do not know each other find each
+    /// other through the balancers.
     #[must_use]
     pub fn list_need(&self, now: Instant) -> ListNeed {
         if self.balancers.hears_any(now) {
@@ -287,51 +293,51 @@
         }
     }
 
-    /// Flows in the table.
+    /// Number of flows in the flow table.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Running totals.
+    /// Counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> &AgentCounters {
         &self.counters
     }
 
-    /// How often each promise was broken here.
+    /// How often the agent has broken each promise.
     #[must_use]
     pub fn broken_promises(&self) -> &BrokenPromises {
         self.promises.broken()
     }
 
-    /// Notes for the log and how many were left out.
+    /// Takes the log events, and the number of log events that were dropped.
     pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
-        self.notes.take()
+        self.log_events.take()
     }
 
-    /// Takes what another node knows.
+    /// Adopts what another node sent in answer to a request for a snapshot.
     pub fn apply_snapshot(&mut self, from: NodeAddress, snapshot: Snapshot, now: Instant) {
-        if self.fetch.is_some_and(|(asked, _)| asked == from) {
-            self.fetch = None;
+        if self.pending_fetch.is_some_and(|(asked, _)| asked == from) {
+            self.pending_fetch = None;
         }
         if let Some(configuration) = snapshot.configuration {
-            self.adopt(Arc::new(configuration), from, now);
+            self.adopt_configuration(Arc::new(configuration), from, now);
         }
-        self.adopt_zones(&snapshot.excluded_zones, from, now);
+        self.adopt_excluded_zones(&snapshot.excluded_zones, from, now);
         for balancer in snapshot.balancers {
-            self.name_balancer(balancer, now);
+            self.add_balancer(balancer, now);
         }
     }
 
-    /// A request for a snapshot failed.
+    /// Clears the pending fetch after a request for a snapshot has failed.
     pub fn handle_snapshot_failure(&mut self, from: NodeAddress) {
-        if self.fetch.is_some_and(|(asked, _)| asked == from) {
-            self.fetch = None;
+        if self.pending_fetch.is_some_and(|(asked, _)| asked == from) {
+            self.pending_fetch = None;
         }
     }
 
-    /// What this node tells others that ask for a snapshot.
+    /// The snapshot that this node sends to a node that asks for one.
     #[must_use]
     pub fn answer_snapshot(&self, request: &SnapshotRequest) -> Snapshot {
         let balancers = self.balancers.confirmed_by_hello().collect();
@@ -346,35 +352,42 @@
         )
     }
 
-    /// Begins a planned stop: no new flow, forwards on.
+    /// Begins a planned stop: the agent admits no new flow and continues to forward
+    /// packets of open flows.
     pub fn begin_shutdown(&mut self) {
         self.is_stopping = true;
         self.set_state(TargetState::Leaving);
     }
 
-    fn adopt(&mut self, configuration: Arc<Configuration>, from: NodeAddress, now: Instant) {
+    fn adopt_configuration(
+        &mut self,
+        configuration: Arc<Configuration>,
+        from: NodeAddress,
+        now: Instant,
+    ) {
         let former = self.routes.version();
         if !self.routes.adopt(configuration) {
             return;
         }
-        self.version_known_at = now;
+        self.version_adopted_at = now;
         self.newer_heard_at = None;
-        self.notes.add(LogEvent::ConfigurationAdopted {
+        self.log_events.add(LogEvent::ConfigurationAdopted {
             version: self.routes.version(),
             former,
             routes: self.routes.current().map_or(0, |it| it.routes.len()),
             from: Some(from),
         });
-        self.choose_mechanisms();
+        self.update_mechanisms();
     }
 
-    fn choose_mechanisms(&mut self) {
+    fn update_mechanisms(&mut self) {
         let Some(configuration) = self.routes.current() else {
             return;
         };
         let next = ActiveMechanisms::at_agent(configuration, self.options.service);
         if std::mem::replace(&mut self.mechanisms, next) != next {
-            self.notes.add(LogEvent::MechanismsChanged { active: next });
+            self.log_events
+                .add(LogEvent::MechanismsChanged { active: next });
         }
     }
 
@@ -384,16 +397,15 @@
             return;
         }
         self.target.state = state;
-        self.report_due = true;
-        self.notes.add(LogEvent::TargetState {
+        self.is_report_to_all_due = true;
+        self.log_events.add(LogEvent::TargetState {
             former,
             state,
             incarnation: self.target.incarnation,
         });
     }
 
-    /// Decides about a packet that a balancer sent; `bytes` are the packet as
-    /// it came.
+    /// Decides about a packet that a balancer sent; `bytes` is the packet as received.
     pub fn handle_forwarded_packet(
         &mut self,
         from: NodeAddress,
@@ -403,23 +415,25 @@
         now: Instant,
     ) -> ForwardDecision {
         self.counters.packets_received += 1;
-        self.name_balancer(from, now);
+        self.add_balancer(from, now);
         if header.service != self.options.service {
-            return self.give_back(ReturnReason::WrongService);
+            return self.decline_forwarded(ReturnReason::WrongService);
         }
         match header.purpose {
-            ForwardPurpose::Open(terms) => self.opening(from, header, &terms, packet, bytes, now),
-            ForwardPurpose::Established => self.established(from, packet, bytes, now),
-            ForwardPurpose::Search => self.search(from, packet, bytes, now),
+            ForwardPurpose::Open(terms) => {
+                self.admit_opening(from, header, &terms, packet, bytes, now)
+            }
+            ForwardPurpose::Established => self.handle_established(from, packet, bytes, now),
+            ForwardPurpose::Search => self.handle_search(from, packet, bytes, now),
         }
     }
 
-    fn give_back(&mut self, reason: ReturnReason) -> ForwardDecision {
+    fn decline_forwarded(&mut self, reason: ReturnReason) -> ForwardDecision {
         self.counters.openings_declined += 1;
-        ForwardDecision::Reply(self.returned(reason), ReplyBody::Packet)
+        ForwardDecision::Reply(self.returned_message(reason), ReplyBody::Packet)
     }
 
-    fn returned(&self, reason: ReturnReason) -> PeerMessage {
+    fn returned_message(&self, reason: ReturnReason) -> PeerMessage {
         PeerMessage::Returned {
             reason,
             load: self.load,
@@ -434,25 +448,25 @@
         Self {
             state: TargetState::Unknown,
             incarnation: None,
-            name: None,
-            born_ms: None,
-            replaced: Vec::new(),
-            succession: RestartDetector::default(),
+            instance: None,
+            started_at_ms: None,
+            replaced_starts: Vec::new(),
+            restart_detector: RestartDetector::default(),
             is_deregistered: false,
-            first_beat_at: None,
-            sequence: 0,
-            capacity: 0,
-            warm_at: now,
-            beat_at: None,
-            former_beat_at: None,
-            sent_at: None,
+            first_heartbeat_at: None,
+            heartbeat_sequence: 0,
+            slots: 0,
+            warm_from: now,
+            last_heartbeat_at: None,
+            previous_last_heartbeat_at: None,
+            last_packet_at: None,
             unanswered_since: None,
-            presence: ListenState::Unknown,
-            began_later: false,
+            listen_state: ListenState::Unknown,
+            started_after_agent: false,
         }
     }
 }
 
-fn not_held(key: FlowKey) -> PeerMessage {
+fn not_held_message(key: FlowKey) -> PeerMessage {
     PeerMessage::NotHeld { keys: vec![key] }
 }
--- a/crates/woodladder-core/src/flow/agent/reporting/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/mod.rs
@@ -1,6 +1,6 @@
-//! What the agent tells balancers, and what theirs teach it.
+//! Messages from the agent to balancers, and what it learns from theirs.
 
-pub(crate) mod announcements;
-pub(crate) mod exclusion;
-pub mod flow_statements;
+pub(crate) mod balancer_messages;
+pub mod flow_announcer;
 pub(crate) mod report_schedule;
+pub(crate) mod zone_exclusion;
--- a/crates/woodladder-core/src/flow/agent/reporting/exclusion.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/zone_exclusion.rs
@@ -1,4 +1,4 @@
-//! Whether the target's zone takes new flows.
+//! Whether the target's zone may take new flows.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::flow::identity::NodeAddress;
 use crate::flow::log_event::LogEvent;
 
-/// Time without word of the excluded zones after which the zone may have been
-/// excluded and taken back unheard: longer than the rounds in which even one
-/// balancer alone greets each agent.
-const UNHEARD_FOR: Duration = Duration::from_secs(3);
+/// Time without news of the excluded zones after which the agent's zone may have been
+/// excluded and taken back unnoticed. It is longer than the rounds in which even a single
+/// balancer sends each agent a hello.
+const MAXIMUM_ZONE_NEWS_GAP: Duration = Duration::from_secs(3);
 
 impl Agent {
     /// Whether the operators have excluded the target's zone.
@@ -20,21 +20,26 @@
         self.excluded_zones.excludes(self.options.zone)
     }
 
-    pub(crate) fn adopt_zones(&mut self, zones: &ExcludedZones, from: NodeAddress, now: Instant) {
+    pub(crate) fn adopt_excluded_zones(
+        &mut self,
+        zones: &ExcludedZones,
+        from: NodeAddress,
+        now: Instant,
+    ) {
         let heard_at = self.zones_heard_at.replace(now);
-        let was_out_of_touch = heard_at.is_none_or(|at| now.since(at) >= UNHEARD_FOR);
+        let was_out_of_touch = heard_at.is_none_or(|at| now.since(at) >= MAXIMUM_ZONE_NEWS_GAP);
         let was_excluded = self.is_excluded();
         let formerly = self.excluded_zones.zones.len();
         let differs = self.excluded_zones.adopt(zones);
         if was_excluded && !self.is_excluded() {
-            self.doubt_warmth(ColdReason::ZoneTakenBack, now);
+            self.assume_cold(ColdReason::ZoneTakenBack, now);
         } else if was_out_of_touch {
-            self.doubt_warmth(ColdReason::OutOfTouch, now);
+            self.assume_cold(ColdReason::OutOfTouch, now);
         }
         if !differs {
             return;
         }
-        self.notes.add(LogEvent::ZonesExcluded {
+        self.log_events.add(LogEvent::ZonesExcluded {
             excluded: self.excluded_zones.zones.len(),
             formerly,
             own_is_excluded: self.is_excluded(),
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -4,12 +4,13 @@
 use super::super::message::{MAXIMUM_KEYS, PeerMessage, TargetState};
 use super::super::packet::{FlowPacket, PacketKind};
 use super::{
-    Agent, AgentAction, FlowState, ForwardDecision, HeldFlow, ListenState, ReplyBody, not_held,
+    Agent, AgentAction, FlowState, ForwardDecision, ListenState, ReplyBody, TargetFlow,
+    not_held_message,
 };
 use crate::clock::Instant;
 
 impl Agent {
-    pub(super) fn search(
+    pub(super) fn handle_search(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -20,34 +21,35 @@
             match flow.state {
                 FlowState::Unconfirmed => return ForwardDecision::plain(),
                 FlowState::Offered | FlowState::Accepted => {
-                    return self.try_target(from, packet, now);
+                    return self.deliver_unconfirmed(from, packet, now);
                 }
                 FlowState::Open | FlowState::Closing => {}
             }
-            if self.waits(from, packet, bytes, now) {
-                let located = self.located(&packet.key);
+            if self.queue_if_full(from, packet, bytes, now) {
+                let located = self.located_message(&packet.key);
                 return located.map_or(ForwardDecision::Drop, ForwardDecision::Queued);
             }
-            let begins_request = self.count_delivery(from, packet, now);
-            let reply = self.located(&packet.key);
+            let begins_request = self.record_delivery(from, packet, now);
+            let reply = self.located_message(&packet.key);
             return ForwardDecision::Deliver {
                 reply,
                 begins_request,
             };
         }
         let knows_all = self.knows_all_flows(now);
-        if !knows_all && !self.has_heard_target() {
+        if !knows_all && !self.is_target_known_to_run() {
             return ForwardDecision::Drop;
         }
         if knows_all {
             self.counters.searches_denied += 1;
-            return ForwardDecision::Reply(not_held(packet.key), ReplyBody::Empty);
+            return ForwardDecision::Reply(not_held_message(packet.key), ReplyBody::Empty);
         }
-        self.try_target(from, packet, now)
+        self.deliver_unconfirmed(from, packet, now)
     }
 
-    /// What a balancer that searched is told when the flow is held here.
-    pub(super) fn located(&self, key: &FlowKey) -> Option<PeerMessage> {
+    /// The answer to a balancer that searched for a flow; `None` unless the target holds
+    /// the flow.
+    pub(super) fn located_message(&self, key: &FlowKey) -> Option<PeerMessage> {
         let flow = self.flows.peek(key)?;
         if !matches!(flow.state, FlowState::Open | FlowState::Closing) {
             return None;
@@ -59,8 +61,9 @@
         })
     }
 
-    /// Answers a query for flows, which an incarnation held if `recorded` names one.
-    pub(super) fn locate(
+    /// Answers a query for flows. If `recorded` names an incarnation, the query is about
+    /// flows that this incarnation held.
+    pub(super) fn answer_locate(
         &mut self,
         from: NodeAddress,
         keys: &[FlowKey],
@@ -68,12 +71,13 @@
         now: Instant,
         actions: &mut Vec<AgentAction>,
     ) {
-        let has_ended = recorded.is_some_and(|incarnation| self.has_ended(incarnation));
-        let knows_all = has_ended || self.knows_all_flows(now);
+        let accounts_for_recorded =
+            recorded.is_some_and(|incarnation| self.accounts_for_flows_of(incarnation));
+        let knows_all = accounts_for_recorded || self.knows_all_flows(now);
         let mut denied = Vec::new();
         let mut undecided = Vec::new();
         for key in keys.iter().take(MAXIMUM_KEYS) {
-            if let Some(message) = self.located(key) {
+            if let Some(message) = self.located_message(key) {
                 actions.push(AgentAction::Send { to: from, message });
             } else if knows_all && self.flows.peek(key).is_none() {
                 denied.push(*key);
@@ -98,36 +102,36 @@
         }
     }
 
-    /// Whether the target runs for certain. A packet for a target that has not
-    /// started yet is answered with a reset by its machine, which would end a
-    /// flow that another target holds.
-    pub(super) fn has_heard_target(&self) -> bool {
-        let has_beaten = self.target.state != TargetState::Unknown;
-        has_beaten
-            || self.target.sent_at.is_some()
-            || self.target.presence == ListenState::Listening
+    /// Whether the target is known to run. The machine of a target that has not started
+    /// yet answers a packet with a reset, which would end a flow that another target
+    /// holds.
+    pub(super) fn is_target_known_to_run(&self) -> bool {
+        let had_heartbeat = self.target.state != TargetState::Unknown;
+        had_heartbeat
+            || self.target.last_packet_at.is_some()
+            || self.target.listen_state == ListenState::Listening
     }
 
-    /// Whether every open flow of the target is in the table: the agent has
-    /// run since the target began, or for longer than a flow lives.
+    /// Whether every open flow of the target is in the table: the agent has run since the
+    /// target started, or for longer than the longest life of a flow.
     pub(super) fn knows_all_flows(&self, now: Instant) -> bool {
         let complete_since = self.flows.overflowed_at().unwrap_or(self.started_at);
         let has_seen_all = now.since(complete_since) >= self.options.flow_lifetime;
-        has_seen_all || (self.target.began_later && self.flows.overflowed_at().is_none())
+        has_seen_all || (self.target.started_after_agent && self.flows.overflowed_at().is_none())
     }
 
-    /// Whether each flow of an incarnation is in the table or has ended with it: the
-    /// target has sent this process a heartbeat as another one. If that began later, the
-    /// flows have ended; if it began earlier, it lived after this process had started,
-    /// which has then seen each flow of the later one.
-    pub(super) fn has_ended(&self, incarnation: Incarnation) -> bool {
-        let has_heard = self.target.beat_at.is_some();
+    /// Whether each flow of an incarnation is in the table or has ended with it, because
+    /// the target has sent this process a heartbeat as another incarnation. If that one
+    /// started later, the flows have ended. If it started earlier, it was alive after
+    /// this process started, so this process has seen each flow of the later one.
+    pub(super) fn accounts_for_flows_of(&self, incarnation: Incarnation) -> bool {
+        let has_heard = self.target.last_heartbeat_at.is_some();
         let is_another = self.target.incarnation.is_some_and(|it| it != incarnation);
         has_heard && is_another && self.flows.overflowed_at().is_none()
     }
 
-    /// The flow may be open at the target, which alone can tell.
-    pub(super) fn try_target(
+    /// Delivers a packet of a flow that only the target can confirm or deny.
+    pub(super) fn deliver_unconfirmed(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -136,18 +140,18 @@
         if packet.kind == PacketKind::Open {
             return ForwardDecision::Drop;
         }
-        let flow = HeldFlow {
+        let flow = TargetFlow {
             state: FlowState::Unconfirmed,
-            is_expected: false,
+            counts_as_opening: false,
             has_answered: false,
             balancer: from,
-            since: now,
+            state_since: now,
             busy_since: None,
-            caller_next: packet.sequence.wrapping_add(packet.payload_length.into()),
-            request_start: 0,
+            caller_next_sequence: packet.sequence.wrapping_add(packet.payload_length.into()),
+            request_start_sequence: 0,
             awaits_outcome: false,
         };
-        self.forget_flow(&packet.key);
+        self.remove_flow(&packet.key);
         self.flows.insert(packet.key, flow, now);
         ForwardDecision::plain()
     }
--- a/crates/woodladder-core/src/flow/agent/target/failure_record.rs
+++ b/crates/woodladder-core/src/flow/agent/target/failure_record.rs
@@ -1,55 +1,54 @@
-//! What comes of the target's requests, as evidence of its health.
+//! Outcomes of the target's requests, as evidence of its health.
 //!
-//! A target can fail quickly while its heartbeats are good; it then looks idle
-//! and would draw the next flow. The agent counts failures and successes with
-//! decaying weights and states the share of failures with the load; balancers
-//! compare it with that of the service's other targets. What a target says of
-//! its own health plays no part.
+//! A target can fail quickly while its heartbeats are good; it then looks idle and would
+//! attract the next flow. The agent counts failures and successes with decaying weights
+//! and reports the share of failures with the load. Balancers compare it with the share
+//! of the service's other targets. What a target says of its own health plays no part.
 //!
-//! The evidence fades, so that a target which has recovered is tried again. It
-//! fades more slowly for one that has been suspect before.
+//! The evidence decays, so that a target that has recovered is tried again. It decays
+//! more slowly for a target that has been suspect before.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// Time in which successes lose half of their weight: short, so that a long good
-/// record does not hide that a target has begun to fail.
+/// Half-life of the weight of successes. It is short, so that a long good record does not
+/// hide that a target has begun to fail.
 const SUCCESS_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Time in which failures lose half of their weight at first.
+/// Half-life of the weight of failures, at first.
 const FIRST_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Longest such time.
-const LONGEST_HALF_LIFE: Duration = Duration::from_secs(16);
-/// Time without suspicion after which the first half-life holds again.
-const TRUSTED_AGAIN_AFTER: Duration = Duration::from_secs(40);
-/// Successes assumed before any are known, so that one failure proves little.
+/// Longest half-life of the weight of failures.
+const MAXIMUM_HALF_LIFE: Duration = Duration::from_secs(16);
+/// Time without suspicion after which the first half-life applies again.
+const HALF_LIFE_RESET_AFTER: Duration = Duration::from_secs(40);
+/// Successes that are assumed before any are known, so that one failure proves little.
 const ASSUMED_SUCCESSES: f64 = 3.0;
 /// Share of failures, in percent, from which a target is suspect.
 const SUSPECT_FROM: u8 = 25;
-/// Share of failures, in percent, below which it no longer is.
+/// Share of failures, in percent, below which a target is no longer suspect.
 const TRUSTED_BELOW: u8 = 10;
 
-/// How an answer of the target begins.
+/// Outcome of a request, as the first bytes of the answer show it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
     /// The request was served, or the caller was at fault.
     Success,
     /// The target failed.
     Failure,
-    /// The target did not run the request.
+    /// The target refused the request without running it.
     Rejected,
 }
 
-/// Whether a target has become or ceased to be suspect.
+/// Change of whether a target is suspect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Suspicion {
-    /// It fails more than now and then.
+    /// The target has become suspect: it fails more than occasionally.
     Begun,
-    /// Its failures lie far enough back.
+    /// The target is no longer suspect: its failures lie far enough back.
     Ended,
 }
 
-/// FailureRecord of one incarnation's requests, with decaying weights.
+/// Outcomes of one incarnation's requests, with decaying weights.
 #[derive(Clone, Debug)]
 pub(crate) struct FailureRecord {
     successes: f64,
@@ -61,7 +60,7 @@
 }
 
 impl FailureRecord {
-    /// No evidence.
+    /// A record without evidence.
     pub fn new(now: Instant) -> Self {
         Self {
             successes: 0.0,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Counts one request.
+    /// Counts the outcome of one request.
     pub fn count(&mut self, succeeded: bool, now: Instant) {
         self.decay(now);
         if succeeded {
@@ -85,16 +84,17 @@
 
     /// Share of failures, in percent.
     pub fn failed_percent(&self) -> u8 {
-        const WHOLE: f64 = 100.0;
+        const PERCENT: f64 = 100.0;
         let all = self.failures + self.successes + ASSUMED_SUCCESSES;
-        let share = self.failures / all * WHOLE;
-        // Within 0 to 100 by its definition.
+        let share = self.failures / all * PERCENT;
+        // Between 0 and 100 by its definition.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let percent = share.round() as u8;
         percent
     }
 
-    /// Lets evidence fade; says whether suspicion has begun or ended.
+    /// Lets the evidence decay. Returns whether the target has become or ceased to be
+    /// suspect.
     pub fn tick(&mut self, now: Instant) -> Option<Suspicion> {
         self.decay(now);
         let share = self.failed_percent();
@@ -112,9 +112,9 @@
     fn begin_suspicion(&mut self, now: Instant) {
         let was_suspect = self
             .suspect_at
-            .is_some_and(|at| now.since(at) < TRUSTED_AGAIN_AFTER);
+            .is_some_and(|at| now.since(at) < HALF_LIFE_RESET_AFTER);
         self.half_life = if was_suspect {
-            (self.half_life * 2).min(LONGEST_HALF_LIFE)
+            (self.half_life * 2).min(MAXIMUM_HALF_LIFE)
         } else {
             FIRST_HALF_LIFE
         };
@@ -125,12 +125,12 @@
     fn decay(&mut self, now: Instant) {
         let elapsed = now.since(self.decayed_at);
         self.decayed_at = now;
-        self.successes *= kept_after(elapsed, SUCCESS_HALF_LIFE);
-        self.failures *= kept_after(elapsed, self.half_life);
+        self.successes *= remaining_weight(elapsed, SUCCESS_HALF_LIFE);
+        self.failures *= remaining_weight(elapsed, self.half_life);
     }
 }
 
-/// Part of a weight that is left after some time.
-fn kept_after(elapsed: Duration, half_life: Duration) -> f64 {
+/// Factor on a weight after some time.
+fn remaining_weight(elapsed: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(elapsed.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of the target: its incarnation, state and capacity.
 //!
 //! Each start of a target is a new incarnation. A late heartbeat of an earlier
-//! one, or of the same one out of order, changes nothing.
+//! incarnation, or one that arrives out of order, changes nothing.
 
 use std::time::Duration;
 
@@ -11,47 +11,48 @@
 use crate::flow::message::TargetState;
 use crate::flow::target_restart::TargetStart;
 
-/// Earlier incarnations that are told apart from a new one.
-const REMEMBERED_INCARNATIONS: usize = 16;
-/// Number of the first heartbeat of an incarnation.
+/// Number of earlier incarnations that are remembered to recognise their late heartbeats.
+const MAXIMUM_REPLACED_STARTS: usize = 16;
+/// Sequence number of the first heartbeat of an incarnation.
 const FIRST_SEQUENCE: u64 = 1;
-/// Time between two heartbeats of one incarnation that shows that it was alive in
-/// between: heartbeats that were held up come together.
-const ALIVE_BETWEEN: Duration = Duration::from_millis(500);
-/// Time without any packet of the target, while openings wait for an answer,
-/// after which it counts as unresponsive.
-const UNANSWERED_AT_MOST: Duration = Duration::from_millis(450);
-
-/// One heartbeat.
+/// Two heartbeats of one incarnation that arrive this far apart show that it was alive in
+/// between: heartbeats that were held up arrive together.
+const MINIMUM_ALIVE_SPAN: Duration = Duration::from_millis(500);
+/// Time without any packet of the target, while openings wait for its answer, after which
+/// it counts as unresponsive.
+const MAXIMUM_UNANSWERED_TIME: Duration = Duration::from_millis(450);
+
+/// A heartbeat of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// Incarnation that sends it.
+    /// Incarnation that sent the heartbeat.
     pub incarnation: Incarnation,
-    /// The incarnation by its name alone; the same for all starts under one name.
+    /// Identifies the target by its name alone; the same for all starts under that name.
     pub instance: Incarnation,
-    /// When it began, in milliseconds of Unix time, where it says so.
+    /// When the incarnation began, in milliseconds of Unix time; `None` if the target
+    /// does not say.
     pub started_unix_ms: Option<u64>,
     /// Service of the target.
     pub service: ServiceKey,
-    /// Whether it says that it leaves.
+    /// Whether the target says that it leaves.
     pub leaving: bool,
-    /// Requests that it works on at the same time.
+    /// Number of requests that the target serves at the same time.
     pub slots: u16,
-    /// How much longer it is slow from its start.
+    /// How much longer the target is slow after its start.
     pub warm_up_remaining: Duration,
-    /// Grows with each heartbeat of one incarnation.
+    /// Increases with each heartbeat of one incarnation.
     pub sequence: u64,
 }
 
-/// Why a heartbeat is not taken.
+/// Why a heartbeat is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HeartbeatError {
-    /// It is of another service than the agent's.
+    /// The heartbeat is of another service than the agent's.
     WrongService,
-    /// Its incarnation was replaced by a later one.
+    /// The incarnation was replaced by a later one.
     Replaced,
-    /// It may be older than the incarnation that is known, and has not shown yet
-    /// that it lives.
+    /// The incarnation may be older than the known one, and has not proven yet that it is
+    /// alive.
     Unproven,
 }
 
@@ -68,56 +69,65 @@
 }
 
 impl Agent {
-    /// Takes a heartbeat in. When it says that the target leaves, no new flow
-    /// reaches the target from the moment that this returns.
+    /// Handles a heartbeat. If it says that the target leaves, no new flow reaches the
+    /// target once this function has returned.
     ///
     /// # Errors
-    /// [`HeartbeatError`] when it is not taken; nothing has changed.
+    /// [`HeartbeatError`] when the heartbeat is rejected; nothing has changed then.
     pub fn handle_heartbeat(
         &mut self,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         now: Instant,
     ) -> Result<(), HeartbeatError> {
-        let taken = self.take_heartbeat(beat, now);
-        match taken {
-            Ok(()) => self.promises.record_leaving_accepted(beat.incarnation, now),
-            // One that was replaced has ended and waits for nothing.
+        let result = self.apply_heartbeat(heartbeat, now);
+        match result {
+            Ok(()) => self
+                .promises
+                .record_leaving_accepted(heartbeat.incarnation, now),
+            // A replaced incarnation has ended and does not wait for its leaving to be
+            // acknowledged.
             Err(HeartbeatError::Replaced) => {}
-            Err(_) if beat.leaving => self.promises.record_leaving_rejected(beat.incarnation, now),
+            Err(_) if heartbeat.leaving => self
+                .promises
+                .record_leaving_rejected(heartbeat.incarnation, now),
             Err(_) => {}
         }
-        taken
+        result
     }
 
-    fn take_heartbeat(&mut self, beat: &Heartbeat, now: Instant) -> Result<(), HeartbeatError> {
-        if beat.service != self.options.service {
+    fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Result<(), HeartbeatError> {
+        if heartbeat.service != self.options.service {
             return Err(HeartbeatError::WrongService);
         }
-        if self.target.has_replaced(beat.incarnation) {
+        if self.target.is_replaced_start(heartbeat.incarnation) {
             self.counters.heartbeats_replaced += 1;
             return Err(HeartbeatError::Replaced);
         }
-        if self.target.incarnation != Some(beat.incarnation) {
-            if !self.target.is_followed_by(beat, now) {
+        if self.target.incarnation != Some(heartbeat.incarnation) {
+            if !self.target.is_replaced_by(heartbeat, now) {
                 self.counters.heartbeats_unproven += 1;
                 return Err(HeartbeatError::Unproven);
             }
-            self.replace_target(beat, now);
-        } else if beat.sequence <= self.target.sequence {
+            self.replace_target(heartbeat, now);
+        } else if heartbeat.sequence <= self.target.heartbeat_sequence {
             self.counters.heartbeats += 1;
             return Ok(());
         }
         self.counters.heartbeats += 1;
-        self.target.succession.confirm_known();
-        self.target.first_beat_at.get_or_insert(now);
-        self.target.sequence = beat.sequence;
-        self.load.last_heartbeat = beat.sequence;
-        self.target.beat_at = Some(now);
+        self.target.restart_detector.confirm_known();
+        self.target.first_heartbeat_at.get_or_insert(now);
+        self.target.heartbeat_sequence = heartbeat.sequence;
+        self.load.last_heartbeat = heartbeat.sequence;
+        self.target.last_heartbeat_at = Some(now);
         self.target.unanswered_since = None;
-        self.target.capacity = beat.slots;
-        self.target.warm_at = now + beat.warm_up_remaining;
-        self.warm_up.told(now);
-        let state = match (beat.leaving, self.target.state) {
+        self.target.slots = heartbeat.slots;
+        self.target.warm_from = now + heartbeat.warm_up_remaining;
+        self.warm_up.record_heartbeat(now);
+        let state = match (heartbeat.leaving, self.target.state) {
             (true, _) | (_, TargetState::Leaving) => TargetState::Leaving,
             _ => TargetState::Ready,
         };
@@ -125,22 +135,26 @@
         Ok(())
     }
 
-    /// The target says that it is gone; it may still serve its flows. `incarnation`
-    /// may be its name alone. When a start of that name was replaced here and the
-    /// present one has not said that it leaves, the former one's message may be late:
-    /// nothing changes.
+    /// Handles the target's message that it is gone; the target may still serve its
+    /// flows. `incarnation` may identify it by its name alone. If a start under that name
+    /// was replaced here and the present start has not said that it leaves, the message
+    /// may be a late one of the former start, and nothing changes.
     pub fn handle_deregistration(&mut self, incarnation: Incarnation) {
         let target = &mut self.target;
-        let says_start = target.incarnation == Some(incarnation);
-        let says_name = target.name == Some(incarnation);
+        let names_start = target.incarnation == Some(incarnation);
+        let names_instance = target.instance == Some(incarnation);
         let leaves = target.state == TargetState::Leaving;
         match target.incarnation {
-            // Which start it means is not known, so none is taken for it.
+            // It is not known which start the message is about, so it is not attributed
+            // to any start.
             None => {
-                target.name = Some(incarnation);
+                target.instance = Some(incarnation);
                 self.set_state(TargetState::Leaving);
             }
-            Some(_) if says_start || (says_name && (leaves || !target.has_namesake())) => {
+            Some(_)
+                if names_start
+                    || (names_instance && (leaves || !target.has_replaced_same_instance())) =>
+            {
                 target.is_deregistered = true;
                 self.set_state(TargetState::Leaving);
             }
@@ -148,59 +162,61 @@
         }
     }
 
-    fn replace_target(&mut self, beat: &Heartbeat, now: Instant) {
-        let former = self.target.clone();
+    fn replace_target(&mut self, heartbeat: &Heartbeat, now: Instant) {
+        let previous = self.target.clone();
         self.target = Target::unknown(now);
-        self.target.incarnation = Some(beat.incarnation);
-        self.target.name = Some(beat.instance);
-        self.target.born_ms = beat.started_unix_ms;
-        self.target.began_later =
-            former.began_later || former.has_lived_here(beat) || beat.sequence <= FIRST_SEQUENCE;
-        self.target.replaced = former.replaced;
-        self.target.former_beat_at = former.beat_at;
-        if former.incarnation.is_none() && former.name == Some(beat.incarnation) {
-            // This very start was deregistered before it was heard.
+        self.target.incarnation = Some(heartbeat.incarnation);
+        self.target.instance = Some(heartbeat.instance);
+        self.target.started_at_ms = heartbeat.started_unix_ms;
+        self.target.started_after_agent = previous.started_after_agent
+            || previous.was_alive_beside_agent(heartbeat)
+            || heartbeat.sequence <= FIRST_SEQUENCE;
+        self.target.replaced_starts = previous.replaced_starts;
+        self.target.previous_last_heartbeat_at = previous.last_heartbeat_at;
+        if previous.incarnation.is_none() && previous.instance == Some(heartbeat.incarnation) {
+            // This very start was deregistered before its first heartbeat.
             self.target.state = TargetState::Leaving;
         }
-        if let Some(ended) = former.incarnation {
-            let name = former.name.unwrap_or(ended);
+        if let Some(ended) = previous.incarnation {
+            let instance = previous.instance.unwrap_or(ended);
             let ended = ReplacedStart {
                 incarnation: ended,
-                name,
+                instance,
             };
-            self.target.replaced.push(ended);
+            self.target.replaced_starts.push(ended);
             let surplus = self
                 .target
-                .replaced
+                .replaced_starts
                 .len()
-                .saturating_sub(REMEMBERED_INCARNATIONS);
-            self.target.replaced.drain(..surplus);
-            self.forget_flows_before(former.beat_at, now);
+                .saturating_sub(MAXIMUM_REPLACED_STARTS);
+            self.target.replaced_starts.drain(..surplus);
+            self.remove_flows_of_replaced_target(previous.last_heartbeat_at, now);
         }
-        self.report_due = true;
+        self.is_report_to_all_due = true;
     }
 
-    /// Whether it should be asked if the target listens: before the first sign
-    /// of it.
+    /// Whether the target's address should be probed: until there is a first sign of the
+    /// target.
     #[must_use]
     pub fn needs_listen_probe(&self) -> bool {
-        let was_heard = self.target.state != TargetState::Unknown || self.target.sent_at.is_some();
-        !was_heard && self.target.presence != ListenState::Listening
+        let was_heard =
+            self.target.state != TargetState::Unknown || self.target.last_packet_at.is_some();
+        !was_heard && self.target.listen_state != ListenState::Listening
     }
 
-    /// Takes in whether the target listens. One that does not yet will begin
+    /// Records whether the target listens. A target that does not listen yet will start
     /// while the agent runs, so the agent sees each of its flows.
-    pub fn record_listen_state(&mut self, presence: ListenState) {
-        self.target.presence = presence;
-        self.target.began_later |= presence == ListenState::NotListening;
+    pub fn record_listen_state(&mut self, listen_state: ListenState) {
+        self.target.listen_state = listen_state;
+        self.target.started_after_agent |= listen_state == ListenState::NotListening;
     }
 
-    /// Notices a target that answers no opening.
-    pub(crate) fn watch_target(&mut self, now: Instant) {
+    /// Marks a target that answers no opening as unresponsive.
+    pub(crate) fn check_target_responds(&mut self, now: Instant) {
         let Some(since) = self.target.unanswered_since else {
             return;
         };
-        let is_silent = now.since(since) >= UNANSWERED_AT_MOST;
+        let is_silent = now.since(since) >= MAXIMUM_UNANSWERED_TIME;
         if is_silent && self.target.state == TargetState::Ready {
             self.set_state(TargetState::Unresponsive);
         }
@@ -208,19 +224,19 @@
 }
 
 impl Target {
-    fn has_replaced(&self, incarnation: Incarnation) -> bool {
-        let mut replaced = self.replaced.iter();
+    fn is_replaced_start(&self, incarnation: Incarnation) -> bool {
+        let mut replaced = self.replaced_starts.iter();
         replaced.any(|start| start.incarnation == incarnation)
     }
 
-    /// Whether a start under the present one's name was replaced here.
-    fn has_namesake(&self) -> bool {
-        let mut replaced = self.replaced.iter();
-        replaced.any(|start| Some(start.name) == self.name)
+    /// Whether a start under the present target's name was replaced here.
+    fn has_replaced_same_instance(&self) -> bool {
+        let mut replaced = self.replaced_starts.iter();
+        replaced.any(|start| Some(start.instance) == self.instance)
     }
 
-    /// Whether the sender of a heartbeat takes the place of this one.
-    fn is_followed_by(&mut self, beat: &Heartbeat, now: Instant) -> bool {
+    /// Whether the sender of a heartbeat replaces this incarnation.
+    fn is_replaced_by(&mut self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let Some(incarnation) = self.incarnation else {
             return true;
         };
@@ -229,21 +245,23 @@
         }
         let known = TargetStart {
             incarnation,
-            started_at_ms: self.born_ms,
+            started_at_ms: self.started_at_ms,
         };
         let next = TargetStart {
-            incarnation: beat.incarnation,
-            started_at_ms: beat.started_unix_ms,
+            incarnation: heartbeat.incarnation,
+            started_at_ms: heartbeat.started_unix_ms,
         };
-        self.succession
-            .supersedes(&known, &next, beat.sequence, now)
+        self.restart_detector
+            .supersedes(&known, &next, heartbeat.sequence, now)
     }
 
-    /// Whether it was alive while the agent ran, so that one that follows it began
-    /// later than the agent. A single heartbeat may have been held up since before.
-    fn has_lived_here(&self, next: &Heartbeat) -> bool {
-        let span = self.first_beat_at.zip(self.beat_at);
-        let was_heard_twice = span.is_some_and(|(first, last)| last.since(first) >= ALIVE_BETWEEN);
+    /// Whether this incarnation was alive while the agent ran, so that one that replaces
+    /// it started later than the agent. A single heartbeat does not show that: it may
+    /// have been held up since before the agent's start.
+    fn was_alive_beside_agent(&self, next: &Heartbeat) -> bool {
+        let span = self.first_heartbeat_at.zip(self.last_heartbeat_at);
+        let was_heard_twice =
+            span.is_some_and(|(first, last)| last.since(first) >= MINIMUM_ALIVE_SPAN);
         self.incarnation.is_some() && (next.started_unix_ms.is_none() || was_heard_twice)
     }
 }
--- a/crates/woodladder-core/src/flow/agent/target/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/target/mod.rs
@@ -1,7 +1,7 @@
-//! What the agent knows of its target: heartbeats, load, and how requests end.
+//! What the agent knows of its target: heartbeats, load, and outcomes of requests.
 
 pub(crate) mod failure_record;
 pub(crate) mod heartbeat;
+pub(crate) mod idle_flow_work;
 pub(crate) mod load;
 pub(crate) mod request_outcome;
-pub(crate) mod resting_work;
--- a/crates/woodladder-core/tests/flow_admission_queue.rs
+++ b/crates/woodladder-core/tests/flow_admission_queue.rs
@@ -1,12 +1,12 @@
-//! The agent's queue of openings: what waits, in which order it is served, and
-//! how it ends.
+//! The agent's queue of openings: what is queued, in which order it is served, and how a
+//! queued opening ends.
 
 mod flow_support;
 
 use flow_support::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::{
-    Agent, AgentAction, ForwardDecision, LONGEST_WAIT, QUEUE_CAPACITY, ReplyBody,
+    Agent, AgentAction, ForwardDecision, MAXIMUM_OPENING_AGE, MAXIMUM_QUEUED_OPENINGS, ReplyBody,
 };
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::message::{
@@ -14,33 +14,33 @@
 };
 use woodladder_core::flow::packet::PacketKind;
 
-/// Requests that the tests' target of seven slots is handed at once.
-const HANDED_OVER: u16 = 9;
+/// Requests that the agent delivers at once to the tests' target of seven slots.
+const DELIVERED_AT_ONCE: u16 = 9;
 
-/// Milliseconds of a test, well after the clock's origin.
+/// A time in a test, in milliseconds, well after the clock's origin.
 fn at(milliseconds: u64) -> Instant {
     flow_support::at(10_000 + milliseconds)
 }
 
-/// Gives the agent an opening whose bytes are its port.
-fn offer(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) -> ForwardDecision {
+/// Forwards an opening to the agent; its bytes are its port.
+fn forward_opening(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) -> ForwardDecision {
     let header = header(1, ForwardPurpose::Open(terms));
     let bytes = port.to_be_bytes();
     agent.handle_forwarded_packet(node(1), &header, &opening(flow(port), 0), &bytes, at(now))
 }
 
-/// An agent whose target works on as many requests as it is handed; they were
-/// all handed over at 10 ms.
+/// An agent whose target has as many requests in service as the agent delivers; all of
+/// them were delivered at 10 ms.
 fn busy_agent() -> Agent {
     let mut agent = agent();
-    for port in 1..=HANDED_OVER {
+    for port in 1..=DELIVERED_AT_ONCE {
         open_flow_at(&mut agent, flow(port), at(10));
     }
     agent
 }
 
-/// Lets the target answer requests on the flow of port 1, whose caller sends
-/// the next one at once: the target is full all the time and not stuck.
+/// Keeps the target full without being stuck: it answers requests on the flow of port 1,
+/// whose caller sends the next one at once.
 fn keep_busy(agent: &mut Agent, until: u64) {
     const REQUEST_LENGTH: u32 = 100;
     let mut sequence = 1001;
@@ -57,8 +57,8 @@
     agent.handle_target_packet(&data(key, 5001, 1101), None, at(now));
 }
 
-/// Ports of the openings that the agent hands over now.
-fn served(agent: &mut Agent, now: u64) -> Vec<u16> {
+/// Ports of the openings that the agent delivers now.
+fn delivered_ports(agent: &mut Agent, now: u64) -> Vec<u16> {
     let mut actions = Vec::new();
     agent.dispatch_queued(at(now), &mut actions);
     let ports = actions.iter().filter_map(|action| match action {
@@ -68,8 +68,8 @@
     ports.collect()
 }
 
-/// Ports and reasons of the openings that the agent gives back now.
-fn given_back(agent: &mut Agent, now: u64) -> Vec<(u16, ReturnReason)> {
+/// Ports and reasons of the openings that the agent returns now.
+fn returned_openings(agent: &mut Agent, now: u64) -> Vec<(u16, ReturnReason)> {
     let mut actions = Vec::new();
     agent.dispatch_queued(at(now), &mut actions);
     let returns = actions.iter().filter_map(|action| match action {
@@ -104,36 +104,41 @@
 }
 
 #[test]
-fn an_opening_beyond_what_the_target_can_begin_with_waits() {
+fn an_opening_for_a_full_target_is_queued() {
     let mut agent = busy_agent();
-    let delivery = offer(&mut agent, 100, opening_terms(), 20);
+    let delivery = forward_opening(&mut agent, 100, opening_terms(), 20);
     assert!(is_queued(&delivery), "{delivery:?}");
     assert_eq!(agent.load().queued, 1);
-    assert_eq!(served(&mut agent, 30), []);
+    assert_eq!(delivered_ports(&mut agent, 30), []);
 }
 
 #[test]
-fn an_opening_is_handed_over_when_a_request_is_answered() {
+fn a_queued_opening_is_delivered_when_a_request_is_answered() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
     answer(&mut agent, flow(1), 40);
-    assert_eq!(served(&mut agent, 40), [100]);
+    assert_eq!(delivered_ports(&mut agent, 40), [100]);
     assert_eq!((agent.load().queued, agent.load().opening), (0, 1));
 }
 
-/// An acceptance that the caller does not follow up keeps no other opening
-/// waiting.
+/// Guards against an accepted opening that keeps its place although its caller sends no
+/// request.
 #[test]
-fn an_opening_without_a_sequel_gives_its_place_up() {
+fn an_accepted_opening_without_a_request_frees_its_place() {
     let mut agent = agent();
-    for port in 1..=HANDED_OVER {
-        offer(&mut agent, port, opening_terms(), 10);
+    for port in 1..=DELIVERED_AT_ONCE {
+        forward_opening(&mut agent, port, opening_terms(), 10);
     }
-    assert!(is_queued(&offer(&mut agent, 100, opening_terms(), 20)));
+    assert!(is_queued(&forward_opening(
+        &mut agent,
+        100,
+        opening_terms(),
+        20
+    )));
     let accept = packet(flow(1), PacketKind::Accept, 5000, 1001, 0);
     agent.handle_target_packet(&accept, None, at(21));
-    assert_eq!(served(&mut agent, 60), []);
-    assert_eq!(served(&mut agent, 80), [100]);
+    assert_eq!(delivered_ports(&mut agent, 60), []);
+    assert_eq!(delivered_ports(&mut agent, 80), [100]);
 }
 
 #[test]
@@ -149,101 +154,109 @@
         } else {
             (opening_terms(), late)
         };
-        offer(&mut agent, 100, first, 20);
-        offer(&mut agent, 101, second, 21);
+        forward_opening(&mut agent, 100, first, 20);
+        forward_opening(&mut agent, 101, second, 21);
         answer(&mut agent, flow(1), 40);
         let expected = if late_comes_first { 101 } else { 100 };
-        assert_eq!(served(&mut agent, 40), [expected]);
+        assert_eq!(delivered_ports(&mut agent, 40), [expected]);
     }
 }
 
 #[test]
-fn openings_that_matter_more_go_before_others_of_their_kind() {
+fn urgent_openings_go_before_others_of_the_same_lateness() {
     let urgent = OpeningTerms {
         is_urgent: true,
         ..opening_terms()
     };
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
-    offer(&mut agent, 101, urgent, 20);
-    offer(&mut agent, 102, opening_terms(), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 101, urgent, 20);
+    forward_opening(&mut agent, 102, opening_terms(), 20);
     answer(&mut agent, flow(1), 40);
-    assert_eq!(served(&mut agent, 40), [101]);
+    assert_eq!(delivered_ports(&mut agent, 40), [101]);
 }
 
 #[test]
-fn a_late_opening_that_matters_more_waits_for_those_that_can_be_in_time() {
+fn a_late_urgent_opening_waits_for_those_that_can_be_in_time() {
     let late_urgent = OpeningTerms {
         age_ms: 290,
         is_urgent: true,
         ..opening_terms()
     };
     let mut agent = busy_agent();
-    offer(&mut agent, 100, late_urgent, 20);
-    offer(&mut agent, 101, opening_terms(), 20);
+    forward_opening(&mut agent, 100, late_urgent, 20);
+    forward_opening(&mut agent, 101, opening_terms(), 20);
     answer(&mut agent, flow(1), 40);
     answer(&mut agent, flow(2), 40);
-    assert_eq!(served(&mut agent, 40), [101, 100]);
+    assert_eq!(delivered_ports(&mut agent, 40), [101, 100]);
 }
 
 #[test]
-fn an_opening_that_has_waited_too_long_is_given_back() {
+fn an_opening_queued_for_too_long_is_returned() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
-    let end = 20 + u64::try_from(LONGEST_WAIT.as_millis()).expect("milliseconds");
+    forward_opening(&mut agent, 100, opening_terms(), 20);
+    let end = 20 + u64::try_from(MAXIMUM_OPENING_AGE.as_millis()).expect("milliseconds");
     keep_busy(&mut agent, end);
-    assert_eq!(given_back(&mut agent, end - 1), []);
-    assert_eq!(given_back(&mut agent, end), [(100, ReturnReason::Expired)]);
+    assert_eq!(returned_openings(&mut agent, end - 1), []);
+    assert_eq!(
+        returned_openings(&mut agent, end),
+        [(100, ReturnReason::Expired)]
+    );
     assert_eq!(agent.load().queued, 0);
 }
 
-/// An answer that comes after its caller has given up helps nobody.
+/// An answer that arrives after its caller has given up is of no use.
 #[test]
-fn an_opening_whose_answer_would_come_too_late_is_given_back() {
+fn a_queued_opening_whose_answer_would_come_too_late_is_returned() {
     let mut agent = busy_agent();
     let terms = OpeningTerms {
         timeout_ms: 500,
         ..opening_terms()
     };
-    offer(&mut agent, 100, terms, 20);
+    forward_opening(&mut agent, 100, terms, 20);
     keep_busy(&mut agent, 520);
-    assert_eq!(given_back(&mut agent, 300), []);
-    assert_eq!(given_back(&mut agent, 519), [(100, ReturnReason::Expired)]);
+    assert_eq!(returned_openings(&mut agent, 300), []);
+    assert_eq!(
+        returned_openings(&mut agent, 519),
+        [(100, ReturnReason::Expired)]
+    );
 }
 
-/// A target that has stopped to answer keeps openings from others that would.
+/// Guards against openings that stay queued for a target that has stopped answering,
+/// while another target could answer them.
 #[test]
-fn openings_do_not_wait_for_a_target_that_is_stuck() {
+fn no_opening_is_queued_for_a_stuck_target() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
-    assert_eq!(given_back(&mut agent, 300), []);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
+    assert_eq!(returned_openings(&mut agent, 300), []);
     assert_eq!(
-        given_back(&mut agent, 500),
+        returned_openings(&mut agent, 500),
         [(100, ReturnReason::Saturated)]
     );
-    let next = offer(&mut agent, 101, opening_terms(), 510);
+    let next = forward_opening(&mut agent, 101, opening_terms(), 510);
     assert_eq!(reason(&next), Some(ReturnReason::Saturated));
 }
 
-/// The platform counts from the acknowledgement, which is sent after the tick.
+/// The platform expects no new flow from the acknowledgement of the heartbeat on, which
+/// is sent after the tick.
 #[test]
-fn all_openings_are_given_back_when_the_target_leaves() {
+fn all_queued_openings_are_returned_when_the_target_leaves() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
     let mut leaving = heartbeat(1, 2);
     leaving.leaving = true;
     agent.handle_heartbeat(&leaving, at(30)).expect("heartbeat");
     assert_eq!(
-        given_back(&mut agent, 30),
+        returned_openings(&mut agent, 30),
         [(100, ReturnReason::Leaving)],
-        "none is handed over"
+        "none is delivered"
     );
     answer(&mut agent, flow(1), 40);
-    assert_eq!(served(&mut agent, 40), []);
+    assert_eq!(delivered_ports(&mut agent, 40), []);
 }
 
 #[test]
-fn an_opening_that_waits_is_given_back_once_its_version_is_out_of_date() {
+fn a_queued_opening_is_returned_once_its_version_is_out_of_date() {
     let mut agent = busy_agent();
     let snapshot = Snapshot {
         configuration: Some((*configuration(5)).clone()),
@@ -251,18 +264,18 @@
     };
     agent.apply_snapshot(node(1), snapshot, at(100));
     keep_busy(&mut agent, 1000);
-    offer(&mut agent, 100, opening_terms(), 1000);
+    forward_opening(&mut agent, 100, opening_terms(), 1000);
     answer(&mut agent, flow(2), 1200);
     assert_eq!(
-        given_back(&mut agent, 1200),
+        returned_openings(&mut agent, 1200),
         [(100, ReturnReason::StaleVersion)]
     );
 }
 
 #[test]
-fn a_copy_of_an_opening_that_waits_does_not_wait_twice() {
+fn a_copy_of_a_queued_opening_is_not_queued_again() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
     let copy = header(1, ForwardPurpose::Open(opening_terms()));
     let delivery = forward_to(&mut agent, &copy, &opening(flow(100), 1), at(220));
     assert_eq!(delivery, ForwardDecision::Drop);
@@ -270,29 +283,34 @@
 }
 
 #[test]
-fn an_opening_is_given_back_when_the_balancer_was_mistaken_about_the_load() {
-    let believed = |load| OpeningTerms {
+fn an_opening_is_returned_when_the_balancer_underestimated_the_load() {
+    let estimated = |load| OpeningTerms {
         estimated_load: Some(load),
         ..opening_terms()
     };
     let mut agent = busy_agent();
-    let mistaken = offer(&mut agent, 100, believed(2), 20);
-    assert_eq!(reason(&mistaken), Some(ReturnReason::Saturated));
-    assert!(is_queued(&offer(&mut agent, 101, believed(8), 20)));
+    let underestimated = forward_opening(&mut agent, 100, estimated(2), 20);
+    assert_eq!(reason(&underestimated), Some(ReturnReason::Saturated));
+    assert!(is_queued(&forward_opening(
+        &mut agent,
+        101,
+        estimated(8),
+        20
+    )));
 }
 
 #[test]
-fn no_more_openings_wait_than_the_queue_holds() {
+fn no_more_openings_are_queued_than_the_queue_holds() {
     let mut agent = busy_agent();
-    let capacity = u16::try_from(QUEUE_CAPACITY).expect("small");
+    let capacity = u16::try_from(MAXIMUM_QUEUED_OPENINGS).expect("small");
     for port in 0..capacity {
-        assert!(is_queued(&offer(
+        assert!(is_queued(&forward_opening(
             &mut agent,
             100 + port,
             opening_terms(),
             20
         )));
     }
-    let beyond = offer(&mut agent, 100 + capacity, opening_terms(), 20);
+    let beyond = forward_opening(&mut agent, 100 + capacity, opening_terms(), 20);
     assert_eq!(reason(&beyond), Some(ReturnReason::Saturated));
 }
--- a/crates/woodladder-core/tests/flow_held_flows.rs
+++ b/crates/woodladder-core/tests/flow_held_flows.rs
@@ -1,5 +1,6 @@
-//! What agents tell of their open flows, and what a balancer makes of it: statements
-//! that are lost, late, of a former start, or wrong, and bounds on their bytes.
+//! Announcements of open flows by agents, and what a balancer concludes from them:
+//! announcements that are lost, late, of a former start, or wrong, and bounds on their
+//! bytes.
 
 mod flow_support;
 
@@ -10,7 +11,7 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::agent::AgentAction;
-use woodladder_core::flow::agent::flow_statements::{FlowStatements, LIST_PARTS_A_SECOND};
+use woodladder_core::flow::agent::flow_announcer::{FlowAnnouncer, LIST_PARTS_PER_SECOND};
 use woodladder_core::flow::balancer::{Balancer, BalancerAction, FlowIndex, WorkBudget};
 use woodladder_core::flow::configuration::Configuration;
 use woodladder_core::flow::held_flows::{
@@ -22,11 +23,11 @@
 
 const EPOCH: u64 = 7;
 
-fn prints(numbers: impl IntoIterator<Item = u32>) -> Vec<FlowFingerprint> {
+fn fingerprints(numbers: impl IntoIterator<Item = u32>) -> Vec<FlowFingerprint> {
     numbers.into_iter().map(FlowFingerprint).collect()
 }
 
-fn told_by(index: &FlowIndex, agent: NodeAddress, among: u32) -> BTreeSet<u32> {
+fn announced_by(index: &FlowIndex, agent: NodeAddress, among: u32) -> BTreeSet<u32> {
     (0..among)
         .filter(|number| index.holders(FlowFingerprint(*number)).contains(&agent))
         .collect()
@@ -42,7 +43,8 @@
     }
 }
 
-/// A configuration under which flows are located: a route with a short timeout.
+/// A configuration under which flows are located by lists and queries: its route has a
+/// short timeout.
 fn locating_configuration() -> Configuration {
     let mut locating = Configuration::clone(&configuration(1));
     for route in &mut locating.routes {
@@ -52,15 +54,15 @@
 }
 
 /// A balancer that locates flows, and agents that know all flows of their targets; the
-/// first `tellers` of them tell these flows.
-fn locating_balancer(agents: &[u8], tellers: &[(u8, &[FlowKey])]) -> Balancer {
+/// agents in `announcers` announce these flows.
+fn locating_balancer(agents: &[u8], announcers: &[(u8, &[FlowKey])]) -> Balancer {
     let mut balancer = empty_balancer();
     balancer.adopt_store_configuration(locating_configuration().into());
     for agent in agents {
         let mut report = report(*agent, 1);
         report.knows_all_flows = true;
-        let told = tellers.iter().find(|(teller, _)| teller == agent);
-        let flows = complete(told.map_or(&[], |(_, flows)| *flows));
+        let announced = announcers.iter().find(|(announcer, _)| announcer == agent);
+        let flows = complete(announced.map_or(&[], |(_, flows)| *flows));
         let message = PeerMessage::ReportWithFlows { report, flows };
         deliver_message(&mut balancer, *agent, message, at(10_000));
     }
@@ -73,7 +75,7 @@
     actions
 }
 
-fn asked(actions: &[BalancerAction]) -> Vec<NodeAddress> {
+fn queried_agents(actions: &[BalancerAction]) -> Vec<NodeAddress> {
     actions
         .iter()
         .filter_map(|action| match action {
@@ -86,7 +88,7 @@
         .collect()
 }
 
-fn handed(actions: &[BalancerAction]) -> Vec<NodeAddress> {
+fn forward_receivers(actions: &[BalancerAction]) -> Vec<NodeAddress> {
     actions
         .iter()
         .filter_map(|action| match action {
@@ -115,58 +117,65 @@
 }
 
 #[test]
-fn a_packet_goes_only_to_the_agent_that_tells_its_flow() {
+fn a_packet_goes_only_to_the_agent_that_announces_its_flow() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert_eq!(receivers(&routing), vec![node(3)]);
-    assert!(asked(&tick(&mut balancer, 10_510)).is_empty());
+    assert!(queried_agents(&tick(&mut balancer, 10_510)).is_empty());
     let actions = deliver_message(&mut balancer, 3, located(flow(1)), at(10_512));
-    assert!(handed(&actions).is_empty(), "the packet was sent twice");
+    assert!(
+        forward_receivers(&actions).is_empty(),
+        "the packet was sent twice"
+    );
     assert_eq!(balancer.counters().flows_located_by_list, 1);
 }
 
-/// The summary is missing, or older than the flow.
+/// The holder's announcement is missing, or older than the flow.
 #[test]
-fn a_flow_that_nobody_tells_is_asked_for_and_its_holder_is_handed_the_packet() {
+fn agents_are_queried_about_an_unannounced_flow_and_its_holder_gets_the_packet() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[]);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     assert!(receivers(&routing).is_empty());
     assert!(balancer.tick_interval() <= Duration::from_millis(5));
-    assert_eq!(asked(&tick(&mut balancer, 10_504)).len(), 3);
+    assert_eq!(queried_agents(&tick(&mut balancer, 10_504)).len(), 3);
     let actions = deliver_message(&mut balancer, 4, located(flow(1)), at(10_506));
-    assert_eq!(handed(&actions), vec![node(4)]);
+    assert_eq!(forward_receivers(&actions), vec![node(4)]);
     assert_eq!(balancer.counters().flows_located_by_query, 1);
 }
 
 #[test]
-fn a_kept_packet_is_not_handed_over_when_its_answer_is_of_no_use_any_more() {
+fn a_kept_packet_is_not_forwarded_after_its_timeout() {
     let mut balancer = locating_balancer(&[2, 3], &[]);
     deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let actions = deliver_message(&mut balancer, 3, located(flow(1)), at(11_900));
-    assert!(handed(&actions).is_empty());
+    assert!(forward_receivers(&actions).is_empty());
 }
 
-/// The summary is wrong: by a liar, by chance, or by a flow that has closed.
+/// The announcement is wrong: by an agent that lies, by a shared fingerprint, or because
+/// the flow has closed.
 #[test]
-fn when_the_agent_that_tells_the_flow_denies_all_others_are_asked_at_once() {
+fn when_the_announcing_agent_denies_the_flow_all_others_are_queried_at_once() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
     deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     deliver_message(&mut balancer, 3, not_held(flow(1)), at(10_502));
-    assert_eq!(asked(&tick(&mut balancer, 10_506)), vec![node(2), node(4)]);
+    assert_eq!(
+        queried_agents(&tick(&mut balancer, 10_506)),
+        vec![node(2), node(4)]
+    );
     let actions = deliver_message(&mut balancer, 2, located(flow(1)), at(10_508));
-    assert_eq!(handed(&actions), vec![node(2)]);
+    assert_eq!(forward_receivers(&actions), vec![node(2)]);
 }
 
-/// The agent that told the flow is cut off or gone.
+/// The agent that announced the flow is cut off or gone.
 #[test]
-fn when_the_agent_that_tells_the_flow_is_silent_all_are_asked_before_the_caller_repeats() {
+fn when_the_announcing_agent_is_silent_all_are_queried_before_the_caller_retransmits() {
     let mut balancer = locating_balancer(&[2, 3, 4], &[(3, &[flow(1)])]);
     deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
-    assert!(asked(&tick(&mut balancer, 10_540)).is_empty());
-    assert_eq!(asked(&tick(&mut balancer, 10_565)).len(), 3);
+    assert!(queried_agents(&tick(&mut balancer, 10_540)).is_empty());
+    assert_eq!(queried_agents(&tick(&mut balancer, 10_565)).len(), 3);
 }
 
-/// All lists are complete and none names the flow, which may have been opened since.
+/// All lists are complete and none contains the flow, which may have been opened since.
 #[test]
 fn no_list_proves_that_a_flow_is_gone() {
     let mut balancer = locating_balancer(&[2, 3], &[]);
@@ -186,8 +195,9 @@
     )));
 }
 
-/// Agents 2 and 3, of which the second is as `change` makes it, a search that the first has
-/// denied, and the second silent from 10,500 ms on; whether the flow is reset by `until`.
+/// Sets up agent 2 and agent 3, whose report `change` adapts. Agent 2 denies the flow,
+/// and agent 3 is silent from 10,500 ms on. Returns whether the flow is reset before
+/// `until`.
 fn is_reset_with_silent(change: impl Fn(&mut TargetReport), until: u64) -> bool {
     let mut balancer = locating_balancer(&[2], &[]);
     let mut silent = report(3, 1);
@@ -217,9 +227,10 @@
     any_reset
 }
 
-/// A machine whose agent had no target vanishes: it is asked repeatedly for 400 ms.
+/// A machine whose agent had no target disappears: the agent is queried repeatedly for
+/// 400 ms.
 #[test]
-fn a_silent_agent_without_a_target_is_not_waited_for_as_long_as_another() {
+fn a_silent_agent_without_a_target_is_waited_for_less_long_than_another() {
     assert!(!is_reset_with_silent(|_| {}, 10_880));
     assert!(is_reset_with_silent(|_| {}, 11_000));
 }
@@ -238,9 +249,9 @@
     }
 }
 
-/// A fingerprint that two flows share.
+/// Two flows share a fingerprint.
 #[test]
-fn an_agent_of_another_service_is_not_handed_the_packet() {
+fn an_agent_of_another_service_does_not_get_the_packet() {
     let mut balancer = locating_balancer(&[2], &[]);
     let mut other = report(3, 1);
     other.service = other_service();
@@ -255,78 +266,78 @@
 }
 
 #[test]
-fn an_agent_known_to_be_undecided_is_handed_the_packet_without_a_question() {
+fn an_agent_known_to_be_undecided_gets_the_packet_without_a_query() {
     let mut balancer = locating_balancer(&[2], &[]);
     deliver_report(&mut balancer, 3, &report(3, 1), at(10_000));
     deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let actions = tick(&mut balancer, 10_504);
-    assert_eq!(asked(&actions), vec![node(2)]);
-    assert_eq!(handed(&actions), vec![node(3)]);
+    assert_eq!(queried_agents(&actions), vec![node(2)]);
+    assert_eq!(forward_receivers(&actions), vec![node(3)]);
 }
 
 #[test]
-fn what_a_former_start_of_an_agent_has_told_is_forgotten() {
+fn announcements_of_a_former_start_of_an_agent_are_removed() {
     let mut index = FlowIndex::default();
-    let statement = |open: &[u32]| FlowAnnouncement {
+    let announcement = |open: &[u32]| FlowAnnouncement {
         coverage: AnnouncementCoverage::Complete,
         base_change: 0,
         last_change: 5,
-        open: prints(open.iter().copied()),
+        open: fingerprints(open.iter().copied()),
         closed: Vec::new(),
     };
-    index.apply_statement(node(2), 1, &statement(&[1, 2]));
-    index.apply_statement(node(2), 2, &statement(&[3]));
-    assert_eq!(told_by(&index, node(2), 10), BTreeSet::from([3]));
+    index.apply_statement(node(2), 1, &announcement(&[1, 2]));
+    index.apply_statement(node(2), 2, &announcement(&[3]));
+    assert_eq!(announced_by(&index, node(2), 10), BTreeSet::from([3]));
     index.remove_agent(node(2));
     assert!(index.is_empty());
 }
 
 #[test]
-fn a_late_statement_changes_nothing() {
-    let mut statements = FlowStatements::new(EPOCH, at(0));
+fn a_late_announcement_changes_nothing() {
+    let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
     let mut index = FlowIndex::default();
-    statements.look(prints([1]).into_iter(), at(0));
-    let first = statements.statement_for(node(1));
-    statements.look(prints([2]).into_iter(), at(200));
-    let second = statements.statement_for(node(1));
+    announcer.update(fingerprints([1]).into_iter(), at(0));
+    let first = announcer.announcement_for(node(1));
+    announcer.update(fingerprints([2]).into_iter(), at(200));
+    let second = announcer.announcement_for(node(1));
     index.apply_statement(node(9), EPOCH, &second);
     index.apply_statement(node(9), EPOCH, &first);
     index.apply_statement(node(9), EPOCH, &second);
     index.apply_statement(node(9), EPOCH, &first);
-    assert_eq!(told_by(&index, node(9), 10), BTreeSet::from([2]));
+    assert_eq!(announced_by(&index, node(9), 10), BTreeSet::from([2]));
 }
 
 #[test]
 fn the_loss_of_one_report_costs_nothing() {
-    let mut statements = FlowStatements::new(EPOCH, at(0));
+    let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
     let mut index = FlowIndex::default();
     let mut now = 0;
     for round in 0..20_u32 {
         now += 200;
-        statements.look(prints(round..round + 5).into_iter(), at(now));
-        let statement = statements.statement_for(node(1));
+        announcer.update(fingerprints(round..round + 5).into_iter(), at(now));
+        let announcement = announcer.announcement_for(node(1));
         if round % 2 == 0 {
-            index.apply_statement(node(9), EPOCH, &statement);
+            index.apply_statement(node(9), EPOCH, &announcement);
             assert!(index.is_complete(node(9)), "round {round}");
             let open: BTreeSet<u32> = (round..round + 5).collect();
-            assert_eq!(told_by(&index, node(9), 40), open);
+            assert_eq!(announced_by(&index, node(9), 40), open);
         }
     }
 }
 
 #[test]
-fn a_gap_is_noticed_and_the_list_is_asked_for_once_in_a_while() {
-    let mut statements = FlowStatements::new(EPOCH, at(0));
+fn after_a_gap_the_list_is_requested_at_intervals() {
+    let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
     let mut index = FlowIndex::default();
-    index.apply_statement(node(9), EPOCH, &statements.statement_for(node(1)));
+    index.apply_statement(node(9), EPOCH, &announcer.announcement_for(node(1)));
     for round in 1..4_u32 {
-        statements.look(
-            prints(round..round + 5).into_iter(),
+        announcer.update(
+            fingerprints(round..round + 5).into_iter(),
             at(u64::from(round) * 200),
         );
-        let statement = statements.statement_for(node(1));
+        let announcement = announcer.announcement_for(node(1));
         if round == 3 {
-            index.apply_statement(node(9), EPOCH, &statement);
+            index.apply_statement(node(9), EPOCH, &announcement);
         }
     }
     assert!(!index.is_complete(node(9)));
@@ -335,15 +346,15 @@
     };
     assert_eq!(ask(&mut index, 1000), vec![node(9)]);
     assert!(ask(&mut index, 1100).is_empty());
-    for part in statements.list(at(1100)) {
+    for part in announcer.list_parts(at(1100)) {
         index.add_list_part(node(9), part);
     }
     assert!(index.is_complete(node(9)));
-    assert_eq!(told_by(&index, node(9), 40), (3..8).collect());
+    assert_eq!(announced_by(&index, node(9), 40), (3..8).collect());
 }
 
-/// One step of the random course: flows open and close, and statements are lost, late or
-/// doubled; the agent starts again; the balancer asks for lists.
+/// One step of the random sequence: flows open and close, announcements are lost, late or
+/// duplicated, the agent restarts, and the balancer asks for lists.
 #[derive(Clone, Debug)]
 enum Step {
     Flows(BTreeSet<u32>),
@@ -364,14 +375,15 @@
 }
 
 proptest! {
-    /// Whatever was lost, late, doubled or of a former start: when the index says that it
-    /// is complete after a report of the present start, it holds what that report states.
+    /// Whatever was lost, late, duplicated or of a former start: if the index is marked
+    /// complete after a report of the present start, it contains exactly what that report
+    /// states.
     #[test]
-    fn an_index_that_is_complete_is_right(steps in proptest::collection::vec(step(), 1..80)) {
+    fn a_complete_index_matches_the_announced_flows(steps in proptest::collection::vec(step(), 1..80)) {
         let mut epoch = 1;
         let mut now = 0;
         let mut open = BTreeSet::new();
-        let mut statements = FlowStatements::new(epoch, at(now));
+        let mut announcer = FlowAnnouncer::new(epoch, at(now));
         let mut index = FlowIndex::default();
         let mut sent: Vec<(u64, FlowAnnouncement)> = Vec::new();
         for step in steps {
@@ -379,30 +391,30 @@
             match step {
                 Step::Flows(flows) => {
                     open = flows;
-                    statements.look(prints(open.iter().copied()).into_iter(), at(now));
+                    announcer.update(fingerprints(open.iter().copied()).into_iter(), at(now));
                 }
                 Step::Report { is_lost } => {
-                    let statement = statements.statement_for(node(1));
-                    sent.push((epoch, statement.clone()));
+                    let announcement = announcer.announcement_for(node(1));
+                    sent.push((epoch, announcement.clone()));
                     if !is_lost {
-                        index.apply_statement(node(9), epoch, &statement);
+                        index.apply_statement(node(9), epoch, &announcement);
                         if index.is_complete(node(9)) {
-                            prop_assert_eq!(&told_by(&index, node(9), 40), &open);
+                            prop_assert_eq!(&announced_by(&index, node(9), 40), &open);
                         }
                     }
                 }
                 Step::Late(back) => {
-                    if let Some((epoch, statement)) = sent.iter().rev().nth(back) {
-                        index.apply_statement(node(9), *epoch, statement);
+                    if let Some((epoch, announcement)) = sent.iter().rev().nth(back) {
+                        index.apply_statement(node(9), *epoch, announcement);
                     }
                 }
                 Step::Restart => {
                     epoch += 1;
                     open = BTreeSet::new();
-                    statements = FlowStatements::new(epoch, at(now));
+                    announcer = FlowAnnouncer::new(epoch, at(now));
                 }
                 Step::AskForList { is_lost } => {
-                    let parts = statements.list(at(now));
+                    let parts = announcer.list_parts(at(now));
                     for part in parts.into_iter().filter(|_| !is_lost) {
                         index.add_list_part(node(9), part);
                     }
@@ -413,15 +425,15 @@
 }
 
 #[test]
-fn an_agent_with_too_many_flows_tells_none() {
-    let mut statements = FlowStatements::new(EPOCH, at(0));
+fn an_agent_with_too_many_flows_announces_none() {
+    let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
     let flows = u32::try_from(MAXIMUM_ANNOUNCED_FLOWS).expect("a small number") + 1;
-    statements.look(prints(0..flows).into_iter(), at(0));
-    let statement = statements.statement_for(node(1));
-    assert_eq!(statement.coverage, AnnouncementCoverage::Nothing);
-    assert!(statements.list(at(0)).is_empty());
+    announcer.update(fingerprints(0..flows).into_iter(), at(0));
+    let announcement = announcer.announcement_for(node(1));
+    assert_eq!(announcement.coverage, AnnouncementCoverage::Nothing);
+    assert!(announcer.list_parts(at(0)).is_empty());
     let mut index = FlowIndex::default();
-    index.apply_statement(node(9), EPOCH, &statement);
+    index.apply_statement(node(9), EPOCH, &announcement);
     assert!(
         index
             .take_agents_to_list([node(9)].into_iter(), 1, at(10))
@@ -432,59 +444,59 @@
 /// Datagrams of reports and lists stay below 1,200 bytes, whatever has changed.
 #[test]
 fn each_datagram_is_small() {
-    let mut statements = FlowStatements::new(EPOCH, at(0));
-    statements.statement_for(node(1));
+    let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
+    announcer.announcement_for(node(1));
     for round in 0..4_u32 {
-        let flows = prints(round * 4000..round * 4000 + 4000);
-        statements.look(flows.into_iter(), at(u64::from(round) * 200));
-        let flows = statements.statement_for(node(1));
+        let flows = fingerprints(round * 4000..round * 4000 + 4000);
+        announcer.update(flows.into_iter(), at(u64::from(round) * 200));
+        let flows = announcer.announcement_for(node(1));
         let report = report(9, 1);
         let datagram = PeerMessage::ReportWithFlows { report, flows }.encode(b"");
         assert!(datagram.len() <= 1200, "{}", datagram.len());
-        for part in statements.list(at(u64::from(round) * 2000)) {
+        for part in announcer.list_parts(at(u64::from(round) * 2000)) {
             let datagram = PeerMessage::FlowList(part).encode(b"");
             assert!(datagram.len() <= 1200, "{}", datagram.len());
         }
     }
 }
 
-/// An agent that 100, 1,000 or 4,000 balancers ask at once for its list, and which none of
-/// them stops asking, sends as many bytes a second.
+/// An agent sends the same bytes per second whether 100, 1,000 or 4,000 balancers ask for
+/// its list at once and never stop asking.
 #[test]
 fn the_lists_of_an_agent_are_bounded_at_any_number_of_balancers() {
-    const SECONDS: u32 = 10;
+    const DURATION_SECONDS: u32 = 10;
     for balancers in [100, 1000, 4000] {
-        let mut statements = FlowStatements::new(EPOCH, at(0));
-        statements.look(prints(0..2000).into_iter(), at(0));
+        let mut announcer = FlowAnnouncer::new(EPOCH, at(0));
+        announcer.update(fingerprints(0..2000).into_iter(), at(0));
         let mut parts = 0;
-        for round in 0..SECONDS * 2 {
+        for round in 0..DURATION_SECONDS * 2 {
             let now = at(u64::from(round) * 500);
             parts += (0..balancers)
-                .map(|_| statements.list(now).len())
+                .map(|_| announcer.list_parts(now).len())
                 .sum::<usize>();
         }
-        let bound = usize::try_from(LIST_PARTS_A_SECOND * (SECONDS + 1)).expect("small");
+        let bound = usize::try_from(LIST_PARTS_PER_SECOND * (DURATION_SECONDS + 1)).expect("small");
         assert!(parts <= bound, "{balancers} balancers: {parts} parts");
         assert!(parts > 0);
     }
 }
 
-/// A balancer that misses the lists of 100 or 160 agents asks for as many bytes a second: 5
-/// percent of its link, and a tenth of a second's worth at the beginning. Of 1,000 or 4,000
-/// agents, whose flows it does not locate by lists, it asks for none.
+/// A balancer that misses the lists of 100 or 160 agents asks for the same bytes per
+/// second: 5 percent of its link, and a tenth of a second's worth at the beginning. Of
+/// 1,000 or 4,000 agents, whose flows it does not locate by lists, it asks for none.
 #[test]
 fn the_lists_that_a_balancer_asks_for_are_bounded_at_any_number_of_agents() {
     const FLOWS: u32 = 2000;
-    const SECONDS: u64 = 10;
-    const BYTES_A_SECOND: u64 = 62_500;
-    for (agents, asks) in [(100_u32, true), (160, true), (1000, false), (4000, false)] {
+    const DURATION_SECONDS: u64 = 10;
+    const BYTES_PER_SECOND: u64 = 62_500;
+    for (agents, requests_lists) in [(100_u32, true), (160, true), (1000, false), (4000, false)] {
         let mut balancer = large_table_balancer();
         balancer.adopt_store_configuration(std::sync::Arc::new(Configuration {
             version: 2,
             ..locating_configuration()
         }));
         let mut asked = 0;
-        for step in 0..SECONDS * 40 {
+        for step in 0..DURATION_SECONDS * 40 {
             let now = at(10_000 + step * 25);
             if step % 4 == 0 {
                 report_all(&mut balancer, agents, step, FLOWS, now);
@@ -505,14 +517,14 @@
                 .count();
         }
         let bytes = u64::try_from(asked).expect("small") * u64::from(FLOWS) * 4;
-        // A round may overdraw the budget by the lists of one tick.
-        let bound = BYTES_A_SECOND * (SECONDS + 1) + 4 * u64::from(FLOWS) * 4;
+        // One round may exceed the budget by the lists of one tick.
+        let bound = BYTES_PER_SECOND * (DURATION_SECONDS + 1) + 4 * u64::from(FLOWS) * 4;
         assert!(bytes <= bound, "{agents} agents: {bytes} bytes");
-        assert_eq!(asked > 0, asks, "{agents} agents: {asked}");
+        assert_eq!(asked > 0, requests_lists, "{agents} agents: {asked}");
     }
 }
 
-/// Reports of many agents that have each missed something.
+/// Sends reports of many agents, of which the balancer has missed changes.
 fn report_all(balancer: &mut Balancer, agents: u32, sequence: u64, flows: u32, now: Instant) {
     for agent in 0..agents {
         let [_, _, high, low] = agent.to_be_bytes();
@@ -520,7 +532,7 @@
         let mut report = report(2, sequence + 1);
         report.load.flows = flows;
         report.interval_ms = 1000;
-        let statement = FlowAnnouncement {
+        let announcement = FlowAnnouncement {
             coverage: AnnouncementCoverage::Changes,
             base_change: 50,
             last_change: 50,
@@ -529,16 +541,16 @@
         };
         let message = PeerMessage::ReportWithFlows {
             report,
-            flows: statement,
+            flows: announcement,
         };
         balancer.handle_message(address, message, None, now, &mut Vec::new());
     }
 }
 
-/// A machine of 0.09 of a core asks 2,400 questions a second: 0.8 of its processor, at 30
-/// microseconds each.
+/// A machine of 0.09 of a core sends 2,400 queries per second: 0.8 of its processor, at
+/// 30 microseconds each.
 #[test]
-fn questions_are_bounded_by_the_processor() {
+fn queries_are_bounded_by_the_processor() {
     let mut budget = WorkBudget::for_queries(90, at(0));
     let mut asked = 0;
     for step in 0..1000_u64 {
@@ -551,7 +563,7 @@
 }
 
 #[test]
-fn an_agent_tells_flows_that_stay_open_and_answers_with_its_list() {
+fn an_agent_announces_flows_that_stay_open_and_sends_its_list_on_request() {
     let mut agent = agent();
     let snapshot = woodladder_core::flow::message::Snapshot {
         configuration: Some(locating_configuration()),
@@ -560,9 +572,9 @@
     agent.apply_snapshot(node(1), snapshot, at(0));
     agent.add_listed_balancers(&[node(1)], at(0));
     open_flow_at(&mut agent, flow(1), at(1000));
-    assert_eq!(stated(&mut agent, 1200), Some(Vec::new()));
+    assert_eq!(announced_flows(&mut agent, 1200), Some(Vec::new()));
     assert_eq!(
-        stated(&mut agent, 3000),
+        announced_flows(&mut agent, 3000),
         Some(vec![FlowFingerprint::of(&flow(1))])
     );
     let mut actions = Vec::new();
@@ -586,8 +598,8 @@
     )));
 }
 
-/// The open flows that the report at a moment states.
-fn stated(
+/// The open flows that the agent's report at this time announces.
+fn announced_flows(
     agent: &mut woodladder_core::flow::agent::Agent,
     now: u64,
 ) -> Option<Vec<FlowFingerprint>> {
@@ -602,8 +614,8 @@
     })
 }
 
-/// In a fleet of many agents a question to all of them costs more than the packets to
-/// the first targets, so searches are as without lists.
+/// In a fleet of many agents, a query to all of them costs more than sending the packet
+/// to the first targets, so a balancer searches as it does without lists.
 #[test]
 fn a_balancer_that_knows_very_many_agents_sends_packets_to_the_first_targets() {
     let few: Vec<u8> = (2..=60).collect();
--- a/crates/woodladder-core/tests/flow_load.rs
+++ b/crates/woodladder-core/tests/flow_load.rs
@@ -9,12 +9,16 @@
 };
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 
-fn forward(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) -> ForwardDecision {
+fn forward_established(
+    agent: &mut Agent,
+    packet: &FlowPacket,
+    milliseconds: u64,
+) -> ForwardDecision {
     let header = header(1, ForwardPurpose::Established);
     forward_to(agent, &header, packet, at(milliseconds))
 }
 
-fn depart(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) {
+fn send_from_target(agent: &mut Agent, packet: &FlowPacket, milliseconds: u64) {
     agent.handle_target_packet(packet, None, at(milliseconds));
 }
 
@@ -28,36 +32,36 @@
 }
 
 #[test]
-fn a_request_is_load_until_the_first_byte_of_its_answer() {
+fn a_request_counts_as_load_until_the_first_byte_of_its_answer() {
     let mut agent = agent();
     open_flow_at(&mut agent, flow(1), at(10));
     assert_eq!((agent.load().busy, agent.load().flows), (1, 1));
-    depart(&mut agent, &data(flow(1), 5001, 1101), 60);
+    send_from_target(&mut agent, &data(flow(1), 5001, 1101), 60);
     assert_eq!((agent.load().busy, agent.load().flows), (0, 1));
     assert_eq!(agent.load().service_time_us, 50_000);
 }
 
 #[test]
-fn a_copy_of_an_answered_request_is_no_load() {
+fn a_copy_of_an_answered_request_does_not_count_as_load() {
     let mut agent = agent();
     open_flow_at(&mut agent, flow(1), at(10));
-    depart(&mut agent, &data(flow(1), 5001, 1101), 60);
-    forward(&mut agent, &data(flow(1), 1001, 5001), 70);
+    send_from_target(&mut agent, &data(flow(1), 5001, 1101), 60);
+    forward_established(&mut agent, &data(flow(1), 1001, 5001), 70);
     assert_eq!(agent.load().busy, 0);
 }
 
-/// A caller that gives up closes its side together with its last request; the
-/// target closes too and never answers. Counted as busy, such requests filled
-/// the targets of a whole service.
+/// Guards against targets that look full: a caller that gives up closes its side together
+/// with its last request; the target closes too and never answers. Counted as busy, such
+/// requests filled the targets of a whole service.
 #[test]
-fn a_request_that_the_target_closes_on_is_no_load() {
+fn a_request_on_a_flow_that_the_target_closes_does_not_count_as_load() {
     let mut agent = agent();
     open_flow_at(&mut agent, flow(1), at(10));
-    depart(&mut agent, &data(flow(1), 5001, 1101), 60);
+    send_from_target(&mut agent, &data(flow(1), 5001, 1101), 60);
     let last = packet(flow(1), PacketKind::Finish, 1101, 5101, 219);
-    forward(&mut agent, &last, 100);
+    forward_established(&mut agent, &last, 100);
     let close = packet(flow(1), PacketKind::Finish, 5101, 1321, 0);
-    depart(&mut agent, &close, 101);
+    send_from_target(&mut agent, &close, 101);
     assert_eq!(
         agent.load(),
         TargetLoad {
@@ -75,12 +79,12 @@
         open_flow_at(&mut agent, flow(1), at(10));
         let reset = packet(flow(1), PacketKind::Reset, 1101, 0, 0);
         if from_target {
-            depart(&mut agent, &reset, 20);
+            send_from_target(&mut agent, &reset, 20);
         } else {
-            forward(&mut agent, &reset, 20);
+            forward_established(&mut agent, &reset, 20);
         }
-        // A reset by the target is also a failed request: one among the three
-        // successes that are assumed.
+        // A reset by the target is also a failed request: one beside the three successes
+        // that are assumed.
         let expected = TargetLoad {
             failed_percent: if from_target { 25 } else { 0 },
             last_heartbeat: 1,
@@ -90,18 +94,19 @@
     }
 }
 
-/// Packets overtake each other; the one with the request's head names it.
+/// Packets overtake each other; the packet with the first bytes of the request is the one
+/// that begins it.
 #[test]
-fn a_request_begins_with_its_first_byte_and_is_load_from_its_first_packet() {
+fn a_request_begins_with_its_first_byte_and_counts_as_load_from_its_first_packet() {
     let mut agent = agent();
     forward_to(&mut agent, &open_header(1), &opening(flow(1), 0), at(10));
     let begins = |delivery: &ForwardDecision| match delivery {
         ForwardDecision::Deliver { begins_request, .. } => *begins_request,
         other => panic!("{other:?}"),
     };
-    let later = forward(&mut agent, &data(flow(1), 1101, 5001), 12);
+    let later = forward_established(&mut agent, &data(flow(1), 1101, 5001), 12);
     assert_eq!((begins(&later), agent.load().busy), (false, 1));
-    let head = forward(&mut agent, &data(flow(1), 1001, 5001), 13);
+    let head = forward_established(&mut agent, &data(flow(1), 1001, 5001), 13);
     assert_eq!((begins(&head), agent.load().busy), (true, 1));
 }
 
--- a/crates/woodladder-core/tests/flow_promises.rs
+++ b/crates/woodladder-core/tests/flow_promises.rs
@@ -14,25 +14,25 @@
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 use woodladder_core::flow::promises::{BrokenPromises, DecidedOpening, PromiseWatch};
 
-/// Begin of the tests of the queue, in milliseconds: well after the clock's origin.
-const BEGIN: u64 = 10_000;
-/// Openings that an idle target of seven slots is handed at once.
-const HANDED_OVER: u16 = 9;
+/// Start time of the queue tests in milliseconds, well after the clock's origin.
+const START_MS: u64 = 10_000;
+/// Openings that the agent delivers at once to an idle target of seven slots.
+const DELIVERED_AT_ONCE: u16 = 9;
 
-/// An agent whose target works on as many requests as it is handed.
+/// An agent whose target has as many requests in service as the agent delivers.
 fn busy_agent() -> Agent {
     let mut agent = agent();
-    for port in 1..=HANDED_OVER {
-        open_flow_at(&mut agent, flow(port), at(BEGIN + 10));
+    for port in 1..=DELIVERED_AT_ONCE {
+        open_flow_at(&mut agent, flow(port), at(START_MS + 10));
     }
     assert_eq!(agent.broken_promises(), &BrokenPromises::default());
     agent
 }
 
-fn offer(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) {
+fn forward_opening(agent: &mut Agent, port: u16, terms: OpeningTerms, now: u64) {
     let mut header = open_header(1);
     header.purpose = woodladder_core::flow::message::ForwardPurpose::Open(terms);
-    forward_to(agent, &header, &opening(flow(port), 0), at(BEGIN + now));
+    forward_to(agent, &header, &opening(flow(port), 0), at(START_MS + now));
 }
 
 fn answer(agent: &mut Agent, port: u16, now: u64) {
@@ -40,8 +40,8 @@
         payload_length: 100,
         ..packet(flow(port), PacketKind::Data, 5001, 1101, 0)
     };
-    agent.handle_target_packet(&answer, None, at(BEGIN + now));
-    agent.dispatch_queued(at(BEGIN + now), &mut Vec::new());
+    agent.handle_target_packet(&answer, None, at(START_MS + now));
+    agent.dispatch_queued(at(START_MS + now), &mut Vec::new());
 }
 
 fn urgent(age_ms: u16) -> OpeningTerms {
@@ -55,27 +55,27 @@
 #[test]
 fn an_urgent_opening_that_goes_first_breaks_nothing() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, opening_terms(), 20);
-    offer(&mut agent, 101, urgent(0), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 101, urgent(0), 20);
     answer(&mut agent, 1, 40);
     assert_eq!(agent.load().queued, 1);
     assert_eq!(agent.broken_promises().put_behind, 0);
 }
 
-/// What is late anyway leaves its place to what can be in time.
+/// Work that is late in any case leaves its place to work that can be in time.
 #[test]
-fn an_urgent_opening_that_is_late_and_stays_behind_breaks_nothing() {
+fn a_late_urgent_opening_that_stays_queued_breaks_nothing() {
     let mut agent = busy_agent();
-    offer(&mut agent, 100, urgent(290), 20);
-    offer(&mut agent, 101, opening_terms(), 20);
+    forward_opening(&mut agent, 100, urgent(290), 20);
+    forward_opening(&mut agent, 101, opening_terms(), 20);
     answer(&mut agent, 1, 40);
     assert_eq!(agent.load().queued, 1);
     assert_eq!(agent.broken_promises().put_behind, 0);
 }
 
-/// Where requests wait, too, every eighth slot goes to work that is not urgent.
+/// Where requests are queued, too, every eighth slot goes to work that is not urgent.
 #[test]
-fn an_urgent_opening_that_can_be_in_time_and_stays_behind_is_counted() {
+fn an_urgent_opening_that_can_be_in_time_and_stays_queued_is_counted() {
     let mut agent = busy_agent();
     let route = |number, priority| Route {
         address: route_address(number),
@@ -100,9 +100,9 @@
         ..Snapshot::default()
     };
     agent.apply_snapshot(node(1), snapshot, at(0));
-    offer(&mut agent, 100, opening_terms(), 20);
+    forward_opening(&mut agent, 100, opening_terms(), 20);
     for port in 101..=109 {
-        offer(&mut agent, port, urgent(0), 20);
+        forward_opening(&mut agent, port, urgent(0), 20);
     }
     for port in 1..=7 {
         answer(&mut agent, port, 40);
@@ -115,36 +115,36 @@
 }
 
 #[test]
-fn an_opening_handed_over_after_its_caller_has_left_is_counted() {
+fn an_opening_delivered_after_its_caller_has_left_is_counted() {
     let mut agent = agent();
     let terms = |age_ms| OpeningTerms {
         age_ms,
         timeout_ms: 500,
         ..opening_terms()
     };
-    offer(&mut agent, 1, terms(499), 20);
+    forward_opening(&mut agent, 1, terms(499), 20);
     assert_eq!(agent.broken_promises().worked_for_nobody, 0);
-    offer(&mut agent, 2, terms(500), 20);
+    forward_opening(&mut agent, 2, terms(500), 20);
     assert_eq!(agent.broken_promises().worked_for_nobody, 1);
 }
 
 #[test]
-fn an_opening_held_past_its_timeout_is_counted() {
+fn an_opening_queued_past_its_timeout_is_counted() {
     let terms = OpeningTerms {
         timeout_ms: 300,
         ..opening_terms()
     };
     for (returned_at, broken) in [(300, 0), (321, 1)] {
         let mut agent = busy_agent();
-        offer(&mut agent, 100, terms, 20);
-        agent.dispatch_queued(at(BEGIN + returned_at), &mut Vec::new());
-        assert_eq!(agent.load().queued, 0, "it has been given back");
+        forward_opening(&mut agent, 100, terms, 20);
+        agent.dispatch_queued(at(START_MS + returned_at), &mut Vec::new());
+        assert_eq!(agent.load().queued, 0, "it has been returned");
         assert_eq!(agent.broken_promises().held_past_timeout, broken);
     }
 }
 
 #[test]
-fn the_wait_of_a_leaving_target_whose_heartbeat_was_not_taken_is_counted() {
+fn the_wait_of_a_leaving_target_whose_heartbeat_was_rejected_is_counted() {
     let mut agent = empty_agent();
     let mut first = heartbeat(1, 1);
     first.started_unix_ms = Some(9000);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_is_taken_at_once_keeps_no_leaving_target_waiting() {
+fn a_leaving_target_whose_heartbeat_is_accepted_at_once_is_not_counted() {
     let mut agent = agent();
     let mut leaving = heartbeat(1, 2);
     leaving.leaving = true;
@@ -176,8 +176,8 @@
     }
 }
 
-/// A balancer with an opening that waits because the only target leaves.
-fn balancer_with_waiting_opening() -> woodladder_core::flow::balancer::Balancer {
+/// A balancer with a queued opening: the only target is leaving.
+fn balancer_with_queued_opening() -> woodladder_core::flow::balancer::Balancer {
     let mut balancer = balancer(&[]);
     let leaving = report_of(1, TargetState::Leaving);
     deliver_report(&mut balancer, 2, &leaving, at(10_000));
@@ -188,8 +188,8 @@
 }
 
 #[test]
-fn an_opening_that_waits_to_the_end_and_is_refused_is_counted() {
-    let mut balancer = balancer_with_waiting_opening();
+fn an_opening_queued_until_its_end_and_refused_is_counted() {
+    let mut balancer = balancer_with_queued_opening();
     for step in 1..=60 {
         let now = at(10_010 + step * 25);
         let leaving = report_of(1 + step, TargetState::Leaving);
@@ -201,8 +201,8 @@
 }
 
 #[test]
-fn an_opening_that_finds_a_target_while_it_waits_breaks_nothing() {
-    let mut balancer = balancer_with_waiting_opening();
+fn an_opening_that_finds_a_target_while_it_is_queued_breaks_nothing() {
+    let mut balancer = balancer_with_queued_opening();
     let ready = report_of(2, TargetState::Ready);
     deliver_report(&mut balancer, 2, &ready, at(10_100));
     balancer.tick(at(10_100), &mut Vec::new());
@@ -288,7 +288,7 @@
 
 #[test]
 fn an_opening_that_is_refused_while_a_target_has_room_is_counted() {
-    let mut balancer = balancer_with_waiting_opening();
+    let mut balancer = balancer_with_queued_opening();
     let end = at(11_300);
     deliver_report(&mut balancer, 2, &report_of(2, TargetState::Ready), end);
     balancer.tick(end, &mut Vec::new());
--- a/crates/woodladder-core/tests/flow_target_end.rs
+++ b/crates/woodladder-core/tests/flow_target_end.rs
@@ -55,8 +55,8 @@
     assert_eq!(balancer.counters().reset_target_ended, 2);
 }
 
-/// A target that has crashed and started again takes flows before its first
-/// heartbeat, which its agent states with the former incarnation.
+/// A target that has crashed and restarted takes flows before its first heartbeat; its
+/// agent reports them with the former incarnation.
 #[test]
 fn a_flow_opened_after_the_former_incarnation_was_last_heard_is_not_reset() {
     let mut balancer = balancer(&[2]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_stalled_balancer_takes_no_silence_for_a_loss() {
+fn a_stalled_balancer_does_not_take_its_own_pause_for_a_lost_agent() {
     let mut balancer = balancer(&[2, 3]);
     balancer.tick(at(10_010), &mut Vec::new());
     let to = only_receiver(&deliver_caller_packet(
@@ -138,9 +138,9 @@
     assert_eq!(resets, vec![flow(port)]);
 }
 
-/// The address of a machine that has gone is used by another service's.
+/// The address of a machine that is gone is reused by a machine of another service.
 #[test]
-fn flows_of_an_agent_that_now_stands_for_another_service_are_reset() {
+fn flows_of_an_agent_that_changed_its_service_are_reset() {
     let mut balancer = balancer(&[2]);
     deliver_caller_packet(&mut balancer, &opening(flow(1), 0), at(10_010));
     let acceptance = PeerMessage::Accepted {
--- a/crates/woodladder-core/tests/flow_warm_up.rs
+++ b/crates/woodladder-core/tests/flow_warm_up.rs
@@ -1,4 +1,4 @@
-//! Targets that may be cold: how much they are handed in any second.
+//! Limit on the requests that a possibly cold target is sent in any second.
 
 mod flow_support;
 
@@ -20,9 +20,9 @@
 };
 use woodladder_core::flow::packet::PacketKind;
 
-/// Requests a second that the tests' cold targets bear.
-const RATE: u32 = 3;
-/// Time for which they are cold, in milliseconds.
+/// Requests per second that the tests' cold targets can serve.
+const REQUESTS_PER_SECOND: u32 = 3;
+/// Time for which targets are cold, in milliseconds.
 const COLD_MS: u32 = 2000;
 
 fn configured(rate: u32) -> Configuration {
@@ -36,7 +36,7 @@
     }
 }
 
-fn unknowing_agent(started_at: Instant) -> Agent {
+fn empty_agent_started(started_at: Instant) -> Agent {
     let options = AgentOptions {
         address: node(9),
         zone: ZoneKey::named("a"),
@@ -61,39 +61,38 @@
     agent.apply_snapshot(node(1), snapshot, now);
 }
 
-fn cold_beat(incarnation: u64, sequence: u64, cold_for: u64) -> Heartbeat {
+fn cold_heartbeat(incarnation: u64, sequence: u64, cold_for_ms: u64) -> Heartbeat {
     Heartbeat {
-        warm_up_remaining: Duration::from_millis(cold_for),
+        warm_up_remaining: Duration::from_millis(cold_for_ms),
         slots: 100,
         ..heartbeat(incarnation, sequence)
     }
 }
 
-/// An agent that has known the configuration for long, and whose target has just
-/// started.
+/// An agent that has known the configuration for long, and whose target has just started.
 fn agent_of_cold_target(now: u64) -> Agent {
-    let mut agent = unknowing_agent(at(0));
-    configure(&mut agent, RATE, at(0));
-    hear_zones(&mut agent, 1, &[], at(now));
+    let mut agent = empty_agent_started(at(0));
+    configure(&mut agent, REQUESTS_PER_SECOND, at(0));
+    receive_zones(&mut agent, 1, &[], at(now));
     agent
-        .handle_heartbeat(&cold_beat(1, 1, COLD_MS.into()), at(now))
+        .handle_heartbeat(&cold_heartbeat(1, 1, COLD_MS.into()), at(now))
         .expect("heartbeat");
     agent
 }
 
-fn hear_zones(agent: &mut Agent, revision: u64, names: &[&str], now: Instant) {
-    let greeting = BalancerHello {
+fn receive_zones(agent: &mut Agent, revision: u64, names: &[&str], now: Instant) {
+    let hello = BalancerHello {
         excluded_zones: ExcludedZones {
             revision,
             zones: names.iter().map(|name| ZoneKey::named(name)).collect(),
         },
         ..peer_greeting()
     };
-    agent.handle_message(node(1), &PeerMessage::Hello(greeting), now, &mut Vec::new());
+    agent.handle_message(node(1), &PeerMessage::Hello(hello), now, &mut Vec::new());
 }
 
-/// Offers an opening that may go elsewhere, and so does not wait.
-fn offer(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
+/// Forwards an opening that may go to another target, so that it is not queued.
+fn forward_opening_with_alternative(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
     let terms = OpeningTerms {
         estimated_load: Some(1000),
         ..opening_terms()
@@ -102,8 +101,8 @@
     forward_to(agent, &header, &opening(flow(port), 0), at(now))
 }
 
-/// Offers an opening that has nowhere else to go.
-fn insist(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
+/// Forwards an opening that can go to no other target.
+fn forward_opening_without_alternative(agent: &mut Agent, port: u16, now: u64) -> ForwardDecision {
     forward_to(agent, &open_header(1), &opening(flow(port), 0), at(now))
 }
 
@@ -113,19 +112,19 @@
     agent.handle_target_packet(&accept, None, at(now));
 }
 
-/// How many of some openings at one moment reach the target.
+/// How many of some openings reach the target at this time.
 fn delivered(agent: &mut Agent, ports: std::ops::Range<u16>, now: u64) -> usize {
     ports
-        .filter(|port| is_delivered(&offer(agent, *port, now)))
+        .filter(|port| is_delivered(&forward_opening_with_alternative(agent, *port, now)))
         .count()
 }
 
 fn limit() -> usize {
-    usize::try_from(RATE).expect("small")
+    usize::try_from(REQUESTS_PER_SECOND).expect("small")
 }
 
 #[test]
-fn a_cold_target_gets_no_more_in_a_second_than_it_bears() {
+fn a_cold_target_gets_no_more_requests_in_a_second_than_its_limit() {
     let mut agent = agent_of_cold_target(5000);
     assert_eq!(delivered(&mut agent, 1..20, 5010), limit());
     assert_eq!(
@@ -136,27 +135,27 @@
 }
 
 #[test]
-fn what_waits_reaches_the_cold_target_when_the_second_is_over() {
+fn queued_openings_reach_a_cold_target_when_the_second_is_over() {
     let mut agent = agent_of_cold_target(5000);
     for port in 1..5 {
-        insist(&mut agent, port, 5010);
+        forward_opening_without_alternative(&mut agent, port, 5010);
         accept(&mut agent, port, 5011);
     }
     let mut actions = Vec::new();
     agent.tick(at(5500), &mut actions);
-    assert!(!actions.iter().any(is_handed_over), "{actions:?}");
+    assert!(!actions.iter().any(is_delivery), "{actions:?}");
     for now in (5525..6100).step_by(25) {
         agent.tick(at(now), &mut actions);
     }
-    assert_eq!(actions.iter().filter(|it| is_handed_over(it)).count(), 1);
+    assert_eq!(actions.iter().filter(|it| is_delivery(it)).count(), 1);
 }
 
-fn is_handed_over(action: &AgentAction) -> bool {
+fn is_delivery(action: &AgentAction) -> bool {
     matches!(action, AgentAction::Deliver { .. })
 }
 
 #[test]
-fn an_opening_that_may_go_elsewhere_is_given_back_with_what_is_left() {
+fn an_opening_that_may_go_elsewhere_is_returned_with_the_remaining_limit() {
     let mut agent = agent_of_cold_target(5000);
     delivered(&mut agent, 1..20, 5010);
     let terms = OpeningTerms {
@@ -175,73 +174,73 @@
 }
 
 #[test]
-fn a_warm_target_and_one_of_a_service_without_a_figure_have_no_limit() {
+fn a_warm_target_and_one_of_a_service_without_a_rate_have_no_limit() {
     let mut agent = agent_of_cold_target(5000);
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(7000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(7000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 1..30, 7010), 29);
-    let mut unlimited = unknowing_agent(at(0));
+    let mut unlimited = empty_agent_started(at(0));
     configure(&mut unlimited, 0, at(0));
     unlimited
-        .handle_heartbeat(&cold_beat(1, 1, 2000), at(5000))
+        .handle_heartbeat(&cold_heartbeat(1, 1, 2000), at(5000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut unlimited, 1..30, 5010), 29);
 }
 
 #[test]
-fn without_a_configuration_a_cold_target_is_handed_nothing() {
-    let mut agent = unknowing_agent(at(0));
+fn without_a_configuration_a_cold_target_gets_no_request() {
+    let mut agent = empty_agent_started(at(0));
     agent
-        .handle_heartbeat(&cold_beat(1, 1, 2000), at(5000))
+        .handle_heartbeat(&cold_heartbeat(1, 1, 2000), at(5000))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 1..10, 5010), 0);
 }
 
 #[test]
-fn a_target_whose_zone_is_taken_back_is_cold_until_it_tells() {
+fn a_target_whose_zone_is_taken_back_is_assumed_cold_until_a_heartbeat() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(3000))
         .expect("heartbeat");
-    hear_zones(&mut agent, 5, &["a"], at(3000));
-    hear_zones(&mut agent, 6, &[], at(5000));
+    receive_zones(&mut agent, 5, &["a"], at(3000));
+    receive_zones(&mut agent, 6, &[], at(5000));
     assert_eq!(delivered(&mut agent, 1..20, 5010), limit());
     agent
-        .handle_heartbeat(&cold_beat(1, 3, 0), at(5500))
+        .handle_heartbeat(&cold_heartbeat(1, 3, 0), at(5500))
         .expect("heartbeat");
     assert_eq!(delivered(&mut agent, 20..40, 5510), 20);
 }
 
 #[test]
-fn a_target_whose_zone_is_taken_back_and_that_tells_nothing_is_warm_in_the_end() {
+fn a_silent_target_whose_zone_is_taken_back_is_warm_after_the_cold_time() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(3000))
         .expect("heartbeat");
-    hear_zones(&mut agent, 5, &["a"], at(3000));
-    hear_zones(&mut agent, 6, &[], at(5000));
+    receive_zones(&mut agent, 5, &["a"], at(3000));
+    receive_zones(&mut agent, 6, &[], at(5000));
     assert_eq!(delivered(&mut agent, 1..30, 5000 + u64::from(COLD_MS)), 29);
 }
 
 #[test]
-fn an_agent_that_heard_no_zones_for_long_does_not_trust_an_older_heartbeat() {
+fn an_agent_without_news_of_zones_does_not_trust_an_older_heartbeat() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(3000))
         .expect("heartbeat");
-    hear_zones(&mut agent, 9, &[], at(9000));
+    receive_zones(&mut agent, 9, &[], at(9000));
     assert_eq!(delivered(&mut agent, 1..20, 9010), limit());
 }
 
 #[test]
-fn a_target_that_was_silent_may_have_started_again() {
+fn a_target_that_was_silent_is_assumed_to_have_restarted() {
     let mut agent = agent_of_cold_target(0);
-    hear_zones(&mut agent, 2, &[], at(2500));
+    receive_zones(&mut agent, 2, &[], at(2500));
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(3000))
         .expect("heartbeat");
-    offer(&mut agent, 1, 3100);
+    forward_opening_with_alternative(&mut agent, 1, 3100);
     for now in (3125..3700).step_by(25) {
         agent.tick(at(now), &mut Vec::new());
     }
@@ -251,40 +250,39 @@
 }
 
 #[test]
-fn a_restarted_agent_waits_a_second_before_it_hands_a_cold_target_anything() {
-    let mut agent = unknowing_agent(at(5000));
-    configure(&mut agent, RATE, at(5000));
+fn a_restarted_agent_delivers_nothing_to_a_cold_target_for_a_second() {
+    let mut agent = empty_agent_started(at(5000));
+    configure(&mut agent, REQUESTS_PER_SECOND, at(5000));
     agent
-        .handle_heartbeat(&cold_beat(1, 4, 2000), at(5010))
+        .handle_heartbeat(&cold_heartbeat(1, 4, 2000), at(5010))
         .expect("heartbeat");
     for port in 1..10 {
-        assert!(!is_delivered(&insist(&mut agent, port, 5500)));
+        assert!(!is_delivered(&forward_opening_without_alternative(
+            &mut agent, port, 5500
+        )));
     }
     agent.tick(at(5980), &mut Vec::new());
     let mut actions = Vec::new();
     for now in (6000..6200).step_by(25) {
         agent.tick(at(now), &mut actions);
     }
-    assert_eq!(
-        actions.iter().filter(|it| is_handed_over(it)).count(),
-        limit()
-    );
+    assert_eq!(actions.iter().filter(|it| is_delivery(it)).count(), limit());
 }
 
 #[test]
-fn further_requests_of_open_flows_use_the_second_up() {
+fn further_requests_of_open_flows_count_towards_the_limit() {
     let mut agent = agent_of_cold_target(0);
     agent
-        .handle_heartbeat(&cold_beat(1, 2, 0), at(3000))
+        .handle_heartbeat(&cold_heartbeat(1, 2, 0), at(3000))
         .expect("heartbeat");
-    hear_zones(&mut agent, 2, &[], at(3000));
+    receive_zones(&mut agent, 2, &[], at(3000));
     for port in 1..=3 {
         open_flow_at(&mut agent, flow(port), at(3000));
         let answer = packet(flow(port), PacketKind::Data, 5001, 1101, 500);
         agent.handle_target_packet(&answer, None, at(3050));
     }
     agent
-        .handle_heartbeat(&cold_beat(2, 1, 2000), at(4500))
+        .handle_heartbeat(&cold_heartbeat(2, 1, 2000), at(4500))
         .expect("heartbeat");
     let established = header(1, ForwardPurpose::Established);
     open_flow_at(&mut agent, flow(9), at(4510));
@@ -300,9 +298,9 @@
 }
 
 #[test]
-fn a_balancer_sends_a_cold_target_no_more_than_is_left() {
+fn a_balancer_sends_a_cold_target_no_more_than_its_remaining_limit() {
     let mut balancer = balancer(&[]);
-    balancer.adopt_store_configuration(Arc::new(configured(RATE)));
+    balancer.adopt_store_configuration(Arc::new(configured(REQUESTS_PER_SECOND)));
     let cold = TargetReport {
         load: TargetLoad {
             openings_left: Some(2),
@@ -328,7 +326,7 @@
 }
 
 #[test]
-fn when_nothing_else_is_there_a_balancer_sends_an_exhausted_target_more_to_queue() {
+fn without_another_target_a_balancer_sends_openings_to_a_target_at_its_limit() {
     let mut balancer = balancer(&[]);
     let cold = TargetReport {
         load: TargetLoad {
@@ -343,35 +341,35 @@
 }
 
 proptest! {
-    /// Against a plain count: no span of a second holds more than the target
-    /// bears, whatever the gaps between openings and ticks.
+    /// Compares with a plain count: no span of a second contains more requests than the
+    /// target can serve, whatever the gaps between openings and ticks.
     #[test]
-    fn no_span_of_a_second_holds_more_than_a_cold_target_bears(
+    fn no_span_of_a_second_contains_more_requests_than_the_limit(
         gaps in proptest::collection::vec((0..400_u64, any::<bool>()), 1..120),
     ) {
         let mut agent = agent_of_cold_target(5000);
         let mut now = 5000;
-        let mut handed: Vec<u64> = Vec::new();
+        let mut delivered_at: Vec<u64> = Vec::new();
         let mut sequence = 1;
         for (index, (gap, ticks)) in gaps.into_iter().enumerate() {
             now += gap;
             sequence += 1;
-            // It stays cold all the time.
-            agent.handle_heartbeat(&cold_beat(1, sequence, 2000), at(now)).expect("heartbeat");
+            // The target stays cold all the time.
+            agent.handle_heartbeat(&cold_heartbeat(1, sequence, 2000), at(now)).expect("heartbeat");
             let mut actions = Vec::new();
             if ticks {
                 agent.tick(at(now), &mut actions);
             } else {
                 let port = u16::try_from(index).expect("few") + 1;
-                if is_delivered(&insist(&mut agent, port, now)) {
-                    handed.push(now);
+                if is_delivered(&forward_opening_without_alternative(&mut agent, port, now)) {
+                    delivered_at.push(now);
                 }
                 agent.dispatch_queued(at(now), &mut actions);
             }
-            handed.extend(actions.iter().filter(|it| is_handed_over(it)).map(|_| now));
-            for start in &handed {
-                let within = handed.iter().filter(|at| (*start..start + 1000).contains(at));
-                prop_assert!(within.count() <= limit(), "{handed:?}");
+            delivered_at.extend(actions.iter().filter(|it| is_delivery(it)).map(|_| now));
+            for start in &delivered_at {
+                let within = delivered_at.iter().filter(|at| (*start..start + 1000).contains(at));
+                prop_assert!(within.count() <= limit(), "{delivered_at:?}");
             }
         }
     }
