--- a/crates/woodladder-core/src/flow/link/bulk_admission.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_admission.rs
@@ -1,9 +1,11 @@
-//! How many flows that bring many bytes share a link at a time.
+//! Limit on the flows of bulk routes (those that send many bytes) that use a link at the
+//! same time.
 //!
-//! Each sender has up to [`super::WINDOW`] bytes under way, whatever the link
-//! carries: when more windows come together than the link holds, packets are lost
-//! and each loss costs a sender 200 milliseconds and more. Openings beyond that wait
-//! here, where nothing of them has run. Flows that are open are never held.
+//! Each sender may have up to [`super::SEND_WINDOW_BYTES`] bytes in flight, whatever the
+//! link carries. When more windows arrive together than the link can queue, packets are
+//! lost, and each loss costs a sender at least 200 milliseconds. Openings beyond the
+//! limit are queued here, where none of their work has run. Packets of open flows are
+//! never delayed.
 
 use std::time::Duration;
 
@@ -13,97 +15,99 @@
 use crate::flow::identity::FlowKey;
 use crate::flow::packet::{FlowPacket, PacketKind};
 
-/// Silence after which a flow is not under way any more.
-const QUIET: Duration = Duration::from_millis(60);
-/// Longest wait: the caller's attempt ends at 1.4 seconds.
-const LONGEST_WAIT: Duration = Duration::from_millis(1200);
-/// Most openings that wait.
-const MOST_WAITING: usize = 256;
+/// Time without data after which a flow no longer counts as active.
+const IDLE_AFTER: Duration = Duration::from_millis(60);
+/// Age at which an opening is refused: the caller's attempt ends at 1.4 seconds.
+const MAXIMUM_OPENING_AGE: Duration = Duration::from_millis(1200);
+/// Maximum number of queued openings.
+const MAXIMUM_QUEUED_OPENINGS: usize = 256;
 
-/// What is known of an opening of a bulk route.
+/// Terms of an opening of a bulk route.
 #[derive(Clone, Copy, Debug)]
 pub struct BulkTerms {
-    /// Time in which its request should be answered.
+    /// Desired time from the opening to the answer to its request.
     pub aim: Duration,
     /// Time after which an answer is of no use any more.
     pub timeout: Duration,
-    /// Time that its bytes take on the link alone.
-    pub transfer: Duration,
+    /// Time that the flow's bytes take on the link alone.
+    pub transfer_time: Duration,
 }
 
 impl BulkTerms {
-    /// Age, counted from the first sending, from which an opening does not go any
-    /// more: what its bytes take on the link is left of its timeout.
-    fn longest_wait(&self) -> Duration {
-        LONGEST_WAIT.min(self.timeout.saturating_sub(self.transfer))
+    /// Age, counted from the first time that the caller sent the opening, from which the
+    /// opening is refused: the remaining part of the timeout is needed to transfer its
+    /// bytes.
+    fn max_age(&self) -> Duration {
+        MAXIMUM_OPENING_AGE.min(self.timeout.saturating_sub(self.transfer_time))
     }
 }
 
 /// What happens to an opening.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BulkDecision {
-    /// It goes on.
+    /// The opening is forwarded.
     Admit,
-    /// It waits here.
+    /// The opening is queued.
     Wait,
-    /// It is refused: nothing of it has run, and its time here would end before its
-    /// turn comes.
+    /// The opening is refused: none of its work has run, and it would have to be queued
+    /// for longer than it may.
     Refuse,
 }
 
-/// An opening whose wait has ended.
+/// An opening that leaves the queue.
 #[derive(Clone, Debug)]
 pub struct ReleasedOpening {
-    /// The opening.
+    /// The parsed opening.
     pub packet: FlowPacket,
-    /// As it came.
+    /// The opening as received.
     pub bytes: Vec<u8>,
-    /// When it came.
+    /// When the opening was queued.
     pub queued_at: Instant,
-    /// When its caller sent it for the first time.
+    /// When the caller sent the opening for the first time.
     pub first_sent: Instant,
-    /// Whether it goes on; it is refused otherwise.
+    /// Whether the opening is forwarded; otherwise it is refused.
     pub is_admitted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
-    last_at: Instant,
-    /// Longest data of one packet so far, in bytes.
-    longest: u16,
+struct ActiveFlow {
+    last_data_at: Instant,
+    /// Largest payload of a packet so far, in bytes.
+    largest_payload: u16,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedBulkOpening {
     packet: FlowPacket,
     bytes: Vec<u8>,
     terms: BulkTerms,
-    since: Instant,
+    queued_at: Instant,
     first_sent: Instant,
 }
 
-impl Waiting {
-    fn is_vain(&self, now: Instant) -> bool {
-        now.since(self.first_sent) >= self.terms.longest_wait()
+impl QueuedBulkOpening {
+    fn is_expired(&self, now: Instant) -> bool {
+        now.since(self.first_sent) >= self.terms.max_age()
     }
 
-    /// Whether it is answered within its aim when it begins now; half of the aim is
-    /// left for what its packets meet on their way.
+    /// Whether the request would be answered within its aim if it began now. Half of the
+    /// aim is reserved for delays of its packets on their way.
     fn is_in_time(&self, now: Instant) -> bool {
-        now.since(self.first_sent) + self.terms.transfer <= self.terms.aim / 2
+        now.since(self.first_sent) + self.terms.transfer_time <= self.terms.aim / 2
     }
 }
 
-/// Flows under way, and openings that wait for one of them to end.
+/// Active flows of bulk routes, and openings that are queued until one of them ends.
 #[derive(Clone, Debug, Default)]
 pub struct BulkAdmission {
-    under_way: FxHashMap<FlowKey, UnderWay>,
-    waiting: Vec<Waiting>,
+    active: FxHashMap<FlowKey, ActiveFlow>,
+    queue: Vec<QueuedBulkOpening>,
 }
 
 impl BulkAdmission {
-    /// Takes an opening of a bulk route; at most `limit` flows are to be under way.
-    pub fn opening(
+    /// Decides about an opening of a bulk route, of which at most `limit` flows are to be
+    /// active.
+    pub fn admit_opening(
         &mut self,
         packet: &FlowPacket,
         bytes: &[u8],
@@ -112,144 +116,144 @@
         now: Instant,
     ) -> BulkDecision {
         let key = packet.key;
-        if self.under_way.contains_key(&key) {
+        if self.active.contains_key(&key) {
             return BulkDecision::Admit;
         }
-        let mut waiting = self.waiting.iter_mut();
-        if let Some(known) = waiting.find(|waiting| waiting.packet.key == key) {
-            // The latest copy tells how old the opening is.
-            known.packet = *packet;
-            known.bytes = bytes.to_vec();
-            known.first_sent = known.first_sent.min(packet.first_sent(now));
+        let mut queue = self.queue.iter_mut();
+        if let Some(queued) = queue.find(|queued| queued.packet.key == key) {
+            // The latest copy has the most accurate age of the opening.
+            queued.packet = *packet;
+            queued.bytes = bytes.to_vec();
+            queued.first_sent = queued.first_sent.min(packet.first_sent(now));
             return BulkDecision::Wait;
         }
-        self.expire(now);
-        let is_first = packet.acknowledgement == 0;
-        if !is_first || (self.waiting.is_empty() && self.under_way.len() < limit) {
-            self.begin(key, now);
+        self.drop_idle_flows(now);
+        let is_first_copy = packet.acknowledgement == 0;
+        if !is_first_copy || (self.queue.is_empty() && self.active.len() < limit) {
+            self.activate(key, now);
             return BulkDecision::Admit;
         }
-        if self.waiting.len() >= MOST_WAITING || self.turn_comes_late(terms, limit) {
+        if self.queue.len() >= MAXIMUM_QUEUED_OPENINGS
+            || self.would_be_queued_too_long(terms, limit)
+        {
             return BulkDecision::Refuse;
         }
-        self.waiting.push(Waiting {
+        self.queue.push(QueuedBulkOpening {
             packet: *packet,
             bytes: bytes.to_vec(),
             terms,
-            since: now,
+            queued_at: now,
             first_sent: packet.first_sent(now),
         });
         BulkDecision::Wait
     }
 
-    /// Takes any other packet of a bulk route's flow: its caller does not wait for an
-    /// opening any more, of which a copy may have gone through another balancer.
-    pub fn packet(&mut self, packet: &FlowPacket, now: Instant) {
-        self.forget_waiting(|key| *key == packet.key);
+    /// Handles any other packet of a bulk route's flow. Its caller no longer waits for an
+    /// opening to be forwarded: a copy of it may have gone through another balancer.
+    pub fn handle_packet(&mut self, packet: &FlowPacket, now: Instant) {
+        self.remove_queued(|key| *key == packet.key);
         match packet.kind {
             PacketKind::Finish | PacketKind::Reset => {
-                self.under_way.remove(&packet.key);
+                self.active.remove(&packet.key);
             }
-            PacketKind::Data if packet.payload_length > 0 => self.data(packet, now),
+            PacketKind::Data if packet.payload_length > 0 => self.handle_data(packet, now),
             _ => {}
         }
     }
 
-    fn data(&mut self, packet: &FlowPacket, now: Instant) {
-        let flow = self.under_way.entry(packet.key).or_insert(UnderWay {
-            last_at: now,
-            longest: 0,
+    fn handle_data(&mut self, packet: &FlowPacket, now: Instant) {
+        let flow = self.active.entry(packet.key).or_insert(ActiveFlow {
+            last_data_at: now,
+            largest_payload: 0,
         });
-        flow.last_at = now;
-        flow.longest = flow.longest.max(packet.payload_length);
-        // Senders fill their packets, but for the last one of a request.
-        if packet.payload_length < flow.longest {
-            self.under_way.remove(&packet.key);
+        flow.last_data_at = now;
+        flow.largest_payload = flow.largest_payload.max(packet.payload_length);
+        // Senders fill their packets, except for the last one of a request.
+        if packet.payload_length < flow.largest_payload {
+            self.active.remove(&packet.key);
         }
     }
 
-    /// Forgets waiting openings of these flows.
-    pub fn forget_waiting(&mut self, is_of: impl Fn(&FlowKey) -> bool) {
-        self.waiting.retain(|waiting| !is_of(&waiting.packet.key));
+    /// Removes the queued openings of the flows for which `is_obsolete` holds.
+    pub fn remove_queued(&mut self, is_obsolete: impl Fn(&FlowKey) -> bool) {
+        self.queue.retain(|queued| !is_obsolete(&queued.packet.key));
     }
 
-    /// Openings whose wait ends now, in the order in which they are to go.
+    /// Openings that leave the queue now, in the order in which they are to be forwarded.
     pub fn release(&mut self, limit: usize, now: Instant) -> Vec<ReleasedOpening> {
         let mut released = Vec::new();
-        self.expire(now);
+        self.drop_idle_flows(now);
         let mut index = 0;
-        while index < self.waiting.len() {
-            if self.waiting[index].is_vain(now) {
-                released.push(ended(self.waiting.remove(index), false));
+        while index < self.queue.len() {
+            if self.queue[index].is_expired(now) {
+                released.push(leave_queue(self.queue.remove(index), false));
             } else {
                 index += 1;
             }
         }
-        while self.under_way.len() < limit
-            && let Some(next) = self.next(now)
+        while self.active.len() < limit
+            && let Some(next) = self.next_index(now)
         {
-            let waiting = self.waiting.remove(next);
-            self.begin(waiting.packet.key, now);
-            released.push(ended(waiting, true));
+            let queued = self.queue.remove(next);
+            self.activate(queued.packet.key, now);
+            released.push(leave_queue(queued, true));
         }
         released
     }
 
-    /// Whether [`Self::release`] may have something to give.
+    /// Whether there is room for a queued opening, so that [`Self::release`] may return
+    /// one.
     #[must_use]
     pub fn has_room(&self, limit: usize) -> bool {
-        !self.waiting.is_empty() && self.under_way.len() < limit
+        !self.queue.is_empty() && self.active.len() < limit
     }
 
-    /// Flows under way.
+    /// Number of active flows.
     #[must_use]
-    pub fn under_way(&self) -> usize {
-        self.under_way.len()
+    pub fn active(&self) -> usize {
+        self.active.len()
     }
 
-    /// Openings that wait.
+    /// Number of queued openings.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued(&self) -> usize {
+        self.queue.len()
     }
 
-    /// The opening that goes next: the oldest of those that can still be answered in
-    /// time, or the newest when none can; none of them is vain.
-    fn next(&self, now: Instant) -> Option<usize> {
-        let in_time = self
-            .waiting
-            .iter()
-            .position(|waiting| waiting.is_in_time(now));
-        in_time.or(self.waiting.len().checked_sub(1))
+    /// Index of the opening that is forwarded next: the oldest of those that can still be
+    /// answered in time, or the newest if none can. None of them has expired.
+    fn next_index(&self, now: Instant) -> Option<usize> {
+        let in_time = self.queue.iter().position(|queued| queued.is_in_time(now));
+        in_time.or(self.queue.len().checked_sub(1))
     }
 
-    /// Whether an opening that comes now gets its turn only after its longest wait,
-    /// when those before it take as long as the link needs for their bytes.
-    fn turn_comes_late(&self, terms: BulkTerms, limit: usize) -> bool {
-        let before = u32::try_from(self.waiting.len() + limit).unwrap_or(u32::MAX);
-        terms.transfer.saturating_mul(before) > LONGEST_WAIT.min(terms.timeout)
+    /// Whether an opening that arrives now would have its turn only after its
+    /// maximum age, if those before it take as long as the link needs for their bytes.
+    fn would_be_queued_too_long(&self, terms: BulkTerms, limit: usize) -> bool {
+        let ahead = u32::try_from(self.queue.len() + limit).unwrap_or(u32::MAX);
+        terms.transfer_time.saturating_mul(ahead) > MAXIMUM_OPENING_AGE.min(terms.timeout)
     }
 
-    fn begin(&mut self, key: FlowKey, now: Instant) {
-        let flow = UnderWay {
-            last_at: now,
-            longest: 0,
+    fn activate(&mut self, key: FlowKey, now: Instant) {
+        let flow = ActiveFlow {
+            last_data_at: now,
+            largest_payload: 0,
         };
-        self.under_way.insert(key, flow);
+        self.active.insert(key, flow);
     }
 
-    fn expire(&mut self, now: Instant) {
-        self.under_way
-            .retain(|_, flow| now.since(flow.last_at) < QUIET);
+    fn drop_idle_flows(&mut self, now: Instant) {
+        self.active
+            .retain(|_, flow| now.since(flow.last_data_at) < IDLE_AFTER);
     }
 }
 
-fn ended(waiting: Waiting, is_admitted: bool) -> ReleasedOpening {
+fn leave_queue(queued: QueuedBulkOpening, is_admitted: bool) -> ReleasedOpening {
     ReleasedOpening {
-        packet: waiting.packet,
-        bytes: waiting.bytes,
-        queued_at: waiting.since,
-        first_sent: waiting.first_sent,
+        packet: queued.packet,
+        bytes: queued.bytes,
+        queued_at: queued.queued_at,
+        first_sent: queued.first_sent,
         is_admitted,
     }
 }
--- a/crates/woodladder-core/src/flow/link/bulk_routes.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_routes.rs
@@ -1,7 +1,7 @@
-//! Which routes bring many bytes at a time.
+//! Detection of bulk routes: routes whose flows send many bytes soon after their opening.
 //!
-//! What counts for a link is what a flow brings soon after its opening: a flow that
-//! lives for long may bring as much in small parts, which burdens no link.
+//! Only the bytes soon after the opening matter for a link. A long-lived flow may send as
+//! many bytes in small parts, which does not congest a link.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -12,67 +12,70 @@
 use crate::clock::Instant;
 use crate::flow::identity::FlowKey;
 
-/// Time from a flow's opening in which its bytes are counted.
-const OBSERVED_FOR: Duration = Duration::from_millis(1000);
-/// Most flows that are observed at a time.
-const MOST_OBSERVED: usize = 512;
-/// Weight of the flows before against the next one.
-const FORMER_WEIGHT: u64 = 7;
-/// Mean bytes from which a route counts as bulk: the packets that a sender may have
-/// under way.
-pub const BULK_FROM: u64 = super::WINDOW;
+/// Time from a flow's opening during which its bytes are counted.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1000);
+/// Maximum number of flows that are observed at the same time.
+const MAXIMUM_OBSERVED_FLOWS: usize = 512;
+/// Weight of the mean of all earlier flows, relative to one new flow.
+const EARLIER_FLOWS_WEIGHT: u64 = 7;
+/// Mean number of bytes from which a route counts as bulk: as much as a sender may have
+/// in flight.
+pub const BULK_THRESHOLD_BYTES: u64 = super::SEND_WINDOW_BYTES;
 
-/// Mean bytes that flows bring soon after their opening, by route.
+/// Mean number of bytes that flows send soon after their opening, by route.
 #[derive(Clone, Debug, Default)]
 pub struct BulkRoutes {
-    observed: FxHashMap<FlowKey, u64>,
-    begun: VecDeque<(Instant, FlowKey)>,
-    means: FxHashMap<SocketAddrV4, u64>,
+    observed_bytes: FxHashMap<FlowKey, u64>,
+    observed_since: VecDeque<(Instant, FlowKey)>,
+    mean_bytes: FxHashMap<SocketAddrV4, u64>,
 }
 
 impl BulkRoutes {
-    /// Counts a new flow.
-    pub fn opened(&mut self, key: FlowKey, now: Instant) {
-        self.fold(now);
-        if self.observed.len() < MOST_OBSERVED && self.observed.insert(key, 0).is_none() {
-            self.begun.push_back((now, key));
+    /// Starts to observe a new flow.
+    pub fn observe(&mut self, key: FlowKey, now: Instant) {
+        self.finish_observations(now);
+        if self.observed_bytes.len() < MAXIMUM_OBSERVED_FLOWS
+            && self.observed_bytes.insert(key, 0).is_none()
+        {
+            self.observed_since.push_back((now, key));
         }
     }
 
     /// Counts bytes of a flow.
-    pub fn brought(&mut self, key: &FlowKey, payload: u16, now: Instant) {
-        self.fold(now);
-        if let Some(bytes) = self.observed.get_mut(key) {
+    pub fn count_bytes(&mut self, key: &FlowKey, payload: u16, now: Instant) {
+        self.finish_observations(now);
+        if let Some(bytes) = self.observed_bytes.get_mut(key) {
             *bytes += u64::from(payload);
         }
     }
 
-    /// Mean bytes that a flow of the route brings; zero before any is known.
+    /// Mean number of bytes that a flow of the route sends soon after its opening; zero
+    /// before any is known.
     #[must_use]
-    pub fn mean(&self, route: SocketAddrV4) -> u64 {
-        self.means.get(&route).copied().unwrap_or(0)
+    pub fn mean_bytes(&self, route: SocketAddrV4) -> u64 {
+        self.mean_bytes.get(&route).copied().unwrap_or(0)
     }
 
-    /// Whether the route's flows bring many bytes.
+    /// Whether the route is a bulk route.
     #[must_use]
     pub fn is_bulk(&self, route: SocketAddrV4) -> bool {
-        self.mean(route) >= BULK_FROM
+        self.mean_bytes(route) >= BULK_THRESHOLD_BYTES
     }
 
-    /// Forgets routes that no longer exist.
+    /// Removes routes that no longer exist.
     pub fn retain(&mut self, mut exists: impl FnMut(SocketAddrV4) -> bool) {
-        self.means.retain(|address, _| exists(*address));
+        self.mean_bytes.retain(|address, _| exists(*address));
     }
 
-    fn fold(&mut self, now: Instant) {
-        while let Some((since, key)) = self.begun.front().copied()
-            && now.since(since) >= OBSERVED_FOR
+    fn finish_observations(&mut self, now: Instant) {
+        while let Some((since, key)) = self.observed_since.front().copied()
+            && now.since(since) >= OBSERVATION_TIME
         {
-            self.begun.pop_front();
-            let bytes = self.observed.remove(&key).unwrap_or(0);
+            self.observed_since.pop_front();
+            let bytes = self.observed_bytes.remove(&key).unwrap_or(0);
             if bytes > 0 {
-                let mean = self.means.entry(key.service).or_insert(bytes);
-                *mean = (*mean * FORMER_WEIGHT + bytes) / (FORMER_WEIGHT + 1);
+                let mean = self.mean_bytes.entry(key.service).or_insert(bytes);
+                *mean = (*mean * EARLIER_FLOWS_WEIGHT + bytes) / (EARLIER_FLOWS_WEIGHT + 1);
             }
         }
     }
--- a/crates/woodladder-core/src/flow/link/mod.rs
+++ b/crates/woodladder-core/src/flow/link/mod.rs
@@ -1,5 +1,5 @@
-//! What a machine's link bears: its use, the order and pace of what leaves, and how
-//! many flows that bring many bytes share it at a time.
+//! Control of the load on a machine's link: measuring its use, ordering and pacing the
+//! outgoing datagrams, and limiting the number of bulk flows that share it.
 
 pub mod bulk_admission;
 pub mod bulk_routes;
@@ -18,53 +18,54 @@
 use super::packet::{FlowPacket, PacketKind};
 use crate::clock::Instant;
 
-/// Bytes that the network puts before each datagram.
-pub const LINK_HEADER: usize = 28;
-/// Bytes that a sender may have under way: 16 packets of 1,200 bytes.
-pub const WINDOW: u64 = 16 * 1200;
-/// Time for which packets may wait before the link without being lost or repeated.
-const LINK_QUEUE: Duration = Duration::from_millis(35);
-/// Least number of flows that share a link: one sends while another waits for
+/// Bytes that the network adds to each datagram: the headers of IP and UDP.
+pub const DATAGRAM_HEADER_BYTES: usize = 28;
+/// Bytes that a sender may have in flight: 16 packets of 1,200 bytes.
+pub const SEND_WINDOW_BYTES: u64 = 16 * 1200;
+/// Time for which packets may be queued in front of the link without being lost or
+/// retransmitted.
+const MAXIMUM_QUEUE_DELAY: Duration = Duration::from_millis(35);
+/// Minimum number of flows that share a link: one sends while another waits for
 /// acknowledgements.
-const LEAST_SHARING: u64 = 2;
+const MINIMUM_ACTIVE_BULK_FLOWS: u64 = 2;
 /// Bits in a byte.
-const BITS: u64 = 8;
+const BITS_PER_BYTE: u64 = 8;
 
-/// Use of a link, and the flows of bulk routes that share it.
+/// Use of a link, and admission of the flows of bulk routes that share it.
 #[derive(Clone, Debug)]
 pub struct LinkBudget {
-    /// Kilobits a second in each direction.
-    rate: u32,
+    /// Rate in each direction, in kilobits per second.
+    rate_kbps: u32,
     incoming: LinkUsage,
     outgoing: LinkUsage,
-    routes: BulkRoutes,
-    admission: BulkAdmission,
+    bulk_routes: BulkRoutes,
+    bulk_admission: BulkAdmission,
 }
 
 impl LinkBudget {
-    /// The budget of a link of this rate, in kilobits a second.
+    /// The budget of a link of this rate, in kilobits per second.
     #[must_use]
-    pub fn new(rate: u32) -> Self {
+    pub fn new(rate_kbps: u32) -> Self {
         Self {
-            rate: rate.max(1),
+            rate_kbps: rate_kbps.max(1),
             incoming: LinkUsage::default(),
             outgoing: LinkUsage::default(),
-            routes: BulkRoutes::default(),
-            admission: BulkAdmission::default(),
+            bulk_routes: BulkRoutes::default(),
+            bulk_admission: BulkAdmission::default(),
         }
     }
 
-    /// Counts a datagram that has come.
+    /// Counts a received datagram.
     pub fn record_received(&mut self, length: usize, now: Instant) {
-        self.incoming.add(length + LINK_HEADER, now);
+        self.incoming.add(length + DATAGRAM_HEADER_BYTES, now);
     }
 
-    /// Counts a datagram that has left.
+    /// Counts a sent datagram.
     pub fn record_sent(&mut self, length: usize, now: Instant) {
-        self.outgoing.add(length + LINK_HEADER, now);
+        self.outgoing.add(length + DATAGRAM_HEADER_BYTES, now);
     }
 
-    /// Decides about a packet of a caller.
+    /// Decides about a caller's packet.
     pub fn admit_caller_packet(
         &mut self,
         packet: &FlowPacket,
@@ -72,103 +73,111 @@
         terms: RouteTerms,
         now: Instant,
     ) -> BulkDecision {
-        let is_bulk = self.routes.is_bulk(packet.key.service);
+        let is_bulk = self.bulk_routes.is_bulk(packet.key.service);
         if packet.kind != PacketKind::Open {
-            self.routes.brought(&packet.key, packet.payload_length, now);
+            self.bulk_routes
+                .count_bytes(&packet.key, packet.payload_length, now);
             if is_bulk {
-                self.admission.packet(packet, now);
+                self.bulk_admission.handle_packet(packet, now);
             }
             return BulkDecision::Admit;
         }
         let decision = if is_bulk {
-            let terms = self.terms(packet.key.service, terms);
-            let limit = self.most_sharing();
-            self.admission.opening(packet, bytes, terms, limit, now)
+            let terms = self.bulk_terms(packet.key.service, terms);
+            let limit = self.max_active_bulk_flows();
+            self.bulk_admission
+                .admit_opening(packet, bytes, terms, limit, now)
         } else {
             BulkDecision::Admit
         };
         if decision == BulkDecision::Admit {
-            self.routes.opened(packet.key, now);
+            self.bulk_routes.observe(packet.key, now);
         }
         decision
     }
 
-    /// Forgets waiting openings of these flows.
-    pub fn forget_waiting(&mut self, is_of: impl Fn(&FlowKey) -> bool) {
-        self.admission.forget_waiting(is_of);
+    /// Removes the queued openings of the flows for which `is_obsolete` holds.
+    pub fn forget_waiting(&mut self, is_obsolete: impl Fn(&FlowKey) -> bool) {
+        self.bulk_admission.remove_queued(is_obsolete);
     }
 
-    /// Openings whose wait ends now.
+    /// Openings that leave the queue now.
     pub fn release_waiting(&mut self, now: Instant) -> Vec<ReleasedOpening> {
-        if self.admission.waiting() == 0 {
+        if self.bulk_admission.queued() == 0 {
             return Vec::new();
         }
-        let released = self.admission.release(self.most_sharing(), now);
+        let released = self
+            .bulk_admission
+            .release(self.max_active_bulk_flows(), now);
         for opening in released.iter().filter(|opening| opening.is_admitted) {
-            self.routes.opened(opening.packet.key, now);
+            self.bulk_routes.observe(opening.packet.key, now);
         }
         released
     }
 
-    /// Whether a waiting opening may go on.
+    /// Whether a queued opening may be forwarded now.
     #[must_use]
     pub fn can_release_waiting(&self) -> bool {
-        self.admission.has_room(self.most_sharing())
+        self.bulk_admission.has_room(self.max_active_bulk_flows())
     }
 
-    /// Whether a packet goes before others.
+    /// Class of a packet: bulk for data of bulk routes.
     #[must_use]
     pub fn traffic_class(&self, packet: &FlowPacket) -> TrafficClass {
-        if packet.payload_length > 0 && self.routes.is_bulk(packet.key.service) {
+        if packet.payload_length > 0 && self.bulk_routes.is_bulk(packet.key.service) {
             TrafficClass::Bulk
         } else {
             TrafficClass::Priority
         }
     }
 
-    /// Mean rate in and out over the last second, in kilobits a second.
+    /// Mean rates of received and of sent bytes over the last second, in kilobits per
+    /// second.
     #[must_use]
     pub fn used_kbps(&self, now: Instant) -> (u64, u64) {
-        (self.incoming.rate(now), self.outgoing.rate(now))
+        (self.incoming.rate_kbps(now), self.outgoing.rate_kbps(now))
     }
 
-    /// Rate of the link, in kilobits a second.
+    /// Rate of the link, in kilobits per second.
     #[must_use]
     pub fn rate_kbps(&self) -> u32 {
-        self.rate
+        self.rate_kbps
     }
 
-    /// Flows of bulk routes under way.
+    /// Number of active flows of bulk routes.
     #[must_use]
     pub fn active_bulk_flows(&self) -> usize {
-        self.admission.under_way()
+        self.bulk_admission.active()
     }
 
-    /// Openings that wait.
+    /// Number of queued openings.
     #[must_use]
     pub fn openings_waiting(&self) -> usize {
-        self.admission.waiting()
+        self.bulk_admission.queued()
     }
 
-    /// Most flows of bulk routes that are to be under way at a time: so many that
-    /// their windows fit in what may wait before the link.
+    /// Maximum number of flows of bulk routes that are to be active at the same time: as
+    /// many as have windows that fit into the queue in front of the link.
     #[must_use]
-    pub fn most_sharing(&self) -> usize {
-        let queue = u64::from(self.rate) * milliseconds(LINK_QUEUE) / BITS;
-        usize::try_from((queue / WINDOW).max(LEAST_SHARING)).unwrap_or(usize::MAX)
+    pub fn max_active_bulk_flows(&self) -> usize {
+        let queue_bytes =
+            u64::from(self.rate_kbps) * milliseconds(MAXIMUM_QUEUE_DELAY) / BITS_PER_BYTE;
+        usize::try_from((queue_bytes / SEND_WINDOW_BYTES).max(MINIMUM_ACTIVE_BULK_FLOWS))
+            .unwrap_or(usize::MAX)
     }
 
-    /// Forgets routes that no longer exist.
+    /// Removes routes that no longer exist.
     pub fn retain_routes(&mut self, exists: impl FnMut(SocketAddrV4) -> bool) {
-        self.routes.retain(exists);
+        self.bulk_routes.retain(exists);
     }
 
-    fn terms(&self, route: SocketAddrV4, terms: RouteTerms) -> BulkTerms {
-        let transfer = self.routes.mean(route) * BITS / u64::from(self.rate);
+    fn bulk_terms(&self, route: SocketAddrV4, terms: RouteTerms) -> BulkTerms {
+        let transfer_ms =
+            self.bulk_routes.mean_bytes(route) * BITS_PER_BYTE / u64::from(self.rate_kbps);
         BulkTerms {
             aim: Duration::from_millis(terms.aim_ms.into()),
             timeout: Duration::from_millis(terms.timeout_ms.into()),
-            transfer: Duration::from_millis(transfer),
+            transfer_time: Duration::from_millis(transfer_ms),
         }
     }
 }
--- a/crates/woodladder-core/src/flow/link/scheduler.rs
+++ b/crates/woodladder-core/src/flow/link/scheduler.rs
@@ -1,247 +1,255 @@
 //! Order and pace of the datagrams that leave over a link.
 //!
-//! A link that is handed more than it carries loses datagrams, whichever they are.
-//! The scheduler hands over no more than the link's rate: small packets that others
-//! wait for go first, bulk waits for as long as it is of use, and the packets of one
-//! flow keep their order. While the link has room, every datagram passes at once.
+//! A link that is sent more than it carries drops datagrams, whichever they are. The
+//! scheduler sends no more than the link's rate. Small packets that others wait for go
+//! first; bulk datagrams are queued for as long as they are of use, and the packets of
+//! one flow keep their order. While the link has room, every datagram is sent at once.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
 
-use super::LINK_HEADER;
+use super::DATAGRAM_HEADER_BYTES;
 use crate::clock::Instant;
 use crate::flow::identity::FlowKey;
 
-/// Share of the link's rate that is used, in percent: the rest covers what a burst
-/// adds within a second.
+/// Share of the link's rate that is used, in percent. The rest covers what a burst adds
+/// within a second.
 const PACED_PERCENT: u64 = 99;
-/// How far ahead of its rate the link may be handed datagrams: some of the shell's
-/// timers.
-const BURST: Duration = Duration::from_millis(4);
-/// Longest wait of a datagram. Its sender repeats it after 200 milliseconds.
-pub const LONGEST_QUEUED: Duration = Duration::from_millis(150);
-/// Nanoseconds that one bit takes at one kilobit a second.
-const BIT_AT_A_KILOBIT: u64 = 1_000_000;
+/// How far the datagrams that are sent may run ahead of the link's rate: a few periods of
+/// the node's timers.
+const MAXIMUM_BURST: Duration = Duration::from_millis(4);
+/// Longest time for which a datagram is queued. Its sender retransmits it after 200
+/// milliseconds.
+pub const MAXIMUM_QUEUE_TIME: Duration = Duration::from_millis(150);
+/// Nanoseconds that one bit takes at one kilobit per second.
+const NANOSECONDS_PER_BIT_AT_1_KBPS: u64 = 1_000_000;
 /// Bits in a byte.
-const BITS: u64 = 8;
+const BITS_PER_BYTE: u64 = 8;
 /// Hundredths in a whole.
 const PERCENT: u64 = 100;
 
-/// Which datagrams go first.
+/// Class of a datagram, which decides the order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum TrafficClass {
-    /// Small packets that others wait for: openings, acknowledgements, requests that
-    /// fit in a packet, resets, messages between nodes.
+    /// Sent first: small packets that others wait for. These are openings,
+    /// acknowledgements, requests that fit into one packet, resets, and messages between
+    /// nodes.
     Priority,
-    /// Packets of flows that bring many bytes, and copies of packets of searches.
+    /// Sent last: packets of flows that send many bytes, and copies of packets that are
+    /// sent for searches.
     Bulk,
 }
 
-/// A datagram's place among the others.
+/// Properties of a datagram that the scheduler needs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DatagramInfo {
-    /// Bytes, without the headers of the network.
+    /// Length in bytes, without the headers of IP and UDP.
     pub length_bytes: usize,
-    /// Flow whose packet it carries, if any.
+    /// Flow whose packet the datagram carries, if any.
     pub flow: Option<FlowKey>,
-    /// Whether it goes first.
+    /// Class of the datagram.
     pub class: TrafficClass,
 }
 
-/// Running totals.
+/// Counters of a scheduler since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SchedulerTotals {
-    /// Datagrams that waited.
+    /// Datagrams that were queued.
     pub queued: u64,
-    /// Datagrams dropped because they had waited for too long.
+    /// Datagrams dropped because they had been queued for too long.
     pub dropped_late: u64,
     /// Datagrams dropped because the queue was full.
     pub dropped_full: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Queued<T> {
+struct QueuedDatagram<T> {
     datagram: T,
-    placement: DatagramInfo,
-    since: Instant,
+    info: DatagramInfo,
+    queued_at: Instant,
 }
 
-/// The datagrams that wait to leave over one link.
+/// The datagrams that are queued in front of one link.
 #[derive(Clone, Debug)]
 pub struct LinkScheduler<T> {
-    /// Nanoseconds that a byte takes.
-    byte_time: u64,
-    /// When the link has sent everything that it was handed.
+    /// Time that a byte takes, in nanoseconds.
+    nanoseconds_per_byte: u64,
+    /// When the link will have sent everything that it was given.
     busy_until: Instant,
-    urgent: VecDeque<Queued<T>>,
-    bulk: VecDeque<Queued<T>>,
-    /// Datagrams of each flow that wait in the bulk queue.
-    waiting_flows: FxHashMap<FlowKey, u32>,
+    priority_queue: VecDeque<QueuedDatagram<T>>,
+    bulk_queue: VecDeque<QueuedDatagram<T>>,
+    /// Number of datagrams of each flow in the bulk queue.
+    bulk_queue_flows: FxHashMap<FlowKey, u32>,
     queued_bytes: usize,
-    most_bytes: usize,
+    max_queued_bytes: usize,
     totals: SchedulerTotals,
 }
 
 impl<T> LinkScheduler<T> {
-    /// A scheduler for a link of this rate, in kilobits a second.
+    /// A scheduler for a link of this rate, in kilobits per second.
     #[must_use]
-    pub fn new(link_rate: u32) -> Self {
-        let paced = u64::from(link_rate.max(1)) * PACED_PERCENT / PERCENT;
-        let byte_time = BITS * BIT_AT_A_KILOBIT / paced.max(1);
-        let most_bytes = LONGEST_QUEUED.as_nanos() / u128::from(byte_time.max(1));
+    pub fn new(link_rate_kbps: u32) -> Self {
+        let paced_kbps = u64::from(link_rate_kbps.max(1)) * PACED_PERCENT / PERCENT;
+        let nanoseconds_per_byte =
+            BITS_PER_BYTE * NANOSECONDS_PER_BIT_AT_1_KBPS / paced_kbps.max(1);
+        let max_queued_bytes =
+            MAXIMUM_QUEUE_TIME.as_nanos() / u128::from(nanoseconds_per_byte.max(1));
         Self {
-            byte_time,
+            nanoseconds_per_byte,
             busy_until: Instant::ORIGIN,
-            urgent: VecDeque::new(),
-            bulk: VecDeque::new(),
-            waiting_flows: FxHashMap::default(),
+            priority_queue: VecDeque::new(),
+            bulk_queue: VecDeque::new(),
+            bulk_queue_flows: FxHashMap::default(),
             queued_bytes: 0,
-            most_bytes: usize::try_from(most_bytes).unwrap_or(usize::MAX),
+            max_queued_bytes: usize::try_from(max_queued_bytes).unwrap_or(usize::MAX),
             totals: SchedulerTotals::default(),
         }
     }
 
-    /// Takes a datagram that is to leave. It is given back when it is to be sent at
-    /// once; otherwise it waits, or is dropped because the queue is full.
-    pub fn offer(&mut self, datagram: T, placement: DatagramInfo, now: Instant) -> Option<T> {
-        let follows_bulk = placement
+    /// Accepts a datagram. Returns it if it is to be sent at once; otherwise the datagram
+    /// is queued, or dropped because the queue is full.
+    pub fn offer(&mut self, datagram: T, info: DatagramInfo, now: Instant) -> Option<T> {
+        let follows_bulk = info
             .flow
-            .is_some_and(|flow| self.waiting_flows.contains_key(&flow));
-        let waits_in_bulk = follows_bulk || placement.class == TrafficClass::Bulk;
-        let must_wait = if waits_in_bulk {
-            !self.bulk.is_empty() || !self.urgent.is_empty()
+            .is_some_and(|flow| self.bulk_queue_flows.contains_key(&flow));
+        let joins_bulk_queue = follows_bulk || info.class == TrafficClass::Bulk;
+        let must_wait = if joins_bulk_queue {
+            !self.bulk_queue.is_empty() || !self.priority_queue.is_empty()
         } else {
-            !self.urgent.is_empty()
+            !self.priority_queue.is_empty()
         };
         if !must_wait && self.has_room(now) {
-            self.charge(&placement, now);
+            self.charge(&info, now);
             return Some(datagram);
         }
-        let queued = Queued {
+        let queued = QueuedDatagram {
             datagram,
-            placement,
-            since: now,
+            info,
+            queued_at: now,
         };
-        self.queue(queued, waits_in_bulk, now);
+        self.enqueue(queued, joins_bulk_queue, now);
         None
     }
 
-    /// The next datagram that is to be sent now.
+    /// Removes the datagram that is to be sent now; `None` while the link is busy or
+    /// nothing is queued.
     pub fn release(&mut self, now: Instant) -> Option<T> {
         self.drop_late(now);
         if !self.has_room(now) {
             return None;
         }
-        let queued = match self.urgent.pop_front() {
+        let queued = match self.priority_queue.pop_front() {
             Some(queued) => queued,
             None => self.pop_bulk()?,
         };
-        self.queued_bytes -= queued.placement.length_bytes;
-        self.charge(&queued.placement, now);
+        self.queued_bytes -= queued.info.length_bytes;
+        self.charge(&queued.info, now);
         Some(queued.datagram)
     }
 
-    /// When [`Self::release`] is to be called next; `None` while nothing waits.
+    /// When [`Self::release`] is to be called next; `None` while nothing is queued.
     #[must_use]
     pub fn next_release(&self) -> Option<Instant> {
-        if self.urgent.is_empty() && self.bulk.is_empty() {
+        if self.priority_queue.is_empty() && self.bulk_queue.is_empty() {
             return None;
         }
-        let due = self.busy_until.since_origin().saturating_sub(BURST);
+        let due = self.busy_until.since_origin().saturating_sub(MAXIMUM_BURST);
         Some(Instant::from_origin(due))
     }
 
-    /// Bytes that wait.
+    /// Size of the queued datagrams, in bytes.
     #[must_use]
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Running totals.
+    /// Counters since the start.
     #[must_use]
     pub fn totals(&self) -> SchedulerTotals {
         self.totals
     }
 
     fn has_room(&self, now: Instant) -> bool {
-        self.busy_until <= now + BURST
+        self.busy_until <= now + MAXIMUM_BURST
     }
 
-    fn charge(&mut self, placement: &DatagramInfo, now: Instant) {
-        let bytes = u64::try_from(placement.length_bytes + LINK_HEADER).unwrap_or(u64::MAX);
-        let time = Duration::from_nanos(bytes.saturating_mul(self.byte_time));
+    fn charge(&mut self, info: &DatagramInfo, now: Instant) {
+        let bytes = u64::try_from(info.length_bytes + DATAGRAM_HEADER_BYTES).unwrap_or(u64::MAX);
+        let time = Duration::from_nanos(bytes.saturating_mul(self.nanoseconds_per_byte));
         self.busy_until = self.busy_until.max(now) + time;
     }
 
-    fn queue(&mut self, queued: Queued<T>, waits_in_bulk: bool, now: Instant) {
+    fn enqueue(&mut self, queued: QueuedDatagram<T>, joins_bulk_queue: bool, now: Instant) {
         self.drop_late(now);
-        let length = queued.placement.length_bytes;
+        let length = queued.info.length_bytes;
         loop {
-            let is_full = self.queued_bytes + length > self.most_bytes;
-            if waits_in_bulk || !is_full || !self.drop_newest_bulk() {
+            let is_full = self.queued_bytes + length > self.max_queued_bytes;
+            if joins_bulk_queue || !is_full || !self.drop_newest_bulk() {
                 break;
             }
         }
-        if self.queued_bytes + length > self.most_bytes {
+        if self.queued_bytes + length > self.max_queued_bytes {
             self.totals.dropped_full += 1;
             return;
         }
         self.totals.queued += 1;
         self.queued_bytes += length;
-        if waits_in_bulk {
-            if let Some(flow) = queued.placement.flow {
-                *self.waiting_flows.entry(flow).or_default() += 1;
+        if joins_bulk_queue {
+            if let Some(flow) = queued.info.flow {
+                *self.bulk_queue_flows.entry(flow).or_default() += 1;
             }
-            self.bulk.push_back(queued);
+            self.bulk_queue.push_back(queued);
         } else {
-            self.urgent.push_back(queued);
+            self.priority_queue.push_back(queued);
         }
     }
 
     fn drop_late(&mut self, now: Instant) {
-        let is_late = |queued: &Queued<T>| now.since(queued.since) >= LONGEST_QUEUED;
-        while self.urgent.front().is_some_and(is_late) {
-            if let Some(late) = self.urgent.pop_front() {
-                self.queued_bytes -= late.placement.length_bytes;
+        let is_late =
+            |queued: &QueuedDatagram<T>| now.since(queued.queued_at) >= MAXIMUM_QUEUE_TIME;
+        while self.priority_queue.front().is_some_and(is_late) {
+            if let Some(late) = self.priority_queue.pop_front() {
+                self.queued_bytes -= late.info.length_bytes;
                 self.totals.dropped_late += 1;
             }
         }
-        while self.bulk.front().is_some_and(is_late) {
+        while self.bulk_queue.front().is_some_and(is_late) {
             if let Some(late) = self.pop_bulk() {
-                self.queued_bytes -= late.placement.length_bytes;
+                self.queued_bytes -= late.info.length_bytes;
                 self.totals.dropped_late += 1;
             }
         }
     }
 
-    fn pop_bulk(&mut self) -> Option<Queued<T>> {
-        let queued = self.bulk.pop_front()?;
-        self.forget_waiting(&queued);
+    fn pop_bulk(&mut self) -> Option<QueuedDatagram<T>> {
+        let queued = self.bulk_queue.pop_front()?;
+        self.uncount_bulk_queue_flow(&queued);
         Some(queued)
     }
 
-    /// Makes room for an urgent datagram; says whether there was one to drop. The
-    /// newest goes, as what follows a gap in a flow is sent again anyway.
+    /// Drops the newest bulk datagram to make room for a priority one, and returns
+    /// whether there was one. The newest is chosen because what follows a gap in a flow
+    /// is sent again anyway.
     fn drop_newest_bulk(&mut self) -> bool {
-        let Some(dropped) = self.bulk.pop_back() else {
+        let Some(dropped) = self.bulk_queue.pop_back() else {
             return false;
         };
-        self.forget_waiting(&dropped);
-        self.queued_bytes -= dropped.placement.length_bytes;
+        self.uncount_bulk_queue_flow(&dropped);
+        self.queued_bytes -= dropped.info.length_bytes;
         self.totals.dropped_full += 1;
         true
     }
 
-    fn forget_waiting(&mut self, queued: &Queued<T>) {
-        let Some(flow) = queued.placement.flow else {
+    fn uncount_bulk_queue_flow(&mut self, queued: &QueuedDatagram<T>) {
+        let Some(flow) = queued.info.flow else {
             return;
         };
-        if let Some(count) = self.waiting_flows.get_mut(&flow) {
+        if let Some(count) = self.bulk_queue_flows.get_mut(&flow) {
             *count -= 1;
             if *count == 0 {
-                self.waiting_flows.remove(&flow);
+                self.bulk_queue_flows.remove(&flow);
             }
         }
     }
--- a/crates/woodladder-core/tests/flow_link_scheduler.rs
+++ b/crates/woodladder-core/tests/flow_link_scheduler.rs
@@ -1,4 +1,4 @@
-//! What leaves over a full link: order, pace and bounds.
+//! Datagrams that leave over a full link: order, pace and bounds.
 
 mod flow_support;
 
@@ -9,25 +9,25 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::identity::FlowKey;
-use woodladder_core::flow::link::LINK_HEADER;
+use woodladder_core::flow::link::DATAGRAM_HEADER_BYTES;
 use woodladder_core::flow::link::scheduler::{
-    DatagramInfo, LONGEST_QUEUED, LinkScheduler, TrafficClass,
+    DatagramInfo, LinkScheduler, MAXIMUM_QUEUE_TIME, TrafficClass,
 };
 
-/// Kilobits a second: a small machine's link.
-const RATE: u32 = 10_000;
+/// Rate of a small machine's link, in kilobits per second.
+const RATE_KBPS: u32 = 10_000;
 /// Largest datagram, in bytes.
-const LARGEST: usize = 1300;
+const LARGEST_DATAGRAM: usize = 1300;
 
 fn bulk(port: u16) -> DatagramInfo {
     DatagramInfo {
-        length_bytes: LARGEST,
+        length_bytes: LARGEST_DATAGRAM,
         flow: Some(flow(port)),
         class: TrafficClass::Bulk,
     }
 }
 
-fn urgent(port: u16) -> DatagramInfo {
+fn priority(port: u16) -> DatagramInfo {
     DatagramInfo {
         length_bytes: 90,
         flow: Some(flow(port)),
@@ -37,11 +37,11 @@
 
 /// Time that a datagram takes on a link.
 fn link_time(length: usize, rate: u32) -> Duration {
-    let bits = u64::try_from((length + LINK_HEADER) * 8).expect("small");
+    let bits = u64::try_from((length + DATAGRAM_HEADER_BYTES) * 8).expect("small");
     Duration::from_nanos(bits * 1_000_000 / u64::from(rate))
 }
 
-/// Offers bulk until some of it waits; returns how many passed.
+/// Offers bulk datagrams until one is queued; returns how many were sent before.
 fn fill(scheduler: &mut LinkScheduler<u32>, port: u16, now: Instant) -> u32 {
     for number in 0..1000 {
         if scheduler.offer(number, bulk(port), now).is_none() {
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn with_room_on_the_link_every_datagram_passes_at_once() {
+fn with_room_on_the_link_every_datagram_is_sent_at_once() {
     // Half of the link's rate, in full packets.
-    let mut scheduler = LinkScheduler::new(RATE);
+    let mut scheduler = LinkScheduler::new(RATE_KBPS);
     for number in 0..1000 {
         let now = at(2 * number);
         assert_eq!(scheduler.offer(number, bulk(1), now), Some(number));
@@ -64,47 +64,47 @@
 }
 
 #[test]
-fn an_urgent_packet_waits_for_one_packets_time_behind_any_amount_of_bulk() {
-    let mut scheduler = LinkScheduler::new(RATE);
-    let passed = fill(&mut scheduler, 1, at(0));
-    for number in passed..passed + 50 {
+fn a_priority_packet_is_queued_for_one_packets_time_behind_any_amount_of_bulk() {
+    let mut scheduler = LinkScheduler::new(RATE_KBPS);
+    let sent_count = fill(&mut scheduler, 1, at(0));
+    for number in sent_count..sent_count + 50 {
         scheduler.offer(number, bulk(1), at(0));
     }
-    assert_eq!(scheduler.offer(777, urgent(2), at(0)), None);
+    assert_eq!(scheduler.offer(777, priority(2), at(0)), None);
     let due = scheduler.next_release().expect("something waits");
-    assert!(due.since(at(0)) <= link_time(LARGEST, RATE) * 11 / 10);
+    assert!(due.since(at(0)) <= link_time(LARGEST_DATAGRAM, RATE_KBPS) * 11 / 10);
     assert_eq!(scheduler.release(due), Some(777));
 }
 
 #[test]
-fn an_urgent_packet_does_not_overtake_bulk_of_its_own_flow() {
-    let mut scheduler = LinkScheduler::new(RATE);
+fn a_priority_packet_does_not_overtake_bulk_of_its_own_flow() {
+    let mut scheduler = LinkScheduler::new(RATE_KBPS);
     let first = fill(&mut scheduler, 1, at(0));
-    scheduler.offer(777, urgent(1), at(0));
+    scheduler.offer(777, priority(1), at(0));
     assert_eq!(scheduler.release(at(20)), Some(first));
     assert_eq!(scheduler.release(at(20)), Some(777));
 }
 
 #[test]
-fn a_full_queue_drops_new_bulk_and_lets_an_urgent_packet_in() {
-    let mut scheduler = LinkScheduler::new(RATE);
+fn a_full_queue_drops_the_newest_bulk_and_accepts_a_priority_packet() {
+    let mut scheduler = LinkScheduler::new(RATE_KBPS);
     for number in 0..2000 {
         scheduler.offer(number, bulk(1), at(0));
     }
-    let bound = link_time(LARGEST, RATE).as_nanos();
-    let most = LONGEST_QUEUED.as_nanos() / bound * 11 / 10;
-    assert!(scheduler.queued_bytes() as u128 <= most * LARGEST as u128);
+    let bound = link_time(LARGEST_DATAGRAM, RATE_KBPS).as_nanos();
+    let limit = MAXIMUM_QUEUE_TIME.as_nanos() / bound * 11 / 10;
+    assert!(scheduler.queued_bytes() as u128 <= limit * LARGEST_DATAGRAM as u128);
     let dropped = scheduler.totals().dropped_full;
     assert!(dropped > 1700, "{dropped}");
-    assert_eq!(scheduler.offer(7777, urgent(2), at(0)), None);
+    assert_eq!(scheduler.offer(7777, priority(2), at(0)), None);
     assert_eq!(scheduler.release(at(20)), Some(7777));
 }
 
 #[test]
-fn a_paused_process_sends_nothing_that_is_of_no_use_any_more() {
-    let mut scheduler = LinkScheduler::new(RATE);
+fn after_a_pause_datagrams_queued_for_too_long_are_not_sent() {
+    let mut scheduler = LinkScheduler::new(RATE_KBPS);
     fill(&mut scheduler, 1, at(0));
-    let late = at(0) + LONGEST_QUEUED;
+    let late = at(0) + MAXIMUM_QUEUE_TIME;
     assert_eq!(scheduler.release(late), None);
     assert_eq!(scheduler.totals().dropped_late, 1);
     assert_eq!(scheduler.queued_bytes(), 0);
@@ -113,22 +113,26 @@
 }
 
 #[derive(Clone, Debug)]
-struct Offered {
+struct Arrival {
     after_us: u64,
     port: u16,
     length: usize,
     is_bulk: bool,
 }
 
-fn offered() -> impl Strategy<Value = Offered> {
-    (0_u64..1500, 1_u16..6, 60_usize..LARGEST, any::<bool>()).prop_map(
-        |(after_us, port, length, is_bulk)| Offered {
+fn arrival() -> impl Strategy<Value = Arrival> {
+    (
+        0_u64..1500,
+        1_u16..6,
+        60_usize..LARGEST_DATAGRAM,
+        any::<bool>(),
+    )
+        .prop_map(|(after_us, port, length, is_bulk)| Arrival {
             after_us,
             port,
             length,
             is_bulk,
-        },
-    )
+        })
 }
 
 struct Sent {
@@ -139,8 +143,8 @@
     sent_at: Instant,
 }
 
-/// Offers everything at its time, with a shell that releases what is due.
-fn play(rate: u32, arrivals: &[Offered]) -> Vec<Sent> {
+/// Offers each datagram at its time, and releases datagrams when they are due.
+fn run_scheduler(rate: u32, arrivals: &[Arrival]) -> Vec<Sent> {
     let mut scheduler = LinkScheduler::new(rate);
     let mut sent = Vec::new();
     let mut now = at(1000);
@@ -189,32 +193,32 @@
 
 proptest! {
     #[test]
-    fn order_pace_and_waits_are_bounded(
+    fn order_pace_and_queueing_times_are_bounded(
         rate in 2000_u32..50_000,
-        arrivals in prop::collection::vec(offered(), 1..1500),
+        arrivals in prop::collection::vec(arrival(), 1..1500),
     ) {
-        let sent = play(rate, &arrivals);
+        let sent = run_scheduler(rate, &arrivals);
         let mut latest: HashMap<FlowKey, usize> = HashMap::new();
         for datagram in &sent {
             if let Some(before) = latest.insert(datagram.key, datagram.number) {
                 prop_assert!(before < datagram.number, "a flow's packets changed places");
             }
             let waited = datagram.sent_at.since(datagram.offered_at);
-            prop_assert!(waited < LONGEST_QUEUED);
+            prop_assert!(waited < MAXIMUM_QUEUE_TIME);
         }
         let second = Duration::from_secs(1);
         for (index, first) in sent.iter().enumerate() {
             let bytes: usize = sent[index..]
                 .iter()
                 .take_while(|it| it.sent_at.since(first.sent_at) < second)
-                .map(|it| it.length + LINK_HEADER)
+                .map(|it| it.length + DATAGRAM_HEADER_BYTES)
                 .sum();
             prop_assert!(bytes as u64 * 8 <= u64::from(rate) * 1000);
         }
     }
 
     #[test]
-    fn no_urgent_packet_waits_behind_bulk_for_longer_than_one_packet(
+    fn no_priority_packet_is_queued_behind_bulk_for_longer_than_one_packet(
         rate in 2000_u32..50_000,
         backlog in 0_u32..200,
         after_us in 0_u64..20_000,
@@ -229,23 +233,23 @@
             now = now.max(due);
             while scheduler.release(now).is_some() {}
         }
-        if scheduler.offer(777, urgent(2), comes_at).is_none() {
+        if scheduler.offer(777, priority(2), comes_at).is_none() {
             let due = scheduler.next_release().expect("it waits");
-            // The pace is some hundredths below the rate.
-            let one_packet = link_time(LARGEST, rate) * 11 / 10;
+            // The scheduler paces a few percent below the link's rate.
+            let one_packet = link_time(LARGEST_DATAGRAM, rate) * 11 / 10;
             prop_assert!(due.since(comes_at) <= one_packet);
             prop_assert_eq!(scheduler.release(due.max(comes_at)), Some(777));
         }
     }
 
     #[test]
-    fn nothing_is_lost_while_what_leaves_is_below_the_rate(
-        arrivals in prop::collection::vec(offered(), 1..800),
+    fn nothing_is_dropped_below_the_rate(
+        arrivals in prop::collection::vec(arrival(), 1..800),
     ) {
-        // 1,400 bytes at most each 750 microseconds are 15 megabits a second.
-        let sent = play(20_000, &arrivals);
+        // 1,400 bytes at most every 750 microseconds are 15 megabits per second.
+        let sent = run_scheduler(20_000, &arrivals);
         let fits = arrivals.chunks(40).all(|part| {
-            let bytes: usize = part.iter().map(|it| it.length + LINK_HEADER).sum();
+            let bytes: usize = part.iter().map(|it| it.length + DATAGRAM_HEADER_BYTES).sum();
             let time: u64 = part.iter().map(|it| it.after_us).sum();
             bytes as u64 * 8 <= time * 19
         });
--- a/crates/woodladder-core/tests/flow_link_share.rs
+++ b/crates/woodladder-core/tests/flow_link_share.rs
@@ -1,5 +1,5 @@
-//! A balancer on a small link: openings of bulk routes wait at it, also when it
-//! hands its packets to larger ones.
+//! A balancer on a small link: it queues openings of bulk routes, even while it relays
+//! its packets to larger balancers.
 
 mod flow_support;
 
@@ -13,11 +13,11 @@
 use woodladder_core::flow::message::{BalancerHello, PeerMessage, TargetLoad};
 use woodladder_core::flow::packet::PacketKind;
 
-/// Data of a full packet, in bytes.
-const FULL: u16 = 1200;
+/// Payload of a full packet, in bytes.
+const FULL_PAYLOAD: u16 = 1200;
 
-/// A balancer of a core's eighth behind a link of this rate, ten seconds after its
-/// start, that has seen uploads of 40 kilobytes.
+/// A balancer of an eighth of a core behind a link of this rate in kilobits per second,
+/// ten seconds after its start, which has observed uploads of 40 kilobytes.
 fn balancer_behind(link_rate_kbps: Option<u32>) -> Balancer {
     let options = BalancerOptions {
         address: node(1),
@@ -43,8 +43,8 @@
 
 fn upload(balancer: &mut Balancer, port: u16, packets: u32, now: u64) {
     for number in 0..packets {
-        let sequence = 1001 + number * u32::from(FULL);
-        let data = packet(flow(port), PacketKind::Data, sequence, 5001, FULL);
+        let sequence = 1001 + number * u32::from(FULL_PAYLOAD);
+        let data = packet(flow(port), PacketKind::Data, sequence, 5001, FULL_PAYLOAD);
         deliver_caller_packet(balancer, &data, at(now));
     }
 }
@@ -54,17 +54,17 @@
     deliver_caller_packet(balancer, &finish, at(now));
 }
 
-/// Opens flows until one has to wait; returns those that went on.
-fn open_until_one_waits(balancer: &mut Balancer, now: u64) -> Vec<u16> {
-    let mut went_on = Vec::new();
+/// Opens flows until one is queued; returns those that were forwarded.
+fn open_until_one_is_queued(balancer: &mut Balancer, now: u64) -> Vec<u16> {
+    let mut forwarded_ports = Vec::new();
     for port in 100..200 {
         let routing = deliver_caller_packet(balancer, &opening(flow(port), 0), at(now));
         if routing == Routing::Drop(DropReason::LinkShared) {
-            return went_on;
+            return forwarded_ports;
         }
-        went_on.push(port);
+        forwarded_ports.push(port);
     }
-    panic!("none waits");
+    panic!("no opening was queued");
 }
 
 fn release(balancer: &mut Balancer, now: u64) -> Vec<BalancerAction> {
@@ -74,26 +74,26 @@
 }
 
 #[test]
-fn on_a_wide_link_or_one_of_unknown_rate_no_opening_waits() {
-    for link_rate in [None, Some(200_000), Some(1_000_000)] {
-        let mut balancer = balancer_behind(link_rate);
+fn no_opening_is_queued_on_a_fast_link_or_one_of_unknown_rate() {
+    for link_rate_kbps in [None, Some(200_000), Some(1_000_000)] {
+        let mut balancer = balancer_behind(link_rate_kbps);
         for port in 100..150 {
             let routing = deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(11_200));
-            let waits = Routing::Drop(DropReason::LinkShared);
-            assert_ne!(routing, waits, "{link_rate:?}");
+            let is_queued = Routing::Drop(DropReason::LinkShared);
+            assert_ne!(routing, is_queued, "{link_rate_kbps:?}");
         }
         assert!(balancer.paced_link().is_none());
     }
 }
 
 #[test]
-fn a_waiting_opening_goes_to_a_target_when_a_flow_before_it_ends() {
+fn a_queued_opening_goes_to_a_target_when_a_flow_before_it_ends() {
     let mut balancer = balancer_behind(Some(10_000));
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
     assert_eq!(balancer.counters().openings_deferred_for_link, 1);
     assert!(!balancer.can_release_openings());
     assert!(release(&mut balancer, 11_210).is_empty());
-    finish(&mut balancer, went_on[0], 11_220);
+    finish(&mut balancer, forwarded_ports[0], 11_220);
     assert!(balancer.can_release_openings());
     let actions = release(&mut balancer, 11_220);
     let forwarded = matches!(&actions[..], [BalancerAction::Forward { to, .. }] if *to == node(9));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_balancer_that_hands_its_packets_on_holds_openings_too() {
+fn a_balancer_that_relays_its_packets_queues_openings_too() {
     let mut balancer = balancer_behind(Some(10_000));
     let larger = BalancerHello {
         cpu_millicores: 500,
@@ -111,20 +111,20 @@
     deliver_message(&mut balancer, 2, PeerMessage::Hello(larger), at(11_190));
     let mut actions = Vec::new();
     balancer.tick(at(11_195), &mut actions);
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
-    finish(&mut balancer, went_on[0], 11_220);
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
+    finish(&mut balancer, forwarded_ports[0], 11_220);
     let actions = release(&mut balancer, 11_220);
     let relayed = matches!(&actions[..], [BalancerAction::Relay { to, .. }] if *to == node(2));
     assert!(relayed, "{actions:?}");
 }
 
 #[test]
-fn an_opening_that_has_waited_to_the_end_is_reset_and_counted() {
+fn an_opening_queued_until_the_end_of_its_attempt_is_reset_and_counted() {
     let mut balancer = balancer_behind(Some(10_000));
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
     let flows = balancer.flow_count();
     for now in (11_200..12_390).step_by(40) {
-        for port in &went_on {
+        for port in &forwarded_ports {
             upload(&mut balancer, *port, 1, now);
         }
     }
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn a_waiting_opening_is_not_offered_when_its_flow_was_opened_elsewhere() {
+fn a_queued_opening_is_not_forwarded_when_its_flow_was_opened_elsewhere() {
     let mut balancer = balancer_behind(Some(10_000));
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
-    let held = went_on[went_on.len() - 1] + 1;
-    upload(&mut balancer, held, 1, 11_210);
-    for port in &went_on {
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
+    let queued_port = forwarded_ports[forwarded_ports.len() - 1] + 1;
+    upload(&mut balancer, queued_port, 1, 11_210);
+    for port in &forwarded_ports {
         finish(&mut balancer, *port, 11_220);
     }
     let actions = release(&mut balancer, 11_300);
@@ -167,25 +167,25 @@
         deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_200));
         accept(&mut balancer, 50, 11_201);
         upload(&mut balancer, 50, 1, 11_202);
-        let went_on = open_until_one_waits(&mut balancer, 11_300);
+        let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_300);
         let routing = deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_301));
         assert_eq!(routing, Routing::Drop(DropReason::LinkShared));
         for now in (11_310..release_at).step_by(40) {
-            for port in &went_on {
+            for port in &forwarded_ports {
                 upload(&mut balancer, *port, 1, now);
             }
         }
         let flows = balancer.flow_count();
         let actions = release(&mut balancer, release_at + 100);
-        let is_of_held = |action: &BalancerAction| match action {
+        let resets_open_flow = |action: &BalancerAction| match action {
             BalancerAction::Reset(reset) => reset.key == flow(50),
             _ => false,
         };
-        assert!(!actions.iter().any(is_of_held), "{actions:?}");
-        // The one that waited first.
+        assert!(!actions.iter().any(resets_open_flow), "{actions:?}");
+        // The opening that was queued first.
         assert!(actions.len() <= 1, "{actions:?}");
         assert!(balancer.flow_count() >= flows);
-        let data = packet(flow(50), PacketKind::Data, 2201, 5001, FULL);
+        let data = packet(flow(50), PacketKind::Data, 2201, 5001, FULL_PAYLOAD);
         let routing = deliver_caller_packet(&mut balancer, &data, at(release_at + 101));
         assert_eq!(receivers(&routing), vec![node(9)]);
     }
@@ -197,7 +197,7 @@
     deliver_caller_packet(&mut balancer, &opening(flow(50), 0), at(11_200));
     accept(&mut balancer, 50, 11_201);
     upload(&mut balancer, 50, 1, 11_202);
-    open_until_one_waits(&mut balancer, 11_300);
+    open_until_one_is_queued(&mut balancer, 11_300);
     for port in 200..400 {
         deliver_caller_packet(&mut balancer, &opening(flow(port), 0), at(11_300));
     }
@@ -209,26 +209,26 @@
 #[test]
 fn a_new_flow_with_the_key_of_one_that_has_finished_gets_its_turn() {
     let mut balancer = balancer_behind(Some(10_000));
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
-    let waiting = went_on[went_on.len() - 1] + 1;
-    finish(&mut balancer, waiting, 11_201);
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
+    let queued_port = forwarded_ports[forwarded_ports.len() - 1] + 1;
+    finish(&mut balancer, queued_port, 11_201);
     let routing = deliver_caller_packet(&mut balancer, &opening(flow(4), 0), at(11_202));
     assert_eq!(routing, Routing::Drop(DropReason::LinkShared));
-    finish(&mut balancer, went_on[0], 11_220);
+    finish(&mut balancer, forwarded_ports[0], 11_220);
     let actions = release(&mut balancer, 11_220);
     let forwarded = matches!(&actions[..], [BalancerAction::Forward { to, .. }] if *to == node(9));
     assert!(forwarded, "{actions:?}");
 }
 
 #[test]
-fn an_opening_that_was_held_past_the_timeout_of_its_route_is_counted() {
+fn an_opening_queued_past_the_timeout_of_its_route_is_counted() {
     let mut balancer = balancer_behind(Some(10_000));
     let mut hurried = (*configuration(2)).clone();
     hurried.routes[0].terms.timeout_ms = 500;
     balancer.adopt_store_configuration(std::sync::Arc::new(hurried));
-    let went_on = open_until_one_waits(&mut balancer, 11_200);
+    let forwarded_ports = open_until_one_is_queued(&mut balancer, 11_200);
     for now in (11_200..11_700).step_by(40) {
-        for port in &went_on {
+        for port in &forwarded_ports {
             upload(&mut balancer, *port, 1, now);
         }
     }
--- a/crates/woodladder-core/tests/flow_unequal_links.rs
+++ b/crates/woodladder-core/tests/flow_unequal_links.rs
@@ -1,5 +1,5 @@
-//! Balancers of one zone with equal processors and unequal links: what a machine
-//! bears is what its processor or its link bears, whichever is less.
+//! Balancers of one zone with equal processors and unequal links: the capacity of a
+//! machine is bounded by its processor or its link, whichever allows less.
 
 mod flow_support;
 
@@ -14,28 +14,28 @@
 use woodladder_core::flow::message::{BalancerHello, PeerMessage};
 
 /// Processor of each balancer, in thousandths of a core.
-const EQUAL: u32 = 300;
-/// Kilobits a second.
-const NARROW: u32 = 10_000;
-/// Kilobits a second.
-const WIDE: u32 = 200_000;
+const CPU_MILLICORES: u32 = 300;
+/// Link rate in kilobits per second.
+const SLOW_LINK_KBPS: u32 = 10_000;
+/// Link rate in kilobits per second.
+const FAST_LINK_KBPS: u32 = 200_000;
 
-fn greeting(zone: &str, link_rate: u32) -> BalancerHello {
+fn hello(zone: &str, link_rate_kbps: u32) -> BalancerHello {
     BalancerHello {
         zone: ZoneKey::named(zone),
-        cpu_millicores: EQUAL,
-        link_rate_kbps: Some(link_rate),
+        cpu_millicores: CPU_MILLICORES,
+        link_rate_kbps: Some(link_rate_kbps),
         ..peer_greeting()
     }
 }
 
-/// A balancer on machine 1 that could serve.
-fn balancer_behind(link_rate: u32) -> Balancer {
+/// A balancer on machine 1 that is able to serve.
+fn balancer_behind(link_rate_kbps: u32) -> Balancer {
     let options = BalancerOptions {
         address: node(1),
         zone: ZoneKey::named("a"),
-        cpu_millicores: EQUAL,
-        link_rate_kbps: Some(link_rate),
+        cpu_millicores: CPU_MILLICORES,
+        link_rate_kbps: Some(link_rate_kbps),
         flow_capacity: 1000,
         flow_retention: Duration::from_secs(30),
     };
@@ -45,8 +45,8 @@
     balancer
 }
 
-fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerHello) -> Vec<BalancerAction> {
-    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(10_000))
+fn receive_hello(balancer: &mut Balancer, from: u8, hello: BalancerHello) -> Vec<BalancerAction> {
+    deliver_message(balancer, from, PeerMessage::Hello(hello), at(10_000))
 }
 
 fn first_routing(balancer: &mut Balancer) -> Routing {
@@ -56,52 +56,52 @@
 }
 
 #[test]
-fn a_link_bounds_the_processor_that_can_be_used() {
-    assert_eq!(usable_capacity(300, Some(NARROW)), 31);
-    assert_eq!(usable_capacity(300, Some(WIDE)), 300);
+fn a_link_bounds_the_usable_processor() {
+    assert_eq!(usable_capacity(300, Some(SLOW_LINK_KBPS)), 31);
+    assert_eq!(usable_capacity(300, Some(FAST_LINK_KBPS)), 300);
     assert_eq!(usable_capacity(300, None), 300);
     assert_eq!(usable_capacity(1000, Some(1_000_000)), 1000);
 }
 
 #[test]
-fn a_narrow_link_stands_by_where_wide_ones_bear_more_without_it() {
-    let mut balancer = balancer_behind(NARROW);
-    for wide in [2, 3] {
-        hear(&mut balancer, wide, greeting("a", WIDE));
+fn a_balancer_on_a_slow_link_stands_by_where_fast_ones_serve_more_without_it() {
+    let mut balancer = balancer_behind(SLOW_LINK_KBPS);
+    for fast in [2, 3] {
+        receive_hello(&mut balancer, fast, hello("a", FAST_LINK_KBPS));
     }
-    hear(&mut balancer, 4, greeting("a", NARROW));
+    receive_hello(&mut balancer, 4, hello("a", SLOW_LINK_KBPS));
     assert_eq!(
         balancer.check_ready(at(10_010)),
         Err(NotReadyReason::Standby)
     );
 
-    let mut even = balancer_behind(WIDE);
-    for wide in [2, 3, 4] {
-        hear(&mut even, wide, greeting("a", WIDE));
+    let mut equal = balancer_behind(FAST_LINK_KBPS);
+    for fast in [2, 3, 4] {
+        receive_hello(&mut equal, fast, hello("a", FAST_LINK_KBPS));
     }
-    assert_eq!(even.check_ready(at(10_010)), Ok(()));
+    assert_eq!(equal.check_ready(at(10_010)), Ok(()));
 }
 
 #[test]
-fn a_balancer_behind_a_narrow_link_leaves_decisions_and_searches_to_a_wide_one() {
-    let mut balancer = balancer_behind(NARROW);
-    hear(&mut balancer, 2, greeting("a", NARROW));
-    hear(&mut balancer, 3, greeting("a", WIDE));
+fn a_balancer_on_a_slow_link_relays_to_one_on_a_fast_link() {
+    let mut balancer = balancer_behind(SLOW_LINK_KBPS);
+    receive_hello(&mut balancer, 2, hello("a", SLOW_LINK_KBPS));
+    receive_hello(&mut balancer, 3, hello("a", FAST_LINK_KBPS));
     assert_eq!(first_routing(&mut balancer), Routing::Relay(node(3)));
 }
 
 #[test]
-fn a_wide_one_of_another_zone_comes_before_deciding_behind_a_narrow_link() {
-    let mut balancer = balancer_behind(NARROW);
-    hear(&mut balancer, 2, greeting("a", NARROW));
-    hear(&mut balancer, 3, greeting("b", WIDE));
+fn a_fast_link_of_another_zone_is_preferred_to_deciding_on_a_slow_link() {
+    let mut balancer = balancer_behind(SLOW_LINK_KBPS);
+    receive_hello(&mut balancer, 2, hello("a", SLOW_LINK_KBPS));
+    receive_hello(&mut balancer, 3, hello("b", FAST_LINK_KBPS));
     assert_eq!(first_routing(&mut balancer), Routing::Relay(node(3)));
 }
 
 #[test]
-fn with_equal_links_each_decides_itself() {
-    let mut balancer = balancer_behind(WIDE);
-    hear(&mut balancer, 2, greeting("a", WIDE));
+fn with_equal_links_each_balancer_decides_itself() {
+    let mut balancer = balancer_behind(FAST_LINK_KBPS);
+    receive_hello(&mut balancer, 2, hello("a", FAST_LINK_KBPS));
     let routing = first_routing(&mut balancer);
     assert_eq!(receivers(&routing), vec![node(9)]);
     assert!(!matches!(routing, Routing::Relay(_)));
