--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -1,11 +1,11 @@
-//! An agent as a process.
+//! The agent process.
 //!
 //! # Lifecycle
-//! [`AgentNode::new`] opens its sockets; [`AgentNode::run`] starts the tasks
-//! and returns when a planned stop has ended, which is short because the
-//! target has ended before.
+//! [`AgentNode::new`] opens the sockets. [`AgentNode::run`] starts the tasks and
+//! returns after a graceful shutdown, which is short because the target has ended
+//! before its agent is stopped.
 
-mod figures;
+mod metrics;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -29,75 +29,75 @@
 use woodladder_core::flow::message::{ForwardHeader, PeerMessage, TargetState};
 use woodladder_core::flow::store_session::BalancerDiscovery;
 
-use crate::carrier::Carrier;
+use crate::datagram_socket;
 use crate::decision_log::DecisionLog;
-use crate::metrics::LatencyHistogram;
+use crate::metrics::DurationHistogram;
 use crate::node_clock::NodeClock;
-use crate::peer_link::{MESSAGES_LOGGED_EVERY, PeerLink};
-use crate::peer_socket;
+use crate::packet_codec::PacketCodec;
+use crate::peer_transport::{COUNTERS_LOG_INTERVAL, PeerTransport};
 use crate::snapshot_exchange;
-use crate::store::{self, Store, StoreContact};
+use crate::store::{self, Store, StoreCallStats};
 use crate::tick_timer::TickTimer;
 
-/// Most flows in the table.
+/// Capacity of the flow table.
 const FLOW_CAPACITY: usize = 100_000;
-/// Time between two looks whether the target listens.
-const PRESENCE_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest time of one such look.
-const PRESENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time that a stopping agent still forwards.
-const STOP_DRAIN: Duration = Duration::from_millis(300);
+/// Pause between two listen probes, which check whether the target accepts connections.
+const LISTEN_PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Time limit for a listen probe.
+const LISTEN_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which an agent that shuts down still forwards packets.
+const SHUTDOWN_DRAIN: Duration = Duration::from_millis(300);
 
-/// Settings of an agent's process.
+/// Settings of an agent process.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
-    /// Address that other nodes reach it at, by datagrams and streams.
+    /// Address at which other nodes reach the agent, over UDP and TCP.
     pub peer_address: SocketAddrV4,
-    /// Address that the sockets for other nodes are bound to.
+    /// Local address of the sockets for traffic with other nodes.
     pub peer_bind: SocketAddrV4,
-    /// Address that the target sends its packets to.
+    /// Local address at which the agent receives the target's packets.
     pub outbound_address: SocketAddrV4,
-    /// Address that the target takes packets at.
+    /// Address at which the target receives packets.
     pub target_address: SocketAddrV4,
-    /// Port that callers take packets at.
+    /// Port at which callers receive packets.
     pub caller_port: u16,
-    /// Zone of the machine.
+    /// Zone of the agent's machine.
     pub zone: ZoneKey,
-    /// Service of the target.
+    /// Service that the target provides.
     pub service: ServiceKey,
-    /// Balancers to report to before any is known.
+    /// Balancers that get the first reports, before the agent has learned of others.
     pub seeds: Vec<NodeAddress>,
-    /// Least time that a flow at rest is remembered.
+    /// Minimum time for which an idle flow stays in the table.
     pub flow_retention: Duration,
-    /// Longest life of a flow.
+    /// Maximum lifetime of a flow.
     pub flow_lifetime: Duration,
-    /// What cold targets may be handed; `None` for no limit.
+    /// Limits on the openings handed to a cold target; `None` for no limit.
     pub warm_up: Option<WarmUpBounds>,
 }
 
-/// What the tasks of an agent share.
+/// State that the tasks of an agent process share.
 pub struct AgentNode<C> {
     core: RefCell<Agent>,
-    carrier: C,
+    codec: C,
     config: AgentConfig,
     clock: NodeClock,
-    peers: PeerLink,
-    outbound: UdpSocket,
-    decisions: RefCell<DecisionLog>,
-    timer: TickTimer,
+    peers: PeerTransport,
+    outbound_socket: UdpSocket,
+    decision_log: RefCell<DecisionLog>,
+    tick_timer: TickTimer,
     logger: Logger,
     refused_packets: Cell<u64>,
-    service_times: RefCell<LatencyHistogram>,
-    queue_waits: RefCell<LatencyHistogram>,
-    contact: Rc<StoreContact>,
+    service_times: RefCell<DurationHistogram>,
+    queue_waits: RefCell<DurationHistogram>,
+    store_stats: Rc<StoreCallStats>,
 }
 
-impl<C: Carrier + 'static> AgentNode<C> {
+impl<C: PacketCodec + 'static> AgentNode<C> {
     /// Opens the sockets.
     ///
     /// # Errors
-    /// The system's error.
-    pub fn new(config: AgentConfig, carrier: C, logger: Logger) -> io::Result<Rc<Self>> {
+    /// Returns the I/O error of a socket that cannot be opened.
+    pub fn new(config: AgentConfig, codec: C, logger: Logger) -> io::Result<Rc<Self>> {
         let clock = NodeClock::start();
         let options = AgentOptions {
             address: config.peer_address,
@@ -111,25 +111,26 @@
         };
         Ok(Rc::new(Self {
             core: RefCell::new(Agent::new(options, clock.now())),
-            carrier,
+            codec,
             clock,
-            peers: PeerLink::open(config.peer_bind)?,
-            outbound: peer_socket::open(config.outbound_address)?,
-            decisions: RefCell::new(DecisionLog::new(logger.clone())),
-            timer: TickTimer::default(),
+            peers: PeerTransport::open(config.peer_bind)?,
+            outbound_socket: datagram_socket::open(config.outbound_address)?,
+            decision_log: RefCell::new(DecisionLog::new(logger.clone())),
+            tick_timer: TickTimer::default(),
             logger,
             refused_packets: Cell::new(0),
-            service_times: RefCell::new(LatencyHistogram::default()),
-            queue_waits: RefCell::new(LatencyHistogram::default()),
-            contact: Rc::new(StoreContact::default()),
+            service_times: RefCell::new(DurationHistogram::default()),
+            queue_waits: RefCell::new(DurationHistogram::default()),
+            store_stats: Rc::new(StoreCallStats::default()),
             config,
         }))
     }
 
-    /// Runs until a planned stop has ended.
+    /// Runs the agent until a graceful shutdown, requested through `stop`, has
+    /// finished. `store` opens a session with the store.
     ///
     /// # Errors
-    /// The system's error when the stream for other nodes cannot be opened.
+    /// Returns the I/O error when the TCP listener for other nodes cannot be opened.
     pub async fn run<S: Store + 'static>(
         self: Rc<Self>,
         store: impl Fn() -> S,
@@ -145,17 +146,17 @@
             .borrow_mut()
             .add_listed_balancers(&self.config.seeds, now);
         self.start_receiving();
-        spawn_local(Rc::clone(&self).tick());
-        spawn_local(Rc::clone(&self).log_messages());
-        spawn_local(Rc::clone(&self).ask_for_presence());
+        spawn_local(Rc::clone(&self).run_ticks());
+        spawn_local(Rc::clone(&self).log_counters());
+        spawn_local(Rc::clone(&self).run_listen_probes());
         let node = Rc::clone(&self);
-        let hearing = Rc::clone(&self);
-        spawn_local(store::list_balancers(
+        let need_node = Rc::clone(&self);
+        spawn_local(store::discover_balancers(
             store(),
             BalancerDiscovery::with_initial_delay(random(), now),
             self.clock,
-            Rc::clone(&self.contact),
-            move || hearing.core.borrow().list_need(hearing.clock.now()),
+            Rc::clone(&self.store_stats),
+            move || need_node.core.borrow().list_need(need_node.clock.now()),
             move |balancers| {
                 node.core
                     .borrow_mut()
@@ -163,37 +164,38 @@
             },
         ));
         stop.notified().await;
-        info!(self.logger, "agent: stopping as planned"; "event" => "stopping");
+        info!(self.logger, "agent: graceful shutdown started"; "event" => "stopping");
         self.core.borrow_mut().begin_shutdown();
-        self.act(|core, now, actions| core.tick(now, actions));
-        sleep(STOP_DRAIN).await;
-        if self.look_for_target().await == ListenState::NotListening {
-            self.act(|core, _, actions| core.announce_target_end(actions));
+        self.run_core(|core, now, actions| core.tick(now, actions));
+        sleep(SHUTDOWN_DRAIN).await;
+        if self.probe_listen_state().await == ListenState::NotListening {
+            self.run_core(|core, _, actions| core.announce_target_end(actions));
         }
-        self.peers.log("agent", &self.logger);
+        self.peers.log_totals("agent", &self.logger);
         info!(self.logger, "agent: stopped"; "event" => "stopped");
         Ok(())
     }
 
-    /// Takes a heartbeat of the target in and tells the balancers of a change
-    /// before it returns.
+    /// Applies a heartbeat of the target and reports a change of its state to the
+    /// balancers before returning.
     ///
     /// # Errors
-    /// [`HeartbeatError`] when it is not taken; nothing has changed.
-    pub fn heartbeat(self: &Rc<Self>, beat: &Heartbeat) -> Result<(), HeartbeatError> {
+    /// Returns [`HeartbeatError`] when the heartbeat is rejected; it then changes
+    /// nothing.
+    pub fn handle_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat) -> Result<(), HeartbeatError> {
         let now = self.clock.now();
-        self.core.borrow_mut().handle_heartbeat(beat, now)?;
-        self.act(|core, now, actions| core.tick(now, actions));
+        self.core.borrow_mut().handle_heartbeat(heartbeat, now)?;
+        self.run_core(|core, now, actions| core.tick(now, actions));
         Ok(())
     }
 
-    /// The target says that it is gone.
-    pub fn deregister(self: &Rc<Self>, incarnation: Incarnation) {
+    /// Handles the target's deregistration.
+    pub fn handle_deregistration(self: &Rc<Self>, incarnation: Incarnation) {
         self.core.borrow_mut().handle_deregistration(incarnation);
-        self.act(|core, now, actions| core.tick(now, actions));
+        self.run_core(|core, now, actions| core.tick(now, actions));
     }
 
-    /// Whether the agent knows its target and a balancer.
+    /// Whether the agent knows the state of its target and has heard from a balancer.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let core = self.core.borrow();
@@ -201,9 +203,10 @@
         knows_target && core.balancers().confirmed_by_hello().next().is_some()
     }
 
-    /// Takes changed settings in; addresses stay as they are.
-    pub fn reload(&self, seeds: &[NodeAddress]) {
-        info!(self.logger, "agent: settings read again"; "event" => "reloaded",
+    /// Adds the balancers that changed settings name as seeds. Changed addresses
+    /// take effect only after a restart.
+    pub fn reload_seeds(&self, seeds: &[NodeAddress]) {
+        info!(self.logger, "agent: settings reloaded"; "event" => "reloaded",
             "seeds" => seeds.len());
         self.core
             .borrow_mut()
@@ -213,34 +216,43 @@
     fn start_receiving(self: &Rc<Self>) {
         let node = Rc::clone(self);
         spawn_local(async move {
-            let handle = |from, datagram: &mut [u8]| node.peer_datagram(from, datagram);
+            let handle = |from, datagram: &mut [u8]| node.handle_peer_datagram(from, datagram);
             node.peers.receive(&node.logger, handle).await;
         });
         let node = Rc::clone(self);
         spawn_local(async move {
-            let handle = |_, packet: &mut [u8]| node.target_packet(packet);
-            peer_socket::receive(&node.outbound, "outbound", &node.logger, handle).await;
+            let handle = |_, packet: &mut [u8]| node.handle_target_packet(packet);
+            datagram_socket::receive(&node.outbound_socket, "outbound", &node.logger, handle).await;
         });
     }
 
-    fn peer_datagram(self: &Rc<Self>, from: NodeAddress, datagram: &[u8]) {
-        match self.peers.read(datagram) {
-            Ok((PeerMessage::Forward(header), packet)) => self.forwarded(from, &header, packet),
+    fn handle_peer_datagram(self: &Rc<Self>, from: NodeAddress, datagram: &[u8]) {
+        match self.peers.decode(datagram) {
+            Ok((PeerMessage::Forward(header), packet)) => {
+                self.handle_forwarded_packet(from, &header, packet)
+            }
             Ok((message, _)) => {
-                self.act(|core, now, actions| core.handle_message(from, &message, now, actions));
+                self.run_core(|core, now, actions| {
+                    core.handle_message(from, &message, now, actions)
+                });
             }
-            // Counted by the link.
+            // `decode` has counted the datagram as unreadable.
             Err(_) => {}
         }
     }
 
-    fn refuse_packet(&self) {
+    fn count_refused_packet(&self) {
         self.refused_packets.set(self.refused_packets.get() + 1);
     }
 
-    fn forwarded(self: &Rc<Self>, from: NodeAddress, header: &ForwardHeader, bytes: &[u8]) {
-        let Ok(packet) = self.carrier.read_from_caller(bytes) else {
-            return self.refuse_packet();
+    fn handle_forwarded_packet(
+        self: &Rc<Self>,
+        from: NodeAddress,
+        header: &ForwardHeader,
+        bytes: &[u8],
+    ) {
+        let Ok(packet) = self.codec.decode_from_caller(bytes) else {
+            return self.count_refused_packet();
         };
         let now = self.clock.now();
         let delivery = self
@@ -252,7 +264,7 @@
                 reply,
                 begins_request,
             } => {
-                self.hand_over(from, bytes.to_vec());
+                self.send_to_target(from, bytes.to_vec());
                 if let Some(message) = reply {
                     self.peers.send(&message, &[], from);
                 }
@@ -272,52 +284,53 @@
             }
             ForwardDecision::Drop => {}
         }
-        self.act(|core, now, actions| core.dispatch_queued(now, actions));
+        self.run_core(|core, now, actions| core.dispatch_queued(now, actions));
     }
 
-    /// Logs that a request has reached the target.
+    /// Logs a request that was handed to the target.
     fn log_request(&self, key: &FlowKey, bytes: &[u8]) {
-        if let Some(id) = self.carrier.request_id(bytes) {
+        if let Some(id) = self.codec.request_id(bytes) {
             let busy = self.core.borrow().load().busy;
             let now = self.clock.now();
-            let mut decisions = self.decisions.borrow_mut();
-            decisions.request(&key.to_string(), id, busy, now);
+            let mut decision_log = self.decision_log.borrow_mut();
+            decision_log.log_delivered_request(&key.to_string(), id, busy, now);
         }
     }
 
-    /// Sends a packet to the target, marked so that its return names `balancer`.
-    fn hand_over(&self, balancer: NodeAddress, mut packet: Vec<u8>) {
-        self.carrier.mark(&mut packet, *balancer.ip());
-        peer_socket::send(&self.outbound, &packet, self.config.target_address);
+    /// Sends a packet to the target, marked so that the target, when it returns the
+    /// packet, names `balancer`.
+    fn send_to_target(&self, balancer: NodeAddress, mut packet: Vec<u8>) {
+        self.codec.mark_for_target(&mut packet, *balancer.ip());
+        datagram_socket::send(&self.outbound_socket, &packet, self.config.target_address);
     }
 
-    fn target_packet(self: &Rc<Self>, bytes: &mut [u8]) {
-        let Ok(read) = self.carrier.read_from_target(bytes) else {
-            return self.refuse_packet();
+    fn handle_target_packet(self: &Rc<Self>, bytes: &mut [u8]) {
+        let Ok(decoded) = self.codec.decode_from_target(bytes) else {
+            return self.count_refused_packet();
         };
         let now = self.clock.now();
         let peer_port = self.config.peer_address.port();
-        let returned_to = read
+        let returned_to = decoded
             .returned_to
             .map(|machine| SocketAddrV4::new(machine, peer_port));
-        if read.packet.payload_length > 0
+        if decoded.packet.payload_length > 0
             && returned_to.is_none()
-            && let Some(kind) = self.carrier.answer_kind(bytes)
+            && let Some(kind) = self.codec.answer_kind(bytes)
         {
             let mut core = self.core.borrow_mut();
-            core.record_answer_start(&read.packet.key, kind, now);
+            core.record_answer_start(&decoded.packet.key, kind, now);
         }
-        let departure = self
-            .core
-            .borrow_mut()
-            .handle_target_packet(&read.packet, returned_to, now);
-        self.carrier.clear_marks(bytes);
+        let departure =
+            self.core
+                .borrow_mut()
+                .handle_target_packet(&decoded.packet, returned_to, now);
+        self.codec.clear_marks(bytes);
         match departure {
-            TargetPacketDecision::ToCaller(tell) => {
-                let caller = read.packet.key.caller;
+            TargetPacketDecision::ToCaller(reply) => {
+                let caller = decoded.packet.key.caller;
                 let to = SocketAddrV4::new(*caller.ip(), self.config.caller_port);
-                peer_socket::send(&self.outbound, bytes, to);
-                if let Some((balancer, message)) = tell {
+                datagram_socket::send(&self.outbound_socket, bytes, to);
+                if let Some((balancer, message)) = reply {
                     self.peers.send(&message, &[], balancer);
                 }
             }
@@ -329,12 +342,12 @@
                 self.peers.send(&message, body, to);
             }
         }
-        self.act(|core, now, actions| core.dispatch_queued(now, actions));
+        self.run_core(|core, now, actions| core.dispatch_queued(now, actions));
     }
 
-    async fn look_for_target(&self) -> ListenState {
+    async fn probe_listen_state(&self) -> ListenState {
         let connect = TcpStream::connect(self.config.target_address);
-        match timeout(PRESENCE_TIMEOUT, connect).await {
+        match timeout(LISTEN_PROBE_TIMEOUT, connect).await {
             Ok(Ok(_)) => ListenState::Listening,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 ListenState::NotListening
@@ -343,34 +356,34 @@
         }
     }
 
-    /// Looks whether the target listens, until there is a sign of it.
-    async fn ask_for_presence(self: Rc<Self>) {
+    /// Makes listen probes until the core has another sign of the target.
+    async fn run_listen_probes(self: Rc<Self>) {
         while self.core.borrow().needs_listen_probe() {
-            let presence = self.look_for_target().await;
-            self.core.borrow_mut().record_listen_state(presence);
-            sleep(PRESENCE_INTERVAL).await;
+            let listen_state = self.probe_listen_state().await;
+            self.core.borrow_mut().record_listen_state(listen_state);
+            sleep(LISTEN_PROBE_INTERVAL).await;
         }
     }
 
-    async fn tick(self: Rc<Self>) {
+    async fn run_ticks(self: Rc<Self>) {
         loop {
-            self.act(|core, now, actions| core.tick(now, actions));
-            self.write_notes();
-            self.timer
-                .until_due(|| self.core.borrow().tick_interval())
+            self.run_core(|core, now, actions| core.tick(now, actions));
+            self.write_log_events();
+            self.tick_timer
+                .wait_until_due(|| self.core.borrow().tick_interval())
                 .await;
         }
     }
 
-    async fn log_messages(self: Rc<Self>) {
+    async fn log_counters(self: Rc<Self>) {
         loop {
-            sleep(MESSAGES_LOGGED_EVERY).await;
-            self.peers.log("agent", &self.logger);
-            self.contact.log("agent", &self.logger);
+            sleep(COUNTERS_LOG_INTERVAL).await;
+            self.peers.log_totals("agent", &self.logger);
+            self.store_stats.log_calls("agent", &self.logger);
         }
     }
 
-    fn write_notes(&self) {
+    fn write_log_events(&self) {
         let (notes, dropped) = self.core.borrow_mut().take_notes();
         let now = self.clock.now();
         for note in &notes {
@@ -384,20 +397,21 @@
                 _ => {}
             }
         }
-        self.decisions.borrow_mut().write(notes, dropped, now);
+        self.decision_log.borrow_mut().write(notes, dropped, now);
     }
 
-    /// Lets the core decide and carries its actions out.
-    fn act(self: &Rc<Self>, decide: impl FnOnce(&mut Agent, Instant, &mut Vec<AgentAction>)) {
+    /// Lets the core decide and executes the actions that it returns.
+    fn run_core(self: &Rc<Self>, decide: impl FnOnce(&mut Agent, Instant, &mut Vec<AgentAction>)) {
         let mut actions = Vec::new();
         decide(&mut self.core.borrow_mut(), self.clock.now(), &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.timer.shorten(self.core.borrow().tick_interval());
+        self.tick_timer
+            .bring_forward(self.core.borrow().tick_interval());
     }
 
-    fn carry_out(self: &Rc<Self>, action: AgentAction) {
+    fn execute(self: &Rc<Self>, action: AgentAction) {
         match action {
             AgentAction::Send { to, message } => {
                 self.peers.send(&message, &[], to);
@@ -410,7 +424,7 @@
                 if let Some(key) = begins_request {
                     self.log_request(&key, &packet);
                 }
-                self.hand_over(balancer, packet);
+                self.send_to_target(balancer, packet);
             }
             AgentAction::Return {
                 to,
--- a/crates/woodladder-node/src/agent/figures.rs
+++ b/crates/woodladder-node/src/agent/metrics.rs
@@ -1,14 +1,14 @@
-//! Figures of the agent's process.
+//! Metrics of the agent process.
 
 use woodladder_core::flow::message::TargetState;
 
-use crate::metrics::{MetricsText, count, wide};
+use crate::metrics::{MetricsText, u64_value, usize_value};
 
 use super::AgentNode;
-use crate::carrier::Carrier;
+use crate::packet_codec::PacketCodec;
 
-impl<C: Carrier + 'static> AgentNode<C> {
-    /// Figures in the text format that scrapers read.
+impl<C: PacketCodec + 'static> AgentNode<C> {
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let core = self.core.borrow();
@@ -18,7 +18,7 @@
         for (name, help, value) in [
             (
                 "forwarded_packets_total",
-                "Packets of balancers.",
+                "Packets received from balancers.",
                 counters.packets_received,
             ),
             (
@@ -28,67 +28,67 @@
             ),
             (
                 "flows_declined_total",
-                "Openings given back.",
+                "Openings returned to their balancer.",
                 counters.openings_declined,
             ),
             (
                 "openings_queued_total",
-                "Openings that had to wait in the queue.",
+                "Openings that waited in the queue.",
                 counters.openings_queued,
             ),
             (
                 "openings_held_cold_total",
-                "Openings given back because the target may be cold.",
+                "Openings returned because the target may be cold.",
                 counters.openings_declined_cold,
             ),
             (
                 "openings_held_excluded_total",
-                "Openings given back because the target's zone is excluded.",
+                "Openings returned because the target's zone is excluded.",
                 counters.openings_declined_excluded,
             ),
             (
                 "openings_expired_total",
-                "Openings given up after the longest wait in the queue.",
+                "Openings returned after the maximum wait in the queue.",
                 counters.openings_expired,
             ),
             (
                 "openings_refused_hopeless_total",
-                "Openings given back because they would have been answered too late.",
+                "Openings returned because they would have been answered too late.",
                 counters.openings_declined_late,
             ),
             (
                 "requests_held_total",
-                "Requests of open flows that had to wait in the queue.",
+                "Requests on open flows that waited in the queue.",
                 counters.requests_queued,
             ),
             (
                 "request_copies_dropped_total",
-                "Repetitions of packets that waited in the queue.",
+                "Retransmissions of packets in the queue, dropped.",
                 counters.duplicate_packets_dropped,
             ),
             (
                 "requests_given_up_total",
-                "Requests of open flows dropped from the queue after their timeout.",
+                "Requests on open flows dropped from the queue after their timeout.",
                 counters.requests_given_up,
             ),
             (
                 "requests_released_total",
-                "Requests of open flows handed over untimely: the target is stuck or not heard.",
+                "Requests on open flows handed over before their turn, because the target is stuck, silent or replaced.",
                 counters.requests_released_early,
             ),
             (
                 "delivered_packets_total",
-                "Packets of open flows delivered.",
+                "Packets of open flows handed to the target.",
                 counters.packets_delivered,
             ),
             (
                 "searches_denied_total",
-                "Searches denied.",
+                "Searches denied because the target does not hold the flow.",
                 counters.searches_denied,
             ),
             (
                 "target_returns_total",
-                "Packets that the target gave back.",
+                "Packets that the target returned.",
                 counters.packets_returned_by_target,
             ),
             (
@@ -98,121 +98,125 @@
             ),
             (
                 "requests_answered_total",
-                "Requests answered.",
+                "Requests that the target answered.",
                 counters.requests_answered,
             ),
             (
                 "requests_failed_total",
-                "Requests that the target failed.",
+                "Requests that failed at the target.",
                 counters.requests_failed,
             ),
-            ("heartbeats_total", "Heartbeats taken.", counters.heartbeats),
+            (
+                "heartbeats_total",
+                "Heartbeats accepted.",
+                counters.heartbeats,
+            ),
             (
                 "heartbeats_replaced_total",
-                "Heartbeats of starts that a later one has replaced.",
+                "Heartbeats of target starts that a later start has replaced.",
                 counters.heartbeats_replaced,
             ),
             (
                 "heartbeats_unproven_total",
-                "Heartbeats of starts that may be older than the known one.",
+                "Heartbeats of target starts that may be older than the known one.",
                 counters.heartbeats_unproven,
             ),
             (
                 "deregistrations_ignored_total",
-                "Deregistrations that may be of a former start.",
+                "Deregistrations that may belong to an earlier target start.",
                 counters.deregistrations_ignored,
             ),
             (
                 "flow_list_parts_total",
-                "Parts of lists of flows sent to balancers.",
+                "Parts of flow lists sent to balancers.",
                 counters.flow_list_parts_sent,
             ),
             (
                 "refused_packets_total",
-                "Datagrams that cannot be read.",
-                self.refused_packets.get() + self.peers.unreadable(),
+                "Datagrams rejected because they cannot be decoded.",
+                self.refused_packets.get() + self.peers.unreadable_datagrams(),
             ),
         ] {
-            text.counter(name, help, value);
+            text.add_counter(name, help, value);
         }
-        text.counters(
+        text.add_counters(
             "promises_broken_total",
-            "Promises broken, by kind; milliseconds for those about a wait.",
+            "Broken promises, by kind: occurrences, or milliseconds for a kind whose name ends in _ms.",
             "promise",
             core.broken_promises().by_name(),
         );
-        text.counters(
+        text.add_counters(
             "store_calls_total",
-            "Calls to the store.",
+            "Calls to the store, by kind.",
             "kind",
-            self.contact.calls(),
+            self.store_stats.calls_by_kind(),
         );
-        self.peers.figures(&mut text);
-        text.gauge(
+        self.peers.add_metrics(&mut text);
+        text.add_gauge(
             "requests_busy",
-            "Requests at work or queued.",
+            "Requests that the target works on or has queued.",
             f64::from(load.busy),
         );
-        text.gauge(
+        text.add_gauge(
             "openings_queued",
-            "Openings and requests of open flows that wait in the queue.",
+            "Openings and requests on open flows in the agent's queue.",
             f64::from(load.queued),
         );
-        let waiting = core.queued_counts();
-        text.gauges(
+        let queued = core.queued_counts();
+        text.add_gauges(
             "work_queued",
-            "What waits in the queue, by kind and importance.",
+            "Openings and requests in the agent's queue, by kind and urgency.",
             "kind",
             [
-                ("urgent_opening", count(waiting.urgent_openings)),
-                ("opening", count(waiting.openings)),
-                ("urgent_request", count(waiting.urgent_requests)),
-                ("request", count(waiting.requests)),
+                ("urgent_opening", usize_value(queued.urgent_openings)),
+                ("opening", usize_value(queued.openings)),
+                ("urgent_request", usize_value(queued.urgent_requests)),
+                ("request", usize_value(queued.requests)),
             ],
         );
-        text.histogram(
+        text.add_histogram(
             "queue_wait_seconds",
-            "Time that openings and requests of open flows waited until they were handed over.",
+            "Time from queueing to handover of openings and requests on open flows.",
             &self.queue_waits.borrow(),
         );
-        text.gauge(
+        text.add_gauge(
             "target_failed_ratio",
-            "Share of the latest requests that the target failed.",
+            "Share of the latest requests that failed at the target.",
             f64::from(load.failed_percent) / 100.0,
         );
-        text.mechanisms(core.mechanisms());
-        if let Some(work) = load.idle_flow_work_millislots {
-            text.gauge(
+        text.add_mechanisms(core.mechanisms());
+        if let Some(work_millislots) = load.idle_flow_work_millislots {
+            text.add_gauge(
                 "resting_work_slots",
-                "Work that the open flows at rest are expected to ask for, in slots.",
-                f64::from(work) / 1000.0,
+                "Expected work of idle open flows, in slots.",
+                f64::from(work_millislots) / 1000.0,
             );
         }
-        text.gauge("flows_open", "Open flows.", f64::from(load.flows));
-        text.gauge(
+        text.add_gauge("flows_open", "Open flows.", f64::from(load.flows));
+        text.add_gauge(
             "flows_known",
-            "Flows in the table.",
-            count(core.flow_count()),
+            "Flows in the flow table.",
+            usize_value(core.flow_count()),
         );
-        text.gauge(
+        text.add_gauge(
             "balancers",
             "Balancers known.",
-            count(core.balancers().len()),
+            usize_value(core.balancers().len()),
         );
-        text.gauge(
+        text.add_gauge(
             "configuration_version",
-            "Version known.",
-            wide(core.configuration_version()),
+            "Latest configuration version that the agent knows.",
+            u64_value(core.configuration_version()),
         );
         let is_ready = core.target_state() == TargetState::Ready;
-        text.gauge(
+        text.add_gauge(
             "target_ready",
-            "Whether the target takes flows.",
+            "1 when the target accepts flows, otherwise 0.",
             f64::from(u8::from(is_ready)),
         );
-        text.histogram(
+        text.add_histogram(
             "service_time_seconds",
-            "Time to the first byte of an answer.",
+            "Time from a request to the first byte of its answer.",
             &self.service_times.borrow(),
         );
         text.finish()
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -1,11 +1,11 @@
-//! A balancer as a process.
+//! The balancer process.
 //!
 //! # Lifecycle
-//! [`BalancerNode::new`] opens its sockets; [`BalancerNode::run`] starts the tasks and
-//! returns when a planned stop has ended. During the stop it forwards on until
-//! no caller's packet has come for a while and no opening waits for the link.
+//! [`BalancerNode::new`] opens the sockets. [`BalancerNode::run`] starts the tasks and
+//! returns after a graceful shutdown. During the shutdown the balancer keeps forwarding
+//! until callers have sent nothing for a while and no opening waits for the link.
 
-mod figures;
+mod metrics;
 mod outgoing;
 
 use std::cell::{Cell, RefCell};
@@ -30,103 +30,105 @@
 use woodladder_core::flow::store_session::{BalancerDiscovery, BalancerRegistration};
 
 use self::outgoing::OutgoingQueue;
-use crate::carrier::Carrier;
+use crate::datagram_socket;
 use crate::decision_log::DecisionLog;
 use crate::node_clock::NodeClock;
-use crate::peer_link::{MESSAGES_LOGGED_EVERY, PeerLink};
-use crate::peer_socket;
+use crate::packet_codec::PacketCodec;
+use crate::peer_transport::{COUNTERS_LOG_INTERVAL, PeerTransport};
 use crate::snapshot_exchange;
-use crate::store::{self, Store, StoreContact};
+use crate::store::{self, Store, StoreCallStats};
 use crate::tick_timer::TickTimer;
 
-/// Time between two looks whether a stopping balancer may end.
-const TICK: Duration = Duration::from_millis(25);
-/// Most flows in the table.
+/// Pause between two checks whether a balancer that shuts down may exit.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Capacity of the flow table.
 const FLOW_CAPACITY: usize = 400_000;
-/// Least time that a stopping balancer forwards on, so that routers notice.
-const LEAST_DRAIN: Duration = Duration::from_millis(1300);
-/// Silence of callers after which a stopping balancer ends.
-const QUIET: Duration = Duration::from_millis(700);
+/// Minimum time for which a balancer that shuts down keeps forwarding, so that routers
+/// notice that it is no longer ready.
+const MINIMUM_DRAIN: Duration = Duration::from_millis(1300);
+/// Time without packets from callers after which a balancer that shuts down may exit.
+const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(700);
 
-/// Settings of a balancer's process.
+/// Settings of a balancer process.
 #[derive(Clone, Debug)]
 pub struct BalancerConfig {
-    /// Address that other nodes reach it at, by datagrams and streams.
+    /// Address at which other nodes reach the balancer, over UDP and TCP.
     pub peer_address: SocketAddrV4,
-    /// Address that the sockets for other nodes are bound to.
+    /// Local address of the sockets for traffic with other nodes.
     pub peer_bind: SocketAddrV4,
-    /// Address that callers' packets come to.
+    /// Local address at which the balancer receives callers' packets.
     pub caller_address: SocketAddrV4,
-    /// Port that callers take packets at.
+    /// Port at which callers receive packets.
     pub caller_port: u16,
-    /// Zone of the machine.
+    /// Zone of the balancer's machine.
     pub zone: ZoneKey,
-    /// Processor that it may use, in thousandths of a core.
-    pub capacity: u32,
-    /// Rate of its machine's link, in kilobits a second; `None` when it is not known.
-    pub link_rate: Option<u32>,
-    /// Nodes to greet before any is known.
+    /// CPU time available to the balancer, in thousandths of a core.
+    pub cpu_millicores: u32,
+    /// Rate of the machine's network link, in kilobits per second; `None` when it is not
+    /// known.
+    pub link_rate_kbps: Option<u32>,
+    /// Nodes to greet at the start, before the balancer has learned of others.
     pub seeds: Vec<NodeAddress>,
-    /// Least time that a flow at rest is remembered.
+    /// Minimum time for which an idle flow stays in the table.
     pub flow_retention: Duration,
-    /// Longest time of a planned stop.
+    /// Maximum duration of a graceful shutdown.
     pub stop_timeout: Duration,
 }
 
-/// What the tasks of a balancer share.
+/// State that the tasks of a balancer process share.
 pub struct BalancerNode<C> {
     core: RefCell<Balancer>,
-    carrier: C,
+    codec: C,
     config: BalancerConfig,
     clock: NodeClock,
-    peers: PeerLink,
-    callers: UdpSocket,
-    outgoing: Option<OutgoingQueue>,
-    decisions: RefCell<DecisionLog>,
-    timer: TickTimer,
+    peers: PeerTransport,
+    caller_socket: UdpSocket,
+    outgoing_queue: Option<OutgoingQueue>,
+    decision_log: RefCell<DecisionLog>,
+    tick_timer: TickTimer,
     logger: Logger,
-    contact: Rc<StoreContact>,
+    store_stats: Rc<StoreCallStats>,
     refused_packets: Cell<u64>,
-    packet_at: Cell<Instant>,
+    last_caller_packet_at: Cell<Instant>,
 }
 
-impl<C: Carrier + 'static> BalancerNode<C> {
+impl<C: PacketCodec + 'static> BalancerNode<C> {
     /// Opens the sockets.
     ///
     /// # Errors
-    /// The system's error.
-    pub fn new(config: BalancerConfig, carrier: C, logger: Logger) -> io::Result<Rc<Self>> {
+    /// Returns the I/O error of a socket that cannot be opened.
+    pub fn new(config: BalancerConfig, codec: C, logger: Logger) -> io::Result<Rc<Self>> {
         let clock = NodeClock::start();
         let options = BalancerOptions {
             address: config.peer_address,
             zone: config.zone,
-            cpu_millicores: config.capacity,
-            link_rate_kbps: config.link_rate,
+            cpu_millicores: config.cpu_millicores,
+            link_rate_kbps: config.link_rate_kbps,
             flow_capacity: FLOW_CAPACITY,
             flow_retention: config.flow_retention,
         };
         Ok(Rc::new(Self {
             core: RefCell::new(Balancer::new(options, clock.now())),
-            carrier,
+            codec,
             clock,
-            peers: PeerLink::open(config.peer_bind)?,
-            callers: peer_socket::open(config.caller_address)?,
-            outgoing: config.link_rate.map(OutgoingQueue::new),
-            decisions: RefCell::new(DecisionLog::new(logger.clone())),
-            timer: TickTimer::default(),
+            peers: PeerTransport::open(config.peer_bind)?,
+            caller_socket: datagram_socket::open(config.caller_address)?,
+            outgoing_queue: config.link_rate_kbps.map(OutgoingQueue::new),
+            decision_log: RefCell::new(DecisionLog::new(logger.clone())),
+            tick_timer: TickTimer::default(),
             logger,
-            contact: Rc::new(StoreContact::default()),
+            store_stats: Rc::new(StoreCallStats::default()),
             refused_packets: Cell::new(0),
-            packet_at: Cell::new(Instant::ORIGIN),
+            last_caller_packet_at: Cell::new(Instant::ORIGIN),
             config,
         }))
     }
 
-    /// Runs until a planned stop has ended. `store` opens a session with the
-    /// store.
+    /// Runs the balancer until a graceful shutdown, requested through `stop`, has
+    /// finished. `store` opens a session with the store.
     ///
     /// # Errors
-    /// The system's error when the stream for other nodes cannot be opened.
+    /// Returns the I/O error when the TCP listener for other nodes cannot be opened.
     pub async fn run<S: Store + 'static>(
         self: Rc<Self>,
         store: impl Fn() -> S,
@@ -138,48 +140,51 @@
             node.core.borrow().answer_snapshot_request(request)
         }));
         self.start_receiving();
-        self.act(|core, now, actions| core.add_seed_balancers(&self.config.seeds, now, actions));
-        spawn_local(Rc::clone(&self).tick());
-        spawn_local(Rc::clone(&self).log_messages());
+        self.run_core(|core, now, actions| {
+            core.add_seed_balancers(&self.config.seeds, now, actions)
+        });
+        spawn_local(Rc::clone(&self).run_ticks());
+        spawn_local(Rc::clone(&self).log_counters());
         spawn_local(Rc::clone(&self).send_queued());
-        let record_due = self.start_flow_record(store());
+        let record_wakeup = self.start_flow_record(store());
         let registration = self.start_store_sessions(store);
-        let leaving = Rc::clone(&registration.1);
+        let registration_shutdown = Rc::clone(&registration.1);
         stop.notified().await;
-        info!(self.logger, "balancer: stopping as planned"; "event" => "stopping");
+        info!(self.logger, "balancer: graceful shutdown started"; "event" => "stopping");
         registration.0.borrow_mut().leave(self.clock.now());
-        leaving.notify_one();
-        self.act(|core, now, actions| core.leave(now, actions));
-        record_due.notify_one();
+        registration_shutdown.notify_one();
+        self.run_core(|core, now, actions| core.leave(now, actions));
+        record_wakeup.notify_one();
         self.drain().await;
-        self.peers.log("balancer", &self.logger);
+        self.peers.log_totals("balancer", &self.logger);
         info!(self.logger, "balancer: stopped"; "event" => "stopped");
         Ok(())
     }
 
-    /// Keeps the record of flows; a notification makes it look at once.
+    /// Starts the task that maintains the flow record. A notification on the returned
+    /// handle makes the task ask for its next call at once.
     fn start_flow_record<S: Store + 'static>(self: &Rc<Self>, store: S) -> Rc<Notify> {
-        let record_due = Rc::new(Notify::new());
-        let deciding = Rc::clone(self);
-        let answered = Rc::clone(self);
-        spawn_local(store::keep_flow_record(
+        let record_wakeup = Rc::new(Notify::new());
+        let call_node = Rc::clone(self);
+        let reply_node = Rc::clone(self);
+        spawn_local(store::maintain_flow_record(
             store,
             self.clock,
-            Rc::clone(&self.contact),
-            Rc::clone(&record_due),
+            Rc::clone(&self.store_stats),
+            Rc::clone(&record_wakeup),
             move || {
-                let clock = deciding.clock;
-                let mut core = deciding.core.borrow_mut();
-                core.next_record_call(clock.time_of_day(), clock.now())
+                let clock = call_node.clock;
+                let mut core = call_node.core.borrow_mut();
+                core.next_record_call(clock.unix_time_ms(), clock.now())
             },
             move |reply| {
-                let time_of_day = answered.clock.time_of_day();
-                answered.act(|core, now, actions| {
-                    core.handle_record_reply(reply, time_of_day, now, actions);
+                let unix_time_ms = reply_node.clock.unix_time_ms();
+                reply_node.run_core(|core, now, actions| {
+                    core.handle_record_reply(reply, unix_time_ms, now, actions);
                 });
             },
         ));
-        record_due
+        record_wakeup
     }
 
     fn start_store_sessions<S: Store + 'static>(
@@ -187,20 +192,20 @@
         store: impl Fn() -> S,
     ) -> (Rc<RefCell<BalancerRegistration>>, Rc<Notify>) {
         let node = Rc::clone(self);
-        let watching = Rc::clone(self);
+        let wait_node = Rc::clone(self);
         spawn_local(store::watch_configuration(
             store(),
             random(),
             self.clock,
-            Rc::clone(&self.contact),
+            Rc::clone(&self.store_stats),
             move || {
-                watching
+                wait_node
                     .core
                     .borrow()
-                    .store_watch_wait(watching.clock.now())
+                    .store_watch_wait(wait_node.clock.now())
             },
             move |state| {
-                node.act(|core, now, _| {
+                node.run_core(|core, now, _| {
                     if let Some(configuration) = state.configuration {
                         core.adopt_store_configuration(configuration.into());
                     }
@@ -211,80 +216,89 @@
         ));
         let now = self.clock.now();
         let registration = Rc::new(RefCell::new(BalancerRegistration::new(random(), now)));
-        let leaving = Rc::new(Notify::new());
-        let entered = Rc::clone(self);
-        spawn_local(store::keep_registered(
+        let registration_shutdown = Rc::new(Notify::new());
+        let registering_node = Rc::clone(self);
+        spawn_local(store::maintain_registration(
             store(),
             self.clock,
-            Rc::clone(&self.contact),
+            Rc::clone(&self.store_stats),
             Rc::clone(&registration),
-            Rc::clone(&leaving),
-            move || entered.core.borrow().should_register(entered.clock.now()),
+            Rc::clone(&registration_shutdown),
+            move || {
+                registering_node
+                    .core
+                    .borrow()
+                    .should_register(registering_node.clock.now())
+            },
         ));
         let node = Rc::clone(self);
-        let hearing = Rc::clone(self);
-        spawn_local(store::list_balancers(
+        let need_node = Rc::clone(self);
+        spawn_local(store::discover_balancers(
             store(),
             BalancerDiscovery::new(random(), true, now),
             self.clock,
-            Rc::clone(&self.contact),
-            move || hearing.core.borrow().list_need(hearing.clock.now()),
+            Rc::clone(&self.store_stats),
+            move || need_node.core.borrow().list_need(need_node.clock.now()),
             move |balancers| {
-                node.act(|core, now, actions| core.add_listed_balancers(balancers, now, actions))
+                node.run_core(|core, now, actions| {
+                    core.add_listed_balancers(balancers, now, actions)
+                })
             },
         ));
-        (registration, leaving)
+        (registration, registration_shutdown)
     }
 
     async fn drain(&self) {
-        let started = self.clock.now();
+        let started_at = self.clock.now();
         loop {
-            sleep(TICK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
             let now = self.clock.now();
-            let elapsed = now.since(started);
-            let holds_openings = self.core.borrow().has_openings_waiting_for_link();
-            let is_quiet = now.since(self.packet_at.get()) >= QUIET && !holds_openings;
-            if elapsed >= self.config.stop_timeout || (elapsed >= LEAST_DRAIN && is_quiet) {
+            let elapsed = now.since(started_at);
+            let has_waiting_openings = self.core.borrow().has_openings_waiting_for_link();
+            let is_quiet = now.since(self.last_caller_packet_at.get()) >= DRAIN_QUIET_PERIOD
+                && !has_waiting_openings;
+            if elapsed >= self.config.stop_timeout || (elapsed >= MINIMUM_DRAIN && is_quiet) {
                 return;
             }
         }
     }
 
-    /// Whether the balancer should be given packets of callers.
+    /// Checks whether routers should send callers' packets to this balancer.
     ///
     /// # Errors
-    /// [`NotReadyReason`] when it should not.
-    pub fn ready(&self) -> Result<(), NotReadyReason> {
+    /// Returns [`NotReadyReason`] when they should not.
+    pub fn check_ready(&self) -> Result<(), NotReadyReason> {
         self.core.borrow().check_ready(self.clock.now())
     }
 
-    /// Takes changed settings in; addresses stay as they are.
-    pub fn reload(self: &Rc<Self>, seeds: &[NodeAddress]) {
-        info!(self.logger, "balancer: settings read again"; "event" => "reloaded",
+    /// Adds the nodes that changed settings name as seeds. Changed addresses take
+    /// effect only after a restart.
+    pub fn reload_seeds(self: &Rc<Self>, seeds: &[NodeAddress]) {
+        info!(self.logger, "balancer: settings reloaded"; "event" => "reloaded",
             "seeds" => seeds.len());
-        self.act(|core, now, actions| core.add_seed_balancers(seeds, now, actions));
+        self.run_core(|core, now, actions| core.add_seed_balancers(seeds, now, actions));
     }
 
     fn start_receiving(self: &Rc<Self>) {
         let node = Rc::clone(self);
         spawn_local(async move {
-            let handle = |_, packet: &mut [u8]| node.caller_packet(packet);
-            peer_socket::receive(&node.callers, "callers", &node.logger, handle).await;
+            let handle = |_, packet: &mut [u8]| node.handle_caller_packet(packet);
+            datagram_socket::receive(&node.caller_socket, "callers", &node.logger, handle).await;
         });
         let node = Rc::clone(self);
         spawn_local(async move {
-            let handle = |from, datagram: &mut [u8]| node.peer_datagram(from, datagram);
+            let handle = |from, datagram: &mut [u8]| node.handle_peer_datagram(from, datagram);
             node.peers.receive(&node.logger, handle).await;
         });
     }
 
-    fn caller_packet(self: &Rc<Self>, bytes: &mut [u8]) {
+    fn handle_caller_packet(self: &Rc<Self>, bytes: &mut [u8]) {
         let now = self.clock.now();
-        self.packet_at.set(now);
+        self.last_caller_packet_at.set(now);
         self.core
             .borrow_mut()
             .count_received_datagram(bytes.len(), now);
-        let Ok(packet) = self.carrier.read_from_caller(bytes) else {
+        let Ok(packet) = self.codec.decode_from_caller(bytes) else {
             self.refused_packets.set(self.refused_packets.get() + 1);
             return;
         };
@@ -292,10 +306,11 @@
             .core
             .borrow_mut()
             .route_caller_packet(&packet, bytes, now);
-        self.timer.shorten(self.core.borrow().tick_interval());
+        self.tick_timer
+            .bring_forward(self.core.borrow().tick_interval());
         self.send_routed(routing, &packet, bytes);
         if self.core.borrow().can_release_openings() {
-            self.act(Balancer::release_openings);
+            self.run_core(Balancer::release_openings);
         }
     }
 
@@ -310,64 +325,72 @@
                 }
             }
             Routing::Relay(to) => self.send_packet(&PeerMessage::Relay, packet, bytes, to),
-            Routing::Reset(reset) => self.reset(&reset),
+            Routing::Reset(reset) => self.send_reset(&reset),
             Routing::Drop(_) => {}
         }
     }
 
-    fn peer_datagram(self: &Rc<Self>, from: NodeAddress, datagram: &[u8]) {
+    fn handle_peer_datagram(self: &Rc<Self>, from: NodeAddress, datagram: &[u8]) {
         let now = self.clock.now();
         self.core
             .borrow_mut()
             .count_received_datagram(datagram.len(), now);
-        let Ok((message, rest)) = self.peers.read(datagram) else {
+        let Ok((message, packet_bytes)) = self.peers.decode(datagram) else {
             return;
         };
-        let packet = self.carrier.read_from_caller(rest).ok();
-        let packet = packet.as_ref().map(|packet| (packet, rest));
-        self.act(|core, now, actions| core.handle_message(from, message, packet, now, actions));
+        let packet = self.codec.decode_from_caller(packet_bytes).ok();
+        let packet = packet.as_ref().map(|packet| (packet, packet_bytes));
+        self.run_core(|core, now, actions| {
+            core.handle_message(from, message, packet, now, actions)
+        });
     }
 
-    async fn tick(self: Rc<Self>) {
+    async fn run_ticks(self: Rc<Self>) {
         loop {
-            self.act(|core, now, actions| core.tick(now, actions));
-            self.write_notes();
-            self.timer
-                .until_due(|| self.core.borrow().tick_interval())
+            self.run_core(|core, now, actions| core.tick(now, actions));
+            self.write_log_events();
+            self.tick_timer
+                .wait_until_due(|| self.core.borrow().tick_interval())
                 .await;
         }
     }
 
-    async fn log_messages(self: Rc<Self>) {
+    async fn log_counters(self: Rc<Self>) {
         loop {
-            sleep(MESSAGES_LOGGED_EVERY).await;
-            self.peers.log("balancer", &self.logger);
-            self.contact.log("balancer", &self.logger);
+            sleep(COUNTERS_LOG_INTERVAL).await;
+            self.peers.log_totals("balancer", &self.logger);
+            self.store_stats.log_calls("balancer", &self.logger);
         }
     }
 
-    fn write_notes(&self) {
+    fn write_log_events(&self) {
         let (notes, dropped) = self.core.borrow_mut().take_notes();
         let now = self.clock.now();
-        self.decisions.borrow_mut().write(notes, dropped, now);
-        match self.contact.take_change() {
-            Some(true) => info!(self.logger, "store: reached"; "event" => "store_reached"),
-            Some(false) => warn!(self.logger, "store: lost"; "event" => "store_lost"),
+        self.decision_log.borrow_mut().write(notes, dropped, now);
+        match self.store_stats.take_reachability_change() {
+            Some(true) => info!(self.logger, "store: reachable"; "event" => "store_reached"),
+            Some(false) => {
+                warn!(self.logger, "store: unreachable or refusing calls"; "event" => "store_lost")
+            }
             None => {}
         }
     }
 
-    /// Lets the core decide and carries its actions out.
-    fn act(self: &Rc<Self>, decide: impl FnOnce(&mut Balancer, Instant, &mut Vec<BalancerAction>)) {
+    /// Lets the core decide and executes the actions that it returns.
+    fn run_core(
+        self: &Rc<Self>,
+        decide: impl FnOnce(&mut Balancer, Instant, &mut Vec<BalancerAction>),
+    ) {
         let mut actions = Vec::new();
         decide(&mut self.core.borrow_mut(), self.clock.now(), &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.timer.shorten(self.core.borrow().tick_interval());
+        self.tick_timer
+            .bring_forward(self.core.borrow().tick_interval());
     }
 
-    fn carry_out(self: &Rc<Self>, action: BalancerAction) {
+    fn execute(self: &Rc<Self>, action: BalancerAction) {
         match action {
             BalancerAction::Send { to, message } => self.send_message(&message, to),
             BalancerAction::Forward {
@@ -375,18 +398,18 @@
                 header,
                 mut packet,
             } => {
-                self.carrier.clear_marks(&mut packet);
-                self.send_own_packet(&PeerMessage::Forward(header), &packet, to);
+                self.codec.clear_marks(&mut packet);
+                self.send_stored_packet(&PeerMessage::Forward(header), &packet, to);
             }
             BalancerAction::Relay { to, packet } => {
-                self.send_own_packet(&PeerMessage::Relay, &packet, to);
+                self.send_stored_packet(&PeerMessage::Relay, &packet, to);
             }
-            BalancerAction::Reset(reset) => self.reset(&reset),
+            BalancerAction::Reset(reset) => self.send_reset(&reset),
             BalancerAction::FetchSnapshot { from, request } => {
                 let node = Rc::clone(self);
                 spawn_local(async move {
                     match snapshot_exchange::fetch(from, request).await {
-                        Ok(snapshot) => node.act(|core, now, actions| {
+                        Ok(snapshot) => node.run_core(|core, now, actions| {
                             core.handle_snapshot(from, snapshot, now, actions);
                         }),
                         Err(_) => node.core.borrow_mut().handle_snapshot_failure(from),
@@ -396,17 +419,17 @@
         }
     }
 
-    /// Sends a message with a packet that was read before.
-    fn send_own_packet(&self, message: &PeerMessage, bytes: &[u8], to: NodeAddress) {
-        match self.carrier.read_from_caller(bytes) {
+    /// Sends a message with a packet that the core has kept and now hands back.
+    fn send_stored_packet(&self, message: &PeerMessage, bytes: &[u8], to: NodeAddress) {
+        match self.codec.decode_from_caller(bytes) {
             Ok(packet) => self.send_packet(message, &packet, bytes, to),
             Err(_) => self.refused_packets.set(self.refused_packets.get() + 1),
         }
     }
 
-    /// Address of the machine.
+    /// Returns the IP address of the balancer's machine.
     #[must_use]
-    pub fn machine(&self) -> Ipv4Addr {
+    pub fn machine_address(&self) -> Ipv4Addr {
         *self.config.peer_address.ip()
     }
 }
--- a/crates/woodladder-node/src/balancer/figures.rs
+++ b/crates/woodladder-node/src/balancer/metrics.rs
@@ -1,15 +1,15 @@
-//! Figures of the balancer's process.
+//! Metrics of the balancer process.
 
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::balancer::Balancer;
 
-use crate::metrics::{MetricsText, count, wide};
+use crate::metrics::{MetricsText, u64_value, usize_value};
 
 use super::BalancerNode;
-use crate::carrier::Carrier;
+use crate::packet_codec::PacketCodec;
 
-impl<C: Carrier + 'static> BalancerNode<C> {
-    /// Figures in the text format that scrapers read.
+impl<C: PacketCodec + 'static> BalancerNode<C> {
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let now = self.clock.now();
@@ -17,305 +17,317 @@
         let counters = core.counters();
         let recorded = core.record_counters();
         let restored = core.restore_totals();
-        let (answers, refusals, failures) = self.contact.totals();
+        let (answers, refusals, failures) = self.store_stats.totals();
         let mut text = MetricsText::default();
         for (name, help, value) in [
             (
                 "caller_packets_total",
-                "Packets of callers.",
+                "Packets received from callers.",
                 counters.caller_packets,
             ),
             (
                 "flows_opened_total",
-                "Openings sent to a first target.",
+                "Openings sent to a target for the first time.",
                 counters.flows_opened,
             ),
             (
                 "flows_reopened_total",
-                "Openings sent to a further target.",
+                "Openings sent again, to another target.",
                 counters.flows_reopened,
             ),
             (
                 "established_packets_total",
-                "Packets of flows in the table.",
+                "Packets whose flow was in the flow table.",
                 counters.established_packets,
             ),
             (
                 "searched_packets_total",
-                "Packets of flows searched for.",
+                "Packets whose flow had to be searched for.",
                 counters.searched_packets,
             ),
             (
                 "returned_packets_total",
-                "Packets that agents gave back.",
+                "Packets that agents returned.",
                 counters.returned_packets,
             ),
             (
                 "resets_no_route_total",
-                "Resets without a route.",
+                "Resets because no route matched.",
                 counters.reset_no_route,
             ),
             (
                 "resets_no_target_total",
-                "Resets without a target.",
+                "Resets because no target was available.",
                 counters.reset_no_target,
             ),
             (
                 "resets_target_ended_total",
-                "Resets after a target's end.",
+                "Resets because the target had ended.",
                 counters.reset_target_ended,
             ),
             (
                 "resets_held_nowhere_total",
-                "Resets of flows held nowhere.",
+                "Resets because no target holds the flow.",
                 counters.reset_held_nowhere,
             ),
             (
                 "resets_holder_denied_total",
-                "Resets of recorded flows that their target does not hold.",
+                "Resets because the recorded target does not hold the flow.",
                 counters.reset_holder_denied,
             ),
             (
                 "flow_record_writes_total",
-                "Records of flows written to the store.",
+                "Flow records written to the store.",
                 recorded.writes,
             ),
             (
                 "restored_flows_total",
-                "Flows in the record that was read at the start.",
+                "Flows in the flow record that was read at startup.",
                 restored.recorded,
             ),
             (
                 "restored_flows_held_total",
-                "Recorded flows that their target holds.",
+                "Recorded flows that their target still holds.",
                 restored.held,
             ),
             (
                 "restored_flows_denied_total",
-                "Recorded flows that their agent has denied.",
+                "Recorded flows whose agent replied that the target does not hold them.",
                 restored.denied,
             ),
             (
                 "restored_flows_superseded_total",
-                "Recorded flows that were opened anew meanwhile.",
+                "Recorded flows that have been opened again since.",
                 restored.superseded,
             ),
             (
                 "restored_flows_unproven_total",
-                "Recorded flows dropped without a proof of what became of them.",
+                "Recorded flows dropped although it is not known whether a target holds them.",
                 restored.unproven,
             ),
             (
                 "relayed_packets_total",
-                "Packets handed to larger balancers.",
+                "Packets relayed to larger balancers.",
                 counters.relayed_packets,
             ),
             (
                 "taken_over_packets_total",
-                "Packets that smaller balancers have handed on.",
+                "Relayed packets received from smaller balancers.",
                 counters.relayed_packets_received,
             ),
             (
                 "searches_by_list_total",
-                "Searches that began with agents that tell the flow.",
+                "Searches that began with agents that had announced the flow.",
                 counters.searches_by_list,
             ),
             (
                 "flows_located_by_list_total",
-                "Flows found at an agent that had told them.",
+                "Flows found at an agent that had announced them.",
                 counters.flows_located_by_list,
             ),
             (
                 "flows_located_by_question_total",
-                "Flows found by questions to all agents.",
+                "Flows found by queries to all agents.",
                 counters.flows_located_by_query,
             ),
             (
                 "search_questions_total",
-                "Questions about unknown flows sent to agents.",
+                "Queries about unknown flows sent to agents.",
                 counters.search_queries,
             ),
             (
                 "search_questions_put_off_total",
-                "Questions about one flow put off to spare the processor.",
+                "Queries about single flows deferred to save CPU time.",
                 counters.search_queries_deferred,
             ),
             (
                 "flow_lists_asked_total",
-                "Lists of flows asked for.",
+                "Flow lists requested from agents.",
                 counters.flow_lists_requested,
             ),
             (
                 "agent_probes_total",
-                "Questions to agents that left something unanswered.",
+                "Probes of agents that had left something unanswered.",
                 counters.agent_probes,
             ),
             (
                 "search_packets_total",
-                "Packets handed to agents that could not tell without one.",
+                "Packets sent to agents that could not say without one whether their target holds the flow.",
                 counters.search_packets,
             ),
             (
                 "openings_put_off_for_link_total",
-                "Openings that waited because enough flows shared the link.",
+                "Openings deferred because enough bulk flows shared the link.",
                 counters.openings_deferred_for_link,
             ),
             (
                 "openings_refused_for_link_total",
-                "Openings whose turn on the link came too late.",
+                "Openings refused because their turn on the link came too late.",
                 counters.openings_refused_for_link,
             ),
             (
                 "dropped_packets_total",
-                "Packets dropped by decision.",
+                "Packets dropped by a decision of the balancer.",
                 counters.dropped_packets,
             ),
             (
                 "refused_packets_total",
-                "Datagrams that cannot be read.",
-                self.refused_packets.get() + self.peers.unreadable(),
+                "Datagrams rejected because they cannot be decoded.",
+                self.refused_packets.get() + self.peers.unreadable_datagrams(),
             ),
             (
                 "store_answers_total",
-                "Calls that the store answered.",
+                "Calls to the store that were answered.",
                 answers,
             ),
             (
                 "store_refusals_total",
-                "Calls that the store refused.",
+                "Calls to the store that were refused.",
                 refusals,
             ),
-            ("store_failures_total", "Calls without an answer.", failures),
+            (
+                "store_failures_total",
+                "Calls to the store that got no answer.",
+                failures,
+            ),
         ] {
-            text.counter(name, help, value);
+            text.add_counter(name, help, value);
         }
-        text.counters(
+        text.add_counters(
             "promises_broken_total",
-            "Promises broken, by kind; milliseconds for those about a wait.",
+            "Broken promises, by kind: occurrences, or milliseconds for a kind whose name ends in _ms.",
             "promise",
             core.broken_promises().by_name(),
         );
-        text.counters(
+        text.add_counters(
             "store_calls_total",
-            "Calls to the store.",
+            "Calls to the store, by kind.",
             "kind",
-            self.contact.calls(),
+            self.store_stats.calls_by_kind(),
         );
-        self.peers.figures(&mut text);
+        self.peers.add_metrics(&mut text);
         if let Some(age) = core.confirmation_age(now) {
-            text.gauge(
+            text.add_gauge(
                 "configuration_confirmed_seconds",
-                "Time since the store confirmed the configuration to any balancer heard of.",
+                "Time since the store last confirmed the configuration, to this balancer or to another that it has heard from.",
                 age.as_secs_f64(),
             );
         }
-        let watches = core.store_watch_wait(now).is_some();
-        text.gauge(
+        let watches_store = core.store_watch_wait(now).is_some();
+        text.add_gauge(
             "watches_store",
-            "Whether the node calls the store.",
-            if watches { 1.0 } else { 0.0 },
+            "1 when the balancer watches the store, otherwise 0.",
+            if watches_store { 1.0 } else { 0.0 },
         );
-        text.mechanisms(core.mechanisms());
-        self.link_figures(&core, now, &mut text);
-        text.gauge(
+        text.add_mechanisms(core.mechanisms());
+        self.add_link_metrics(&core, now, &mut text);
+        text.add_gauge(
             "flow_record_flows",
-            "Flows in the last record written.",
-            wide(recorded.last_record_flows),
+            "Flows in the last flow record that was written.",
+            u64_value(recorded.last_record_flows),
         );
-        text.gauge(
+        text.add_gauge(
             "flow_record_bytes",
-            "Bytes of the last record written.",
-            wide(recorded.last_record_bytes),
+            "Size of the last flow record that was written, in bytes.",
+            u64_value(recorded.last_record_bytes),
         );
-        text.gauge(
+        text.add_gauge(
             "restored_record_age_ms",
-            "Age of the record that was read at the start.",
-            wide(recorded.restored_record_age_ms),
+            "Age of the flow record that was read at startup, in milliseconds.",
+            u64_value(recorded.restored_record_age_ms),
         );
-        text.gauge("flows", "Flows in the table.", count(core.flow_count()));
-        text.gauge(
+        text.add_gauge(
+            "flows",
+            "Flows in the flow table.",
+            usize_value(core.flow_count()),
+        );
+        text.add_gauge(
             "openings_waiting",
             "Openings that wait for a target.",
-            count(core.waiting_opening_count()),
+            usize_value(core.waiting_opening_count()),
+        );
+        text.add_gauge(
+            "agents",
+            "Agents in the directory.",
+            usize_value(core.directory().len()),
         );
-        text.gauge("agents", "Agents known.", count(core.directory().len()));
-        text.gauge(
+        text.add_gauge(
             "agents_live",
-            "Agents heard lately.",
-            count(core.directory().live_count(now)),
+            "Agents in the directory that were heard recently.",
+            usize_value(core.directory().live_count(now)),
         );
-        text.gauge(
+        text.add_gauge(
             "balancers",
             "Other balancers known.",
-            count(core.peers().len()),
+            usize_value(core.peers().len()),
         );
-        text.gauge(
+        text.add_gauge(
             "configuration_version",
-            "Version in force.",
-            wide(core.routes().version()),
+            "Configuration version in force.",
+            u64_value(core.routes().version()),
         );
-        text.gauge(
+        text.add_gauge(
             "zones_excluded",
-            "Zones whose targets take no new flows.",
-            count(core.excluded_zones().zones.len()),
+            "Zones whose targets get no new flows.",
+            usize_value(core.excluded_zones().zones.len()),
         );
         let ready = if core.check_ready(now).is_ok() {
             1.0
         } else {
             0.0
         };
-        text.gauge("ready", "Whether the node is ready.", ready);
+        text.add_gauge("ready", "1 when the balancer is ready, otherwise 0.", ready);
         text.finish()
     }
 
-    fn link_figures(&self, core: &Balancer, now: Instant, text: &mut MetricsText) {
+    fn add_link_metrics(&self, core: &Balancer, now: Instant, text: &mut MetricsText) {
         if let Some(link) = core.paced_link() {
-            let (incoming, outgoing) = link.used_kbps(now);
+            let (incoming_kbps, outgoing_kbps) = link.used_kbps(now);
             for (name, help, value) in [
                 (
                     "link_rate_kbps",
-                    "Rate of the link in each direction.",
+                    "Rate of the network link in each direction, in kilobits per second.",
                     u64::from(link.rate_kbps()),
                 ),
                 (
                     "link_in_kbps",
-                    "Use of the link by what comes, over a second.",
-                    incoming,
+                    "Received traffic over the last second, in kilobits per second.",
+                    incoming_kbps,
                 ),
                 (
                     "link_out_kbps",
-                    "Use of the link by what leaves, over a second.",
-                    outgoing,
+                    "Sent traffic over the last second, in kilobits per second.",
+                    outgoing_kbps,
                 ),
             ] {
-                text.gauge(name, help, wide(value));
+                text.add_gauge(name, help, u64_value(value));
             }
-            text.gauge(
+            text.add_gauge(
                 "link_bulk_flows",
-                "Flows of routes that bring many bytes under way.",
-                count(link.active_bulk_flows()),
+                "Active flows of bulk routes.",
+                usize_value(link.active_bulk_flows()),
             );
-            text.gauge(
+            text.add_gauge(
                 "link_openings_waiting",
                 "Openings that wait for the link.",
-                count(link.openings_waiting()),
+                usize_value(link.openings_waiting()),
             );
         }
-        if let Some(queue) = &self.outgoing {
+        if let Some(queue) = &self.outgoing_queue {
             let totals = queue.totals();
-            text.gauge(
+            text.add_gauge(
                 "link_queue_bytes",
-                "Bytes that wait to leave.",
-                count(queue.queued_bytes()),
+                "Bytes of datagrams in the outgoing queue.",
+                usize_value(queue.queued_bytes()),
             );
-            text.counter(
+            text.add_counter(
                 "link_queued_total",
-                "Datagrams that waited to leave.",
+                "Datagrams that waited in the outgoing queue.",
                 totals.queued,
             );
-            text.counters(
+            text.add_counters(
                 "link_dropped_total",
-                "Datagrams dropped before the link.",
+                "Datagrams dropped from the outgoing queue, by reason.",
                 "reason",
                 [("late", totals.dropped_late), ("full", totals.dropped_full)],
             );
--- a/crates/woodladder-node/src/balancer/outgoing.rs
+++ b/crates/woodladder-node/src/balancer/outgoing.rs
@@ -1,5 +1,5 @@
-//! What a balancer sends by datagram: at once, or in the order and at the pace that
-//! its link bears.
+//! Outgoing datagrams of a balancer: sent at once, or, while the link is paced, queued
+//! and sent by priority at a rate that the link can carry.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -15,15 +15,15 @@
 use woodladder_core::flow::packet::{CallerReset, FlowPacket};
 
 use super::BalancerNode;
-use crate::carrier::Carrier;
-use crate::peer_socket;
+use crate::datagram_socket;
+use crate::packet_codec::PacketCodec;
 
-/// Least pause between two looks at the queue, as fine as timers are.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
+/// Minimum pause between two checks of the queue: the resolution of the timer.
+const MINIMUM_PAUSE: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy, Debug)]
 enum Destination {
-    /// A node.
+    /// Another node.
     Peer(SocketAddrV4),
     /// A caller.
     Caller(SocketAddrV4),
@@ -35,35 +35,35 @@
     bytes: Vec<u8>,
 }
 
-/// Datagrams that wait to leave.
+/// Datagrams that wait to be sent over the paced link.
 #[derive(Debug)]
 pub(super) struct OutgoingQueue {
     scheduler: RefCell<LinkScheduler<Datagram>>,
-    filled: Notify,
+    datagram_queued: Notify,
 }
 
 impl OutgoingQueue {
-    /// A queue before a link of this rate, in kilobits a second.
-    pub(super) fn new(link_rate: u32) -> Self {
+    /// Creates the queue of a link whose rate is given in kilobits per second.
+    pub(super) fn new(link_rate_kbps: u32) -> Self {
         Self {
-            scheduler: RefCell::new(LinkScheduler::new(link_rate)),
-            filled: Notify::new(),
+            scheduler: RefCell::new(LinkScheduler::new(link_rate_kbps)),
+            datagram_queued: Notify::new(),
         }
     }
 
-    /// Bytes that wait.
+    /// Returns the size of all queued datagrams, in bytes.
     pub(super) fn queued_bytes(&self) -> usize {
         self.scheduler.borrow().queued_bytes()
     }
 
-    /// Running totals.
+    /// Returns the counters since the start of the process.
     pub(super) fn totals(&self) -> SchedulerTotals {
         self.scheduler.borrow().totals()
     }
 }
 
-impl<C: Carrier + 'static> BalancerNode<C> {
-    /// Sends a message that carries no packet.
+impl<C: PacketCodec + 'static> BalancerNode<C> {
+    /// Sends a message without a packet.
     pub(super) fn send_message(&self, message: &PeerMessage, to: SocketAddrV4) {
         let bytes = self.peers.encode(message, &[]);
         self.send(Destination::Peer(to), bytes, None, TrafficClass::Priority);
@@ -78,18 +78,18 @@
         to: SocketAddrV4,
     ) {
         let datagram = self.peers.encode(message, bytes);
-        let urgency = self.urgency(message, packet);
-        self.send(Destination::Peer(to), datagram, Some(packet), urgency);
+        let traffic_class = self.traffic_class(message, packet);
+        self.send(Destination::Peer(to), datagram, Some(packet), traffic_class);
     }
 
     /// Sends a reset to a caller.
-    pub(super) fn reset(&self, reset: &CallerReset) {
+    pub(super) fn send_reset(&self, reset: &CallerReset) {
         let to = SocketAddrV4::new(*reset.key.caller.ip(), self.config.caller_port);
-        let bytes = self.carrier.write_reset(reset);
+        let bytes = self.codec.encode_reset(reset);
         self.send(Destination::Caller(to), bytes, None, TrafficClass::Priority);
     }
 
-    fn urgency(&self, message: &PeerMessage, packet: &FlowPacket) -> TrafficClass {
+    fn traffic_class(&self, message: &PeerMessage, packet: &FlowPacket) -> TrafficClass {
         if let PeerMessage::Forward(header) = message
             && header.purpose == ForwardPurpose::Search
         {
@@ -106,24 +106,27 @@
         destination: Destination,
         bytes: Vec<u8>,
         packet: Option<&FlowPacket>,
-        class: TrafficClass,
+        traffic_class: TrafficClass,
     ) {
         let datagram = Datagram { destination, bytes };
         let is_paced = self.core.borrow().paced_link().is_some();
-        let Some(queue) = self.outgoing.as_ref().filter(|_| is_paced) else {
+        let Some(queue) = self.outgoing_queue.as_ref().filter(|_| is_paced) else {
             self.transmit(&datagram);
             return;
         };
-        let placement = DatagramInfo {
+        let datagram_info = DatagramInfo {
             length_bytes: datagram.bytes.len(),
             flow: packet.map(|packet| packet.key),
-            class,
+            class: traffic_class,
         };
         let now = self.clock.now();
-        let passed = queue.scheduler.borrow_mut().offer(datagram, placement, now);
-        match passed {
+        let immediate = queue
+            .scheduler
+            .borrow_mut()
+            .offer(datagram, datagram_info, now);
+        match immediate {
             Some(datagram) => self.transmit(&datagram),
-            None => queue.filled.notify_one(),
+            None => queue.datagram_queued.notify_one(),
         }
     }
 
@@ -134,20 +137,22 @@
             .count_sent_datagram(datagram.bytes.len(), now);
         match datagram.destination {
             Destination::Peer(to) => self.peers.send_datagram(&datagram.bytes, to),
-            Destination::Caller(to) => peer_socket::send(&self.callers, &datagram.bytes, to),
+            Destination::Caller(to) => {
+                datagram_socket::send(&self.caller_socket, &datagram.bytes, to)
+            }
         }
     }
 
-    /// Sends what waits, as the link allows, until the process ends.
+    /// Sends queued datagrams at the pace of the link until the process ends.
     pub(super) async fn send_queued(self: Rc<Self>) {
-        let Some(queue) = &self.outgoing else {
+        let Some(queue) = &self.outgoing_queue else {
             return;
         };
         loop {
-            let due = queue.scheduler.borrow().next_release();
-            match due {
-                None => queue.filled.notified().await,
-                Some(due) => sleep(due.since(self.clock.now()).max(LEAST_PAUSE)).await,
+            let due_at = queue.scheduler.borrow().next_release();
+            match due_at {
+                None => queue.datagram_queued.notified().await,
+                Some(due_at) => sleep(due_at.since(self.clock.now()).max(MINIMUM_PAUSE)).await,
             }
             self.release_queued(queue);
         }
--- a/crates/woodladder-node/src/decision_log.rs
+++ b/crates/woodladder-node/src/decision_log.rs
@@ -1,9 +1,9 @@
-//! Log lines for the core's decisions, within a budget for each kind.
+//! Rate-limited log lines for the core's decisions.
 //!
-//! A budget is a token bucket: so many lines a second, with a reserve for
-//! bursts. What is left out is counted and stated with the next line of its
-//! kind, so that a reader knows that lines are missing. Decisions that fail or
-//! move a request have larger budgets than ordinary ones.
+//! Each kind of line has a token bucket: a number of lines per second, with a reserve
+//! for bursts. Lines that are left out are counted, and the next line of the same kind
+//! states the count, so that readers know that lines are missing. Decisions by which a
+//! request fails or moves to another target have a higher limit than ordinary ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,57 +12,59 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::log_event::LogEvent;
 
-/// Lines a second of ordinary decisions of one kind.
-const ORDINARY_RATE: f64 = 200.0;
-/// Lines a second of decisions of one kind that fail or move a request.
-const IMPORTANT_RATE: f64 = 400.0;
-/// Seconds of a rate that may be used at once.
-const RESERVE_SECONDS: f64 = 4.0;
+/// Limit for each kind of ordinary decision, in lines per second.
+const ORDINARY_LINES_PER_SECOND: f64 = 200.0;
+/// Limit for each kind of important decision, in lines per second.
+const IMPORTANT_LINES_PER_SECOND: f64 = 400.0;
+/// Size of a burst: the lines that the limit allows in this many seconds.
+const BURST_SECONDS: f64 = 4.0;
 
-/// How much a line matters.
+/// Importance of a log line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Importance {
-    /// The usual course.
+    /// A step in the normal handling of a request.
     Ordinary,
-    /// A request fails or is moved, or a belief changes.
+    /// A request fails or moves to another target, or the node's knowledge of other nodes,
+    /// targets or settings changes.
     Important,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
     left_out: u64,
 }
 
-/// Budgets of lines by kind.
+/// Rate limits of log lines, by kind.
 #[derive(Clone, Debug, Default)]
-pub struct LineBudget {
-    buckets: BTreeMap<&'static str, Bucket>,
+pub struct LogRateLimiter {
+    buckets: BTreeMap<&'static str, TokenBucket>,
 }
 
-impl LineBudget {
-    /// Whether a line of this kind may be written; when so, how many lines of
-    /// the kind were left out before it.
+impl LogRateLimiter {
+    /// Decides whether a line of this kind may be written. Returns the number of lines of
+    /// the kind that were left out since the last one, or `None` when this line must be
+    /// left out too.
     pub fn allow(
         &mut self,
-        kind: &'static str,
+        event_name: &'static str,
         importance: Importance,
         now: Instant,
     ) -> Option<u64> {
         let rate = match importance {
-            Importance::Ordinary => ORDINARY_RATE,
-            Importance::Important => IMPORTANT_RATE,
+            Importance::Ordinary => ORDINARY_LINES_PER_SECOND,
+            Importance::Important => IMPORTANT_LINES_PER_SECOND,
         };
-        let most = rate * RESERVE_SECONDS;
-        let bucket = self.buckets.entry(kind).or_insert(Bucket {
-            tokens: most,
-            filled_at: now,
+        let capacity = rate * BURST_SECONDS;
+        let bucket = self.buckets.entry(event_name).or_insert(TokenBucket {
+            tokens: capacity,
+            refilled_at: now,
             left_out: 0,
         });
-        let elapsed = now.since(bucket.filled_at).as_secs_f64();
-        bucket.tokens = (bucket.tokens + elapsed * rate).min(most);
-        bucket.filled_at = now;
+        let elapsed = now.since(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed * rate).min(capacity);
+        bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             bucket.left_out += 1;
             return None;
@@ -72,48 +74,52 @@
     }
 }
 
-/// Writes notes as log lines.
+/// Writes the core's log events as log lines.
 #[derive(Debug)]
 pub struct DecisionLog {
     logger: Logger,
-    budget: LineBudget,
+    rate_limiter: LogRateLimiter,
 }
 
 impl DecisionLog {
-    /// A log with full budgets.
+    /// Creates a decision log whose token buckets are full.
     #[must_use]
     pub fn new(logger: Logger) -> Self {
         Self {
             logger,
-            budget: LineBudget::default(),
+            rate_limiter: LogRateLimiter::default(),
         }
     }
 
-    /// Writes notes, and how many the core itself left out.
-    pub fn write(&mut self, notes: Vec<LogEvent>, dropped: u64, now: Instant) {
-        for note in notes {
-            let (kind, importance) = kind_of(&note);
-            if let Some(left_out) = self.budget.allow(kind, importance, now) {
-                self.line(kind, &note, left_out);
+    /// Writes log events. `dropped` is the number of events that the core dropped
+    /// because its buffer was full.
+    pub fn write(&mut self, events: Vec<LogEvent>, dropped: u64, now: Instant) {
+        for event in events {
+            let (event_name, importance) = name_and_importance(&event);
+            if let Some(left_out) = self.rate_limiter.allow(event_name, importance, now) {
+                self.log_event(event_name, &event, left_out);
             }
         }
         if dropped > 0 {
-            warn!(self.logger, "log: decisions left out"; "count" => dropped);
+            warn!(self.logger, "log: decisions dropped before they were logged"; "count" => dropped);
         }
     }
 
-    /// Writes that a request has reached the target.
-    pub fn request(&mut self, flow: &str, request: &str, busy: u16, now: Instant) {
-        let kind = "request_delivered";
-        if let Some(left_out) = self.budget.allow(kind, Importance::Ordinary, now) {
-            info!(self.logger, "agent: request delivered"; "event" => kind,
-                "flow" => flow, "request" => request, "busy" => busy, "left_out" => left_out);
+    /// Logs a request that was handed to the target.
+    pub fn log_delivered_request(&mut self, flow: &str, request_id: &str, busy: u16, now: Instant) {
+        let event_name = "request_delivered";
+        if let Some(left_out) = self
+            .rate_limiter
+            .allow(event_name, Importance::Ordinary, now)
+        {
+            info!(self.logger, "agent: request delivered"; "event" => event_name,
+                "flow" => flow, "request" => request_id, "busy" => busy, "left_out" => left_out);
         }
     }
 
-    fn line(&self, event: &'static str, note: &LogEvent, left_out: u64) {
+    fn log_event(&self, event_name: &'static str, event: &LogEvent, left_out: u64) {
         let log = &self.logger;
-        match note {
+        match event {
             LogEvent::FlowSent {
                 key,
                 agent,
@@ -123,7 +129,7 @@
                 load_age,
                 version,
             } => {
-                info!(log, "balancer: flow sent"; "event" => event, "flow" => %key,
+                info!(log, "balancer: opening sent to a target"; "event" => event_name, "flow" => %key,
                     "agent" => %agent, "copy" => copy, "tried" => tried,
                     "score" => format!("{score:.3}"), "load_age_ms" => milliseconds(*load_age),
                     "version" => version, "left_out" => left_out);
@@ -134,7 +140,7 @@
                 known,
                 version,
             } => {
-                warn!(log, "balancer: no target takes the flow"; "event" => event,
+                warn!(log, "balancer: no target available for the flow"; "event" => event_name,
                     "flow" => %key, "copy" => copy, "known" => known, "version" => version,
                     "left_out" => left_out);
             }
@@ -143,21 +149,21 @@
                 under_way,
                 waiting,
             } => {
-                info!(log, "balancer: opening waits for the link"; "event" => event,
+                info!(log, "balancer: opening deferred until the link has capacity"; "event" => event_name,
                     "flow" => %key, "under_way" => under_way, "waiting" => waiting,
                     "left_out" => left_out);
             }
             LogEvent::OpeningRefusedForLink { key, waited } => {
-                warn!(log, "balancer: opening refused for the link"; "event" => event,
+                warn!(log, "balancer: opening refused for lack of link capacity"; "event" => event_name,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
             LogEvent::PacketReturned { key, agent, reason } => {
-                info!(log, "balancer: packet returned"; "event" => event, "flow" => %key,
+                info!(log, "balancer: packet returned by an agent"; "event" => event_name, "flow" => %key,
                     "agent" => %agent, "reason" => ?reason, "left_out" => left_out);
             }
             LogEvent::SearchStarted { key, asked } => {
-                info!(log, "balancer: flow searched for"; "event" => event, "flow" => %key,
+                info!(log, "balancer: search for a flow started"; "event" => event_name, "flow" => %key,
                     "asked" => asked, "left_out" => left_out);
             }
             LogEvent::FlowLocated {
@@ -166,7 +172,7 @@
                 waited,
                 was_named,
             } => {
-                info!(log, "balancer: flow located"; "event" => event, "flow" => %key,
+                info!(log, "balancer: flow located"; "event" => event_name, "flow" => %key,
                     "agent" => %agent, "waited_ms" => milliseconds(*waited),
                     "was_named" => was_named, "left_out" => left_out);
             }
@@ -178,14 +184,14 @@
                 is_undecided,
                 knows_all,
             } => {
-                warn!(log, "balancer: flow not located yet"; "event" => event, "flow" => %key,
+                warn!(log, "balancer: search for a flow is taking long"; "event" => event_name, "flow" => %key,
                     "waited_ms" => milliseconds(*waited), "agents_open" => open,
                     "awaited" => awaited.map(|agent| agent.to_string()),
                     "is_undecided" => is_undecided, "knows_all" => knows_all,
                     "left_out" => left_out);
             }
             LogEvent::AbsenceProved { key, waited } => {
-                info!(log, "balancer: flow held nowhere"; "event" => event, "flow" => %key,
+                info!(log, "balancer: no target holds the flow"; "event" => event_name, "flow" => %key,
                     "waited_ms" => milliseconds(*waited), "left_out" => left_out);
             }
             LogEvent::FlowReset {
@@ -193,7 +199,7 @@
                 reason,
                 denied,
             } => {
-                warn!(log, "balancer: flow reset"; "event" => event, "flow" => %key,
+                warn!(log, "balancer: flow reset"; "event" => event_name, "flow" => %key,
                     "reason" => reason.name(), "retry_is_safe" => reason.retry_is_safe(),
                     "denied" => denied, "left_out" => left_out);
             }
@@ -203,7 +209,7 @@
                 busy,
                 version,
             } => {
-                info!(log, "agent: flow offered to the target"; "event" => event,
+                info!(log, "agent: opening handed to the target"; "event" => event_name,
                     "flow" => %key, "balancer" => %balancer, "busy" => busy,
                     "version" => version, "left_out" => left_out);
             }
@@ -214,7 +220,7 @@
                 load,
                 expected,
             } => {
-                info!(log, "agent: opening queued"; "event" => event, "flow" => %key,
+                info!(log, "agent: opening queued"; "event" => event_name, "flow" => %key,
                     "balancer" => %balancer, "age_ms" => milliseconds(*age),
                     "busy" => load.busy, "opening" => load.opening, "queued" => load.queued,
                     "expected_ms" => milliseconds(*expected), "left_out" => left_out);
@@ -226,34 +232,35 @@
                 load,
                 expected,
             } => {
-                info!(log, "agent: request on an open flow queued"; "event" => event,
+                info!(log, "agent: request on an open flow queued"; "event" => event_name,
                     "flow" => %key, "urgent" => is_urgent, "busy" => load.busy,
                     "urgent_waiting" => urgent_waiting,
                     "opening" => load.opening, "queued" => load.queued,
                     "expected_ms" => milliseconds(*expected), "left_out" => left_out);
             }
             LogEvent::WorkReleased { key, waited } => {
-                info!(log, "agent: queued work handed over"; "event" => event,
+                info!(log, "agent: queued opening or request handed to the target"; "event" => event_name,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
             LogEvent::RequestGivenUp { key, waited } => {
-                info!(log, "agent: queued request dropped after its timeout"; "event" => event,
+                info!(log, "agent: queued request dropped after its timeout"; "event" => event_name,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
             }
             LogEvent::RequestAnswered { key, service_time } => {
-                debug!(log, "agent: request answered"; "event" => event, "flow" => %key,
+                debug!(log, "agent: request answered"; "event" => event_name, "flow" => %key,
                     "service_ms" => milliseconds(*service_time), "left_out" => left_out);
             }
-            _ => self.belief(event, note, left_out),
+            _ => self.log_state_change(event_name, event, left_out),
         }
     }
 
-    /// A line for a change of what the node believes.
-    fn belief(&self, event: &'static str, note: &LogEvent, left_out: u64) {
+    /// Writes the line of a change in what the node knows of other nodes, targets or
+    /// settings.
+    fn log_state_change(&self, event_name: &'static str, event: &LogEvent, left_out: u64) {
         let log = &self.logger;
-        match note {
+        match event {
             LogEvent::ConfigurationAdopted {
                 version,
                 former,
@@ -261,12 +268,12 @@
                 from,
             } => {
                 let source = from.map_or_else(|| "store".to_owned(), |node| node.to_string());
-                info!(log, "node: configuration adopted"; "event" => event,
+                info!(log, "node: configuration adopted"; "event" => event_name,
                     "version" => version, "former" => former, "routes" => routes,
                     "from" => source, "left_out" => left_out);
             }
             LogEvent::MechanismsChanged { active } => {
-                info!(log, "node: optional mechanisms changed"; "event" => event,
+                info!(log, "node: active optional mechanisms changed"; "event" => event_name,
                     "locates_flows" => active.locates_flows,
                     "orders_requests" => active.orders_requests,
                     "paces_link" => active.paces_link, "left_out" => left_out);
@@ -279,7 +286,7 @@
                 from,
             } => {
                 let source = from.map_or_else(|| "store".to_owned(), |node| node.to_string());
-                info!(log, "node: excluded zones changed"; "event" => event,
+                info!(log, "node: excluded zones changed"; "event" => event_name,
                     "excluded" => excluded, "formerly" => formerly,
                     "own_is_excluded" => own_is_excluded, "revision" => revision,
                     "from" => source, "left_out" => left_out);
@@ -288,12 +295,12 @@
                 reason,
                 incarnation,
             } => {
-                info!(log, "agent: target counts as cold until it tells"; "event" => event,
+                info!(log, "agent: target assumed cold until a heartbeat says otherwise"; "event" => event_name,
                     "doubt" => ?reason, "incarnation" => incarnation.map(|it| it.0),
                     "left_out" => left_out);
             }
             LogEvent::AgentFound { agent } => {
-                info!(log, "balancer: agent found"; "event" => event, "agent" => %agent,
+                info!(log, "balancer: agent found"; "event" => event_name, "agent" => %agent,
                     "left_out" => left_out);
             }
             LogEvent::AgentLost {
@@ -302,13 +309,13 @@
                 unanswered_for,
                 flows,
             } => {
-                warn!(log, "balancer: agent lost"; "event" => event, "agent" => %agent,
+                warn!(log, "balancer: agent lost"; "event" => event_name, "agent" => %agent,
                     "silence_ms" => milliseconds(*silence),
                     "unanswered_for_ms" => milliseconds(*unanswered_for), "flows_reset" => flows,
                     "left_out" => left_out);
             }
             LogEvent::AgentStopped { agent, flows } => {
-                info!(log, "balancer: agent stopped"; "event" => event, "agent" => %agent,
+                info!(log, "balancer: agent stopped"; "event" => event_name, "agent" => %agent,
                     "flows_reset" => flows, "left_out" => left_out);
             }
             LogEvent::TargetReplaced {
@@ -316,7 +323,7 @@
                 ended,
                 flows,
             } => {
-                info!(log, "balancer: target replaced"; "event" => event, "agent" => %agent,
+                info!(log, "balancer: target replaced"; "event" => event_name, "agent" => %agent,
                     "ended" => format!("{:016x}", ended.0), "flows_reset" => flows,
                     "left_out" => left_out);
             }
@@ -325,39 +332,39 @@
                 others_before,
                 confirmed_ago,
             } => {
-                info!(log, "balancer: store watch changed"; "event" => event,
+                info!(log, "balancer: started or stopped watching the store"; "event" => event_name,
                     "watches" => watches, "others_before" => others_before,
                     "confirmed_ago_ms" => confirmed_ago.map(milliseconds),
                     "left_out" => left_out);
             }
             LogEvent::FlowRecording { need, balancers } => {
-                info!(log, "balancer: record of flows changed its use"; "event" => event,
+                info!(log, "balancer: use of the flow record changed"; "event" => event_name,
                     "need" => ?need, "balancers" => balancers, "left_out" => left_out);
             }
             LogEvent::FlowRecordRead { flows, age } => {
-                info!(log, "balancer: record of flows read"; "event" => event,
+                info!(log, "balancer: flow record read"; "event" => event_name,
                     "flows" => flows, "age_ms" => milliseconds(*age), "left_out" => left_out);
             }
             LogEvent::FlowRecordRefused { error } => {
-                warn!(log, "balancer: record of flows not used"; "event" => event,
+                warn!(log, "balancer: flow record rejected"; "event" => event_name,
                     "error" => error.name(), "left_out" => left_out);
             }
             LogEvent::FlowRecordRestored { totals } => {
-                info!(log, "balancer: recorded flows settled"; "event" => event,
+                info!(log, "balancer: state of all recorded flows determined"; "event" => event_name,
                     "recorded" => totals.recorded, "held" => totals.held,
                     "denied" => totals.denied, "superseded" => totals.superseded,
                     "unproven" => totals.unproven, "left_out" => left_out);
             }
             LogEvent::BalancerFound { balancer } => {
-                info!(log, "node: balancer found"; "event" => event, "balancer" => %balancer,
+                info!(log, "node: balancer found"; "event" => event_name, "balancer" => %balancer,
                     "left_out" => left_out);
             }
             LogEvent::BalancerLost { balancer } => {
-                warn!(log, "node: balancer lost"; "event" => event, "balancer" => %balancer,
+                warn!(log, "node: balancer lost"; "event" => event_name, "balancer" => %balancer,
                     "left_out" => left_out);
             }
             LogEvent::Stalled { duration } => {
-                warn!(log, "node: did not run for a while"; "event" => event,
+                warn!(log, "node: process was paused"; "event" => event_name,
                     "pause_ms" => milliseconds(*duration), "left_out" => left_out);
             }
             LogEvent::TargetState {
@@ -366,7 +373,7 @@
                 incarnation,
             } => {
                 let incarnation = incarnation.map(|it| format!("{:016x}", it.0));
-                info!(log, "agent: target changed state"; "event" => event,
+                info!(log, "agent: target changed state"; "event" => event_name,
                     "former" => ?former, "state" => ?state, "incarnation" => incarnation,
                     "left_out" => left_out);
             }
@@ -376,7 +383,7 @@
                 incarnation,
             } => {
                 let incarnation = incarnation.map(|it| format!("{:016x}", it.0));
-                warn!(log, "agent: target judged by its answers"; "event" => event,
+                warn!(log, "agent: target's failure rate crossed the limit"; "event" => event_name,
                     "suspect" => is_suspect, "failed_percent" => failed_percent,
                     "incarnation" => incarnation, "left_out" => left_out);
             }
@@ -385,9 +392,9 @@
     }
 }
 
-fn kind_of(note: &LogEvent) -> (&'static str, Importance) {
+fn name_and_importance(event: &LogEvent) -> (&'static str, Importance) {
     use Importance::{Important, Ordinary};
-    match note {
+    match event {
         LogEvent::FlowSent { tried: 0, .. } => ("flow_sent", Ordinary),
         LogEvent::FlowSent { .. } => ("flow_sent_again", Important),
         LogEvent::FlowWithoutTarget { .. } => ("flow_without_target", Important),
@@ -426,7 +433,7 @@
     }
 }
 
-/// Milliseconds with a fraction.
+/// Converts to milliseconds, with a fraction.
 fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
--- a/crates/woodladder-node/src/http.rs
+++ b/crates/woodladder-node/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the endpoints of a node.
+//! A small HTTP/1.1 server for the endpoints of a node.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,41 +15,41 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Largest body of a request in bytes.
-const MAXIMUM_BODY: usize = 64 << 10;
-/// Longest time for one connection between two of its requests' ends.
+/// Maximum length of a request's body, in bytes.
+const MAXIMUM_BODY_LENGTH: usize = 64 << 10;
+/// Time after which a connection is closed, even while requests use it.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most connections of one listener at a time.
+/// Maximum number of open connections of one listener; further ones are closed at once.
 const MAXIMUM_CONNECTIONS: usize = 256;
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request with its whole body.
+/// A request whose body was received completely.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path without the query.
+    /// Path without the query string.
     pub path: String,
-    /// Query without its question mark; empty when there is none.
+    /// Query string without the question mark; empty when the request has none.
     pub query: String,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
     /// Media type of the body.
     pub content_type: &'static str,
-    /// Body.
+    /// Response body.
     pub body: String,
 }
 
 impl HttpResponse {
-    /// An answer of plain text.
+    /// Creates a plain-text response.
     #[must_use]
     pub fn text(status: StatusCode, body: impl Into<String>) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// An answer of JSON.
+    /// Creates a JSON response.
     #[must_use]
     pub fn json(status: StatusCode, body: impl Into<String>) -> Self {
         Self {
@@ -70,21 +70,22 @@
     }
 }
 
-/// Serves requests until the process ends.
+/// Serves requests with `handle` until the process ends.
 pub async fn serve<F>(listener: TcpListener, handle: impl Fn(HttpRequest) -> F + 'static)
 where
     F: Future<Output = HttpResponse> + 'static,
 {
     let handle = Rc::new(handle);
-    let open = Rc::new(());
+    let open_connections = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= MAXIMUM_CONNECTIONS => {
+            Ok((stream, _)) if Rc::strong_count(&open_connections) <= MAXIMUM_CONNECTIONS => {
                 let handle = Rc::clone(&handle);
-                let open = Rc::clone(&open);
+                let open_connections = Rc::clone(&open_connections);
                 tokio::task::spawn_local(async move {
-                    let _ended = timeout(CONNECTION_TIMEOUT, connection(stream, handle)).await;
-                    drop(open);
+                    let _ended =
+                        timeout(CONNECTION_TIMEOUT, serve_connection(stream, handle)).await;
+                    drop(open_connections);
                 });
             }
             Ok((stream, _)) => drop(stream),
@@ -93,7 +94,7 @@
     }
 }
 
-async fn connection<F>(
+async fn serve_connection<F>(
     stream: TcpStream,
     handle: Rc<impl Fn(HttpRequest) -> F + 'static>,
 ) -> hyper::Result<()>
@@ -119,7 +120,7 @@
     F: Future<Output = HttpResponse>,
 {
     let (head, body) = request.into_parts();
-    let answer = match Limited::new(body, MAXIMUM_BODY).collect().await {
+    let answer = match Limited::new(body, MAXIMUM_BODY_LENGTH).collect().await {
         Ok(body) => {
             let request = HttpRequest {
                 method: head.method,
--- a/crates/woodladder-node/src/lib.rs
+++ b/crates/woodladder-node/src/lib.rs
@@ -1,22 +1,22 @@
-//! Processes of the carrier without tokens.
+//! Balancer and agent processes for platforms whose packets carry no routing token.
 //!
-//! The decisions are in `woodladder_core::flow`; this crate gives them
-//! sockets, time, a store and a log. What differs between platforms comes in
-//! through two traits: [`carrier::Carrier`] reads and writes packets, and
+//! `woodladder_core::flow` makes the decisions; this crate supplies the sockets, the
+//! clock, the store sessions, the logs and the metrics. Two traits cover what differs
+//! between platforms: [`packet_codec::PacketCodec`] decodes and encodes packets, and
 //! [`store::Store`] makes the calls to the platform's store.
 //!
-//! Everything runs on one thread; state is shared by [`std::rc::Rc`].
+//! A node runs on one thread, so its tasks share state through [`std::rc::Rc`].
 
 pub mod agent;
 pub mod balancer;
-pub mod carrier;
+mod datagram_socket;
 pub mod decision_log;
 pub mod http;
 pub mod log;
 pub mod metrics;
 pub mod node_clock;
-pub mod peer_link;
-mod peer_socket;
+pub mod packet_codec;
+pub mod peer_transport;
 pub mod snapshot_exchange;
 pub mod store;
 pub mod tick_timer;
--- a/crates/woodladder-node/src/log.rs
+++ b/crates/woodladder-node/src/log.rs
@@ -1,20 +1,20 @@
-//! Logs: one JSON object a line on standard output, written by a thread of its
-//! own. Records that find its queue full are dropped and counted.
+//! The log of a node: one JSON object per line on standard output. A separate thread
+//! writes it; records that arrive while its queue is full are dropped and counted.
 
 use std::sync::Mutex;
 
 use slog::{Drain, Level, Logger, o};
 use slog_async::OverflowStrategy;
 
-/// Records that may wait for the writer.
+/// Maximum number of records that wait for the writer thread.
 const QUEUE_LENGTH: usize = 2048;
 
-/// Writes the records that still wait when it is dropped.
+/// Keeps the log open; dropping it writes the records that still wait.
 pub struct LogGuard {
     _writer: slog_async::AsyncGuard,
 }
 
-/// Opens the log of a node.
+/// Opens the log of the node with this name.
 pub fn open(level: Level, node: &str) -> (Logger, LogGuard) {
     let json = slog_json::Json::default(std::io::stdout());
     let drain = Mutex::new(json).ignore_res().filter_level(level);
--- a/crates/woodladder-node/src/metrics.rs
+++ b/crates/woodladder-node/src/metrics.rs
@@ -1,76 +1,77 @@
-//! Figures of a node in the text format that scrapers read.
+//! Metrics of a node in the Prometheus text format.
 
 use std::fmt::Write;
 use std::time::Duration;
 
 use woodladder_core::flow::activation::ActiveMechanisms;
 
-/// Upper bounds of a latency histogram's buckets, in seconds.
-const BOUNDS: [f64; 11] = [
+/// Upper bounds of the histogram buckets, in seconds.
+const BUCKET_BOUNDS_SECONDS: [f64; 11] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
 ];
 
-/// A histogram of durations.
+/// A histogram of durations. Its buckets are cumulative: each counts all durations up to
+/// its bound.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LatencyHistogram {
-    buckets: [u64; BOUNDS.len()],
+pub struct DurationHistogram {
+    buckets: [u64; BUCKET_BOUNDS_SECONDS.len()],
     count: u64,
-    sum: f64,
+    sum_seconds: f64,
 }
 
-impl LatencyHistogram {
-    /// Takes one duration in.
+impl DurationHistogram {
+    /// Adds a duration.
     pub fn record(&mut self, duration: Duration) {
         let seconds = duration.as_secs_f64();
         self.count += 1;
-        self.sum += seconds;
-        for (bucket, bound) in self.buckets.iter_mut().zip(BOUNDS) {
+        self.sum_seconds += seconds;
+        for (bucket, bound) in self.buckets.iter_mut().zip(BUCKET_BOUNDS_SECONDS) {
             *bucket += u64::from(seconds <= bound);
         }
     }
 }
 
-/// Builds the text.
+/// Builds the text of a scrape.
 #[derive(Clone, Debug, Default)]
 pub struct MetricsText {
     text: String,
 }
 
 impl MetricsText {
-    /// Adds a total that only grows.
-    pub fn counter(&mut self, name: &str, help: &str, value: u64) {
-        self.head(name, help, "counter");
+    /// Adds a counter.
+    pub fn add_counter(&mut self, name: &str, help: &str, value: u64) {
+        self.add_header(name, help, "counter");
         let _infallible = writeln!(self.text, "woodladder_{name} {value}");
     }
 
-    /// Adds a total for each value of a label.
-    pub fn counters<const N: usize>(
+    /// Adds a counter with one sample for each value of a label.
+    pub fn add_counters<const N: usize>(
         &mut self,
         name: &str,
         help: &str,
         label: &str,
         values: [(&str, u64); N],
     ) {
-        self.head(name, help, "counter");
+        self.add_header(name, help, "counter");
         for (kind, value) in values {
             let _infallible =
                 writeln!(self.text, "woodladder_{name}{{{label}=\"{kind}\"}} {value}");
         }
     }
 
-    /// Adds which optional mechanisms act.
-    pub fn mechanisms(&mut self, active: ActiveMechanisms) {
-        let acts = [
+    /// Adds a gauge that says for each optional mechanism whether it is active.
+    pub fn add_mechanisms(&mut self, active: ActiveMechanisms) {
+        let mechanisms = [
             ("locates_flows", active.locates_flows),
             ("orders_requests", active.orders_requests),
             ("paces_link", active.paces_link),
         ];
-        self.head(
+        self.add_header(
             "mechanism_active",
-            "Whether an optional mechanism acts.",
+            "1 when the optional mechanism is active, otherwise 0.",
             "gauge",
         );
-        for (name, is_active) in acts {
+        for (name, is_active) in mechanisms {
             let value = u8::from(is_active);
             let _infallible = writeln!(
                 self.text,
@@ -79,21 +80,21 @@
         }
     }
 
-    /// Adds a value that may fall.
-    pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
-        self.head(name, help, "gauge");
+    /// Adds a gauge.
+    pub fn add_gauge(&mut self, name: &str, help: &str, value: f64) {
+        self.add_header(name, help, "gauge");
         let _infallible = writeln!(self.text, "woodladder_{name} {value}");
     }
 
-    /// Adds a value that may fall for each value of a label.
-    pub fn gauges<const N: usize>(
+    /// Adds a gauge with one sample for each value of a label.
+    pub fn add_gauges<const N: usize>(
         &mut self,
         name: &str,
         help: &str,
         label: &str,
         values: [(&str, f64); N],
     ) {
-        self.head(name, help, "gauge");
+        self.add_header(name, help, "gauge");
         for (kind, value) in values {
             let _infallible =
                 writeln!(self.text, "woodladder_{name}{{{label}=\"{kind}\"}} {value}");
@@ -101,30 +102,32 @@
     }
 
     /// Adds a histogram.
-    pub fn histogram(&mut self, name: &str, help: &str, histogram: &LatencyHistogram) {
-        self.head(name, help, "histogram");
-        for (count, bound) in histogram.buckets.iter().zip(BOUNDS) {
+    pub fn add_histogram(&mut self, name: &str, help: &str, histogram: &DurationHistogram) {
+        self.add_header(name, help, "histogram");
+        for (count, bound) in histogram.buckets.iter().zip(BUCKET_BOUNDS_SECONDS) {
             let _infallible = writeln!(
                 self.text,
                 "woodladder_{name}_bucket{{le=\"{bound}\"}} {count}"
             );
         }
-        let LatencyHistogram { count, sum, .. } = histogram;
+        let DurationHistogram {
+            count, sum_seconds, ..
+        } = histogram;
         let _infallible = writeln!(
             self.text,
             "woodladder_{name}_bucket{{le=\"+Inf\"}} {count}\n\
-             woodladder_{name}_sum {sum}\n\
+             woodladder_{name}_sum {sum_seconds}\n\
              woodladder_{name}_count {count}"
         );
     }
 
-    /// The text.
+    /// Returns the text.
     #[must_use]
     pub fn finish(self) -> String {
         self.text
     }
 
-    fn head(&mut self, name: &str, help: &str, kind: &str) {
+    fn add_header(&mut self, name: &str, help: &str, kind: &str) {
         let _infallible = writeln!(
             self.text,
             "# HELP woodladder_{name} {help}\n# TYPE woodladder_{name} {kind}"
@@ -132,13 +135,14 @@
     }
 }
 
-/// A count as a metric.
-pub(crate) fn count(value: usize) -> f64 {
+/// Converts a count to the type of metric values; infinity when it needs more than 32
+/// bits.
+pub(crate) fn usize_value(value: usize) -> f64 {
     u32::try_from(value).map_or(f64::INFINITY, f64::from)
 }
 
-/// A version as a metric; exact up to two to the power of 53.
+/// Converts a number to the type of metric values; exact up to 2^53.
 #[allow(clippy::cast_precision_loss)]
-pub(crate) fn wide(value: u64) -> f64 {
+pub(crate) fn u64_value(value: u64) -> f64 {
     value as f64
 }
--- a/crates/woodladder-node/src/node_clock.rs
+++ b/crates/woodladder-node/src/node_clock.rs
@@ -1,38 +1,42 @@
-//! The steady clock of the process as the core counts time.
+//! The monotonic clock of a process, in the core's unit of time.
 
 use std::time::{Duration, Instant as SystemInstant, SystemTime, UNIX_EPOCH};
 
 use woodladder_core::clock::Instant;
 
-/// What the clock shows at the start of the process, so that times before it
-/// can be told: a packet's first copy may be older than the process.
-const HEAD_START: Duration = Duration::from_secs(3600);
+/// Time that the clock shows when the process starts. It is above zero so that earlier
+/// instants can be expressed: a caller may have sent the first copy of a packet before
+/// the process started.
+const INITIAL_TIME: Duration = Duration::from_secs(3600);
 
-/// Time since [`HEAD_START`] before the start of the process.
+/// A monotonic clock that shows [`INITIAL_TIME`] when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
-    origin: SystemInstant,
+    started_at: SystemInstant,
 }
 
 impl NodeClock {
-    /// A clock that begins now.
+    /// Creates the clock.
     #[must_use]
     pub fn start() -> Self {
         Self {
-            origin: SystemInstant::now(),
+            started_at: SystemInstant::now(),
         }
     }
 
-    /// The time of day of the machine, in milliseconds since 1970; it may be wrong.
+    /// Returns the machine's wall-clock time in milliseconds since the Unix epoch. It may
+    /// be wrong and may jump.
     #[must_use]
-    pub fn time_of_day(&self) -> u64 {
+    pub fn unix_time_ms(&self) -> u64 {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
-        since_1970.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX))
+        since_1970.map_or(0, |elapsed| {
+            u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
+        })
     }
 
-    /// The time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Instant {
-        Instant::from_origin(HEAD_START + self.origin.elapsed())
+        Instant::from_origin(INITIAL_TIME + self.started_at.elapsed())
     }
 }
--- a/crates/woodladder-node/src/snapshot_exchange.rs
+++ b/crates/woodladder-node/src/snapshot_exchange.rs
@@ -1,5 +1,7 @@
-//! Snapshots between nodes: one request and one answer over a stream, each a
-//! length of four bytes and a borsh value.
+//! Transfer of snapshots between nodes over TCP.
+//!
+//! A connection carries one request and one answer. Each is a borsh value behind its
+//! length, which is a 32-bit big-endian number.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -13,25 +15,26 @@
 use tokio::time::{sleep, timeout};
 use woodladder_core::flow::message::{Snapshot, SnapshotRequest};
 
-/// Longest time that one exchange takes.
+/// Time limit for one exchange.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Largest request in bytes.
-const MAXIMUM_REQUEST: usize = 64;
-/// Largest answer in bytes.
-const MAXIMUM_ANSWER: usize = 8 << 20;
-/// Most exchanges answered at a time. All nodes ask the few that the settings name
-/// when everything starts; one that is turned away asks the next that it hears of.
-/// Without a bound the descriptors of a small machine are used up at some 4,000
-/// nodes (168 exchanges at once were seen at 300).
+/// Maximum length of a request, in bytes.
+const MAXIMUM_REQUEST_LENGTH: usize = 64;
+/// Maximum length of an answer, in bytes.
+const MAXIMUM_ANSWER_LENGTH: usize = 8 << 20;
+/// Maximum number of exchanges that a node answers at the same time. When a whole cluster
+/// starts, all nodes ask the few that the settings name; a node that is refused asks the
+/// next one that it hears from. Without a limit a small machine runs out of file
+/// descriptors at about 4,000 nodes: with 300 nodes, 168 exchanges at once were seen.
 pub const MAXIMUM_EXCHANGES: usize = 128;
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Asks a node for a snapshot.
+/// Requests a snapshot from a node.
 ///
 /// # Errors
-/// The system's error, a timeout, or [`io::ErrorKind::InvalidData`]; asking
-/// again is safe after each.
+/// Returns the I/O error of the connection, [`io::ErrorKind::TimedOut`], or
+/// [`io::ErrorKind::InvalidData`] when the answer cannot be decoded. The request can be
+/// repeated after each of them.
 pub async fn fetch(from: SocketAddrV4, request: SnapshotRequest) -> io::Result<Snapshot> {
     timeout(EXCHANGE_TIMEOUT, exchange(from, request))
         .await
@@ -40,14 +43,14 @@
 
 async fn exchange(from: SocketAddrV4, request: SnapshotRequest) -> io::Result<Snapshot> {
     let mut stream = TcpStream::connect(SocketAddr::V4(from)).await?;
-    write_value(&mut stream, &request).await?;
-    let bytes = read_bytes(&mut stream, MAXIMUM_ANSWER).await?;
+    write_frame(&mut stream, &request).await?;
+    let bytes = read_frame(&mut stream, MAXIMUM_ANSWER_LENGTH).await?;
     borsh::from_slice(&bytes)
 }
 
-/// Answers other nodes until the process ends. At most one exchange for each
-/// connection, each bounded in time, and at most [`MAXIMUM_EXCHANGES`] at a time:
-/// further connections are closed at once.
+/// Answers other nodes' requests until the process ends: one exchange for each connection,
+/// within a time limit. While [`MAXIMUM_EXCHANGES`] are in progress, further connections
+/// are closed at once.
 pub async fn serve(listener: TcpListener, answer: impl Fn(&SnapshotRequest) -> Snapshot + 'static) {
     let answer = Rc::new(answer);
     let exchanges = Arc::new(Semaphore::new(MAXIMUM_EXCHANGES));
@@ -60,7 +63,7 @@
                 let answer = Rc::clone(&answer);
                 tokio::task::spawn_local(async move {
                     let _exchange = exchange;
-                    // The asking node tries again elsewhere.
+                    // The requesting node tries another node after a failure.
                     let _failed = timeout(EXCHANGE_TIMEOUT, respond(stream, &*answer)).await;
                 });
             }
@@ -73,13 +76,13 @@
     mut stream: TcpStream,
     answer: &impl Fn(&SnapshotRequest) -> Snapshot,
 ) -> io::Result<()> {
-    let bytes = read_bytes(&mut stream, MAXIMUM_REQUEST).await?;
+    let bytes = read_frame(&mut stream, MAXIMUM_REQUEST_LENGTH).await?;
     let request: SnapshotRequest = borsh::from_slice(&bytes)?;
-    write_value(&mut stream, &answer(&request)).await?;
+    write_frame(&mut stream, &answer(&request)).await?;
     stream.shutdown().await
 }
 
-async fn write_value(stream: &mut TcpStream, value: &impl borsh::BorshSerialize) -> io::Result<()> {
+async fn write_frame(stream: &mut TcpStream, value: &impl borsh::BorshSerialize) -> io::Result<()> {
     let body = borsh::to_vec(value)?;
     let length = u32::try_from(body.len()).map_err(|_| io::ErrorKind::InvalidData)?;
     let mut bytes = length.to_be_bytes().to_vec();
@@ -87,10 +90,10 @@
     stream.write_all(&bytes).await
 }
 
-async fn read_bytes(stream: &mut TcpStream, most: usize) -> io::Result<Vec<u8>> {
+async fn read_frame(stream: &mut TcpStream, maximum_length: usize) -> io::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
     let length = usize::try_from(length).map_err(|_| io::ErrorKind::InvalidData)?;
-    if length > most {
+    if length > maximum_length {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = vec![0; length];
--- a/crates/woodladder-node/src/store.rs
+++ b/crates/woodladder-node/src/store.rs
@@ -1,4 +1,4 @@
-//! Sessions with the store: the core says what is called and when.
+//! Sessions with the store. The core decides which call to make and when.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -15,60 +15,62 @@
 
 use crate::node_clock::NodeClock;
 
-/// Makes calls to the platform's store, one after the other.
+/// A session with the platform's store, which makes one call at a time.
 pub trait Store {
-    /// Carries a call out. Each call has an end of its own in time.
+    /// Makes a call. Implementations limit how long a call may take.
     fn call(&mut self, call: StoreCall) -> impl Future<Output = StoreReply>;
 }
 
-/// Keeps the configuration and the excluded zones up to date until the process ends. `wait` says how
-/// long a watch may wait, and `None` while this node need not watch. `answered`
-/// takes each answer of the store.
+/// Keeps the configuration and the excluded zones up to date until the process ends.
+/// `watch_wait` returns how long one watch call may wait, or `None` while this node need
+/// not watch. `on_state` gets each state that the store returns.
 pub async fn watch_configuration(
     mut store: impl Store,
     seed: u64,
     clock: NodeClock,
-    contact: Rc<StoreContact>,
-    wait: impl Fn() -> Option<Duration>,
-    mut answered: impl FnMut(OperatorState),
+    stats: Rc<StoreCallStats>,
+    watch_wait: impl Fn() -> Option<Duration>,
+    mut on_state: impl FnMut(OperatorState),
 ) {
     let mut watch = ConfigurationWatch::new(seed, clock.now());
     loop {
-        match watch.next(wait(), clock.now()) {
+        match watch.next(watch_wait(), clock.now()) {
             NextCall::At(at) => sleep(at.since(clock.now())).await,
             NextCall::Now(call) => {
-                contact.count(&call);
+                stats.count_call(&call);
                 let reply = store.call(call).await;
-                contact.note(&reply);
+                stats.record_reply(&reply);
                 if let Some(state) = watch.reply(reply, clock.now()) {
-                    answered(state);
+                    on_state(state);
                 }
             }
         }
     }
 }
 
-/// Keeps the entry of a balancer alive until the process ends, while it is
-/// `wanted`.
-pub async fn keep_registered(
+/// Maintains the balancer's entry in the store, while `should_register` says so, until
+/// the process ends. `shutdown` wakes the task for the end of the registration.
+pub async fn maintain_registration(
     mut store: impl Store,
     clock: NodeClock,
-    contact: Rc<StoreContact>,
+    stats: Rc<StoreCallStats>,
     registration: Rc<RefCell<BalancerRegistration>>,
-    leaving: Rc<tokio::sync::Notify>,
-    wanted: impl Fn() -> bool,
+    shutdown: Rc<tokio::sync::Notify>,
+    should_register: impl Fn() -> bool,
 ) {
     loop {
-        let next = registration.borrow_mut().next(wanted(), clock.now());
+        let next = registration
+            .borrow_mut()
+            .next(should_register(), clock.now());
         match next {
             NextCall::At(at) => {
                 tokio::select! {
                     () = sleep(at.since(clock.now())) => {}
-                    () = leaving.notified() => {}
+                    () = shutdown.notified() => {}
                 }
             }
             NextCall::Now(call) => {
-                contact.count(&call);
+                stats.count_call(&call);
                 let reply = store.call(call).await;
                 registration.borrow_mut().reply(&reply, clock.now());
             }
@@ -76,132 +78,140 @@
     }
 }
 
-/// Finds balancers in the store until the process ends.
-pub async fn list_balancers(
+/// Looks for balancers in the store until the process ends. `need` returns what the list
+/// is needed for; `on_listed` gets each list that the store returns.
+pub async fn discover_balancers(
     mut store: impl Store,
-    mut list: BalancerDiscovery,
+    mut discovery: BalancerDiscovery,
     clock: NodeClock,
-    contact: Rc<StoreContact>,
+    stats: Rc<StoreCallStats>,
     need: impl Fn() -> ListNeed,
-    mut listed: impl FnMut(&[NodeAddress]),
+    mut on_listed: impl FnMut(&[NodeAddress]),
 ) {
-    /// Longest sleep, so that a change of what is heard is noticed.
-    const LOOK_AGAIN: std::time::Duration = std::time::Duration::from_millis(500);
+    /// Interval at which the need is checked, because it changes with the balancers
+    /// that the node hears from.
+    const NEED_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
     loop {
-        list.set_need(need(), clock.now());
-        match list.next(clock.now()) {
-            NextCall::At(at) => sleep(at.since(clock.now()).min(LOOK_AGAIN)).await,
+        discovery.set_need(need(), clock.now());
+        match discovery.next(clock.now()) {
+            NextCall::At(at) => sleep(at.since(clock.now()).min(NEED_CHECK_INTERVAL)).await,
             NextCall::Now(call) => {
-                contact.count(&call);
+                stats.count_call(&call);
                 let reply = store.call(call).await;
-                let balancers = list.reply(reply, clock.now());
-                listed(&balancers);
+                let balancers = discovery.reply(reply, clock.now());
+                on_listed(&balancers);
             }
         }
     }
 }
 
-/// Keeps the record of a balancer's flows until the process ends. `next` says what
-/// is called, and `answered` takes each reply.
-pub async fn keep_flow_record(
+/// Maintains a balancer's flow record in the store until the process ends. `next_call`
+/// returns the next call, `on_reply` gets each reply, and `wakeup` makes the task ask for
+/// the next call at once.
+pub async fn maintain_flow_record(
     mut store: impl Store,
     clock: NodeClock,
-    contact: Rc<StoreContact>,
-    leaving: Rc<tokio::sync::Notify>,
-    mut next: impl FnMut() -> NextCall,
-    mut answered: impl FnMut(StoreReply),
+    stats: Rc<StoreCallStats>,
+    wakeup: Rc<tokio::sync::Notify>,
+    mut next_call: impl FnMut() -> NextCall,
+    mut on_reply: impl FnMut(StoreReply),
 ) {
     loop {
-        match next() {
+        match next_call() {
             NextCall::At(at) => {
                 tokio::select! {
                     () = sleep(at.since(clock.now())) => {}
-                    () = leaving.notified() => {}
+                    () = wakeup.notified() => {}
                 }
             }
             NextCall::Now(call) => {
-                contact.count(&call);
-                answered(store.call(call).await);
+                stats.count_call(&call);
+                on_reply(store.call(call).await);
             }
         }
     }
 }
 
-/// Whether the store answers, for logs and metrics.
+/// Counters of calls to the store, and whether it is reachable, for logs and metrics.
 #[derive(Debug, Default)]
-pub struct StoreContact {
-    state: std::cell::Cell<ContactState>,
-    changed: std::cell::Cell<Option<bool>>,
+pub struct StoreCallStats {
+    replies: std::cell::Cell<ReplyStats>,
+    reachability_change: std::cell::Cell<Option<bool>>,
     calls: std::cell::Cell<[u64; CALL_KINDS.len()]>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ContactState {
+struct ReplyStats {
     answers: u64,
     failures: u64,
     refusals: u64,
-    is_reached: Option<bool>,
+    is_reachable: Option<bool>,
 }
 
-impl StoreContact {
-    /// Counts a call.
-    pub fn count(&self, call: &StoreCall) {
+impl StoreCallStats {
+    /// Counts a call that is about to be made.
+    pub fn count_call(&self, call: &StoreCall) {
         let mut calls = self.calls.get();
         calls[call.kind_index()] += 1;
         self.calls.set(calls);
     }
 
-    /// Calls by kind.
+    /// Returns the number of calls of each kind.
     #[must_use]
-    pub fn calls(&self) -> [(&'static str, u64); CALL_KINDS.len()] {
+    pub fn calls_by_kind(&self) -> [(&'static str, u64); CALL_KINDS.len()] {
         let calls = self.calls.get();
         std::array::from_fn(|index| (CALL_KINDS[index], calls[index]))
     }
 
-    /// Writes one line with the calls since the start of the node, whose role goes
-    /// before it.
-    pub fn log(&self, role: &str, logger: &Logger) {
-        let calls = self.calls().into_iter().filter(|(_, count)| *count > 0);
-        let words: Vec<String> = calls
+    /// Logs the number of calls of each kind since the start of the node. `role`, such as
+    /// `agent`, is the prefix of the line.
+    pub fn log_calls(&self, role: &str, logger: &Logger) {
+        let calls = self
+            .calls_by_kind()
+            .into_iter()
+            .filter(|(_, count)| *count > 0);
+        let counts: Vec<String> = calls
             .map(|(kind, count)| format!("{kind}={count}"))
             .collect();
-        info!(logger, "{}: calls of the store", role; "event" => "store_calls",
-            "calls" => words.join(" "));
+        info!(logger, "{}: calls to the store", role; "event" => "store_calls",
+            "calls" => counts.join(" "));
     }
 
-    /// Takes a reply in.
-    pub fn note(&self, reply: &StoreReply) {
-        let mut state = self.state.get();
-        let reached = match reply {
+    /// Counts a reply and notes whether the store became reachable or unreachable. A store
+    /// that refuses calls counts as unreachable.
+    pub fn record_reply(&self, reply: &StoreReply) {
+        let mut replies = self.replies.get();
+        let is_reachable = match reply {
             StoreReply::NoAnswer => {
-                state.failures += 1;
+                replies.failures += 1;
                 false
             }
             StoreReply::Refused => {
-                state.refusals += 1;
+                replies.refusals += 1;
                 false
             }
             _ => {
-                state.answers += 1;
+                replies.answers += 1;
                 true
             }
         };
-        if state.is_reached != Some(reached) {
-            state.is_reached = Some(reached);
-            self.changed.set(Some(reached));
+        if replies.is_reachable != Some(is_reachable) {
+            replies.is_reachable = Some(is_reachable);
+            self.reachability_change.set(Some(is_reachable));
         }
-        self.state.set(state);
+        self.replies.set(replies);
     }
 
-    /// Whether the store was reached or lost since the last call.
-    pub fn take_change(&self) -> Option<bool> {
-        self.changed.take()
+    /// Returns whether the store is reachable now, if that has changed since the last call
+    /// of this method.
+    pub fn take_reachability_change(&self) -> Option<bool> {
+        self.reachability_change.take()
     }
 
-    /// Answers, refusals and calls without an answer.
+    /// Returns the numbers of calls that were answered, refused and left without an answer.
     #[must_use]
     pub fn totals(&self) -> (u64, u64, u64) {
-        let state = self.state.get();
-        (state.answers, state.refusals, state.failures)
+        let replies = self.replies.get();
+        (replies.answers, replies.refusals, replies.failures)
     }
 }
--- a/crates/woodladder-node/tests/snapshot_exchange.rs
+++ b/crates/woodladder-node/tests/snapshot_exchange.rs
@@ -1,4 +1,4 @@
-//! Snapshots over real connections on loopback.
+//! Snapshot transfer over TCP connections on loopback.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -12,7 +12,7 @@
     wants_nodes: true,
 };
 
-async fn listener() -> (TcpListener, SocketAddrV4) {
+async fn bind_listener() -> (TcpListener, SocketAddrV4) {
     let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let listener = TcpListener::bind(any).await.expect("a port");
     match listener.local_addr().expect("its address") {
@@ -21,7 +21,7 @@
     }
 }
 
-fn known() -> Snapshot {
+fn sample_snapshot() -> Snapshot {
     Snapshot {
         knows_all_agents: true,
         ..Snapshot::default()
@@ -29,24 +29,24 @@
 }
 
 #[tokio::test]
-async fn a_node_answers_a_bounded_number_at_a_time_and_the_others_at_once() {
+async fn exchanges_beyond_the_limit_are_refused_at_once() {
     LocalSet::new()
         .run_until(async {
-            let (listener, address) = listener().await;
-            spawn_local(serve(listener, |_| known()));
-            let mut silent = Vec::new();
+            let (listener, address) = bind_listener().await;
+            spawn_local(serve(listener, |_| sample_snapshot()));
+            let mut idle_connections = Vec::new();
             for _ in 0..MAXIMUM_EXCHANGES {
-                silent.push(TcpStream::connect(address).await.expect("connected"));
+                idle_connections.push(TcpStream::connect(address).await.expect("connected"));
             }
-            let turned_away = fetch(address, REQUEST).await.expect_err("too many");
-            assert_ne!(turned_away.kind(), std::io::ErrorKind::TimedOut);
+            let error = fetch(address, REQUEST).await.expect_err("too many");
+            assert_ne!(error.kind(), std::io::ErrorKind::TimedOut);
 
-            drop(silent);
+            drop(idle_connections);
             let mut answer = fetch(address, REQUEST).await;
             while answer.is_err() {
                 answer = fetch(address, REQUEST).await;
             }
-            assert_eq!(answer.expect("an answer"), known());
+            assert_eq!(answer.expect("an answer"), sample_snapshot());
         })
         .await;
 }
