--- a/crates/woodladder-node/src/node_clock.rs
+++ b/crates/woodladder-node/src/node_clock.rs
@@ -9,7 +9,7 @@
 /// the process started.
 const INITIAL_TIME: Duration = Duration::from_secs(3600);
 
-/// A monotonic clock that shows [`INITIAL_TIME`] when it is created.
+/// A monotonic clock that shows `INITIAL_TIME` when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
     started_at: SystemInstant,
