--- a/crates/woodladder-core/src/flow/balancer/decision.rs
+++ b/crates/woodladder-core/src/flow/balancer/decision.rs
@@ -1,5 +1,5 @@
-//! What a balancer is set up with, what it decides for the shell to carry out,
-//! and its running totals.
+//! Options of a balancer, the actions that it asks its shell to carry out, and its
+//! counters.
 
 use std::time::Duration;
 
@@ -11,115 +11,119 @@
 /// Settings of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerOptions {
-    /// Its address for other nodes.
+    /// Address at which other nodes reach it.
     pub address: NodeAddress,
-    /// Zone of the machine.
+    /// Zone that its machine is in.
     pub zone: ZoneKey,
-    /// Processor that it may use, in thousandths of a core.
+    /// CPU that the balancer may use, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Rate of its machine's link in each direction, in kilobits a second; `None`
-    /// when it is not known.
+    /// Rate of the machine's network link in each direction, in kilobits a second;
+    /// `None` when it is not known.
     pub link_rate_kbps: Option<u32>,
-    /// Most flows in the table.
+    /// Maximum number of flows in the table.
     pub flow_capacity: usize,
-    /// Least time that a flow at rest stays in the table.
+    /// Minimum time that an idle flow stays in the table.
     pub flow_retention: Duration,
 }
 
 impl BalancerOptions {
-    /// Processor that it can use for forwarding, in thousandths of a core.
+    /// CPU that the balancer can use for forwarding, in thousandths of a core. A slow
+    /// link lowers it.
     #[must_use]
     pub fn usable_cpu_millicores(&self) -> u32 {
         usable_capacity(self.cpu_millicores, self.link_rate_kbps)
     }
 }
 
-/// What the shell carries out.
+/// An action that the shell has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BalancerAction {
-    /// Send a message.
+    /// Send a message to another node.
     Send {
-        /// Receiver.
+        /// Node that receives the message.
         to: NodeAddress,
         /// The message.
         message: PeerMessage,
     },
-    /// Send a packet to an agent.
+    /// Forward a caller's packet to an agent.
     Forward {
-        /// The agent.
+        /// Agent that receives the packet.
         to: NodeAddress,
-        /// What goes before the packet.
+        /// Header that precedes the packet.
         header: ForwardHeader,
         /// The packet.
         packet: Vec<u8>,
     },
-    /// Hand a caller's packet to a larger balancer.
+    /// Relay a caller's packet to a larger balancer, which decides about it.
     Relay {
-        /// The balancer.
+        /// Balancer that receives the packet.
         to: NodeAddress,
         /// The packet.
         packet: Vec<u8>,
     },
-    /// Reset a flow towards its caller.
+    /// Send the caller a reset of its flow.
     Reset(CallerReset),
-    /// Ask a node for a snapshot and pass it to [`Balancer::handle_snapshot`].
+    /// Request a snapshot from a node and pass the answer to
+    /// [`super::Balancer::handle_snapshot`].
     FetchSnapshot {
-        /// The node.
+        /// Node to request it from.
         from: NodeAddress,
         /// The request.
         request: SnapshotRequest,
     },
 }
 
-/// Running totals.
+/// Counters since the balancer's start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct BalancerCounters {
-    /// Packets from callers.
+    /// Packets received from callers.
     pub caller_packets: u64,
-    /// Openings sent to a target for the first time.
+    /// Flows whose opening was sent to a first target.
     pub flows_opened: u64,
-    /// Openings sent to a further target.
+    /// Openings that were sent to another target after the first.
     pub flows_reopened: u64,
-    /// Packets of flows that were in the table.
+    /// Packets of open flows that the table listed with their target.
     pub established_packets: u64,
-    /// Packets of flows that were searched for.
+    /// Packets of flows whose target had to be searched for.
     pub searched_packets: u64,
-    /// Packets that agents gave back.
+    /// Packets that agents returned.
     pub returned_packets: u64,
-    /// Resets without a route.
+    /// Resets because the address has no route.
     pub reset_no_route: u64,
-    /// Resets without a target.
+    /// Resets because no target could take the flow.
     pub reset_no_target: u64,
     /// Resets because the target has ended.
     pub reset_target_ended: u64,
-    /// Resets because no target holds the flow.
+    /// Resets because every agent denied that its target holds the flow.
     pub reset_held_nowhere: u64,
-    /// Resets because the target that held the flow, as was recorded, does not.
+    /// Resets because the agent that the flow record names as the holder denied the
+    /// flow.
     pub reset_holder_denied: u64,
-    /// Packets handed to larger balancers.
+    /// Packets relayed to larger balancers.
     pub relayed_packets: u64,
-    /// Packets that smaller balancers have handed on.
+    /// Packets relayed here by smaller balancers.
     pub relayed_packets_received: u64,
-    /// Agents asked whether they live.
+    /// Probes sent to agents to learn whether they are alive.
     pub agent_probes: u64,
-    /// Packets of searches handed to agents that could not tell without one.
+    /// Packets sent to agents that could not tell without one whether their target
+    /// holds the flow.
     pub search_packets: u64,
-    /// Openings that had to wait because the link was shared by enough flows.
+    /// Openings that were deferred because enough flows already shared the link.
     pub openings_deferred_for_link: u64,
-    /// Openings refused because their turn on the link came too late.
+    /// Openings refused because the link stayed busy until it was too late for them.
     pub openings_refused_for_link: u64,
-    /// Packets dropped.
+    /// Packets dropped without an answer, and messages that a balancer does not handle.
     pub dropped_packets: u64,
-    /// Searches that began with agents that tell the flow.
+    /// Searches that could begin with agents that had announced the flow.
     pub searches_by_list: u64,
-    /// Flows found at an agent that had told them.
+    /// Flows located at an agent that had announced them.
     pub flows_located_by_list: u64,
-    /// Flows found by questions to all agents.
+    /// Flows located by querying all agents.
     pub flows_located_by_query: u64,
-    /// Questions about unknown flows sent to agents.
+    /// Queries about unknown flows sent to agents.
     pub search_queries: u64,
-    /// Questions about one flow that were put off to spare the processor.
+    /// Queries about a flow that were deferred to limit the load on CPU and link.
     pub search_queries_deferred: u64,
-    /// Lists of flows asked for.
+    /// Requests for an agent's list of flows.
     pub flow_lists_requested: u64,
 }
--- a/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
@@ -1,5 +1,5 @@
-//! The balancer's record of held flows at the store, and what becomes of the flows
-//! of an earlier record.
+//! Records of held flows in the store: the record that this balancer keeps, and the
+//! flows of the record that it wrote before its restart.
 
 mod recording;
 mod restoring;
@@ -9,28 +9,28 @@
 use crate::flow::flow_record::{RecordNeed, RecordRestorer, RecordSession, RestoreTotals};
 use crate::flow::identity::{NodeAddress, address_hash};
 
-/// Totals of the record, for metrics.
+/// Figures of the flow records, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FlowRecordCounters {
-    /// Records written.
+    /// Number of records written.
     pub writes: u64,
-    /// Flows in the last one.
+    /// Flows in the last record written.
     pub last_record_flows: u64,
-    /// Bytes of the last one.
+    /// Size of the last record written, in bytes.
     pub last_record_bytes: u64,
-    /// Age of the record that was read at the start, in milliseconds.
+    /// Age, in milliseconds, of the record that was read at the start.
     pub restored_record_age_ms: u64,
 }
 
-/// The record that is kept and the one that was read.
+/// State of the record being kept and of the record being restored.
 #[derive(Clone, Debug)]
 pub(crate) struct FlowRecords {
     session: RecordSession,
     restorer: RecordRestorer,
     counters: FlowRecordCounters,
-    /// The last period, or that there was none, as far as it was noted.
-    noted_need: RecordNeed,
-    asked_this_tick: usize,
+    /// The need that was last written to the log.
+    logged_need: RecordNeed,
+    queried_this_tick: usize,
 }
 
 impl FlowRecords {
@@ -39,8 +39,8 @@
             session: RecordSession::new(address_hash(address), now),
             restorer: RecordRestorer::default(),
             counters: FlowRecordCounters::default(),
-            noted_need: RecordNeed::Nothing,
-            asked_this_tick: 0,
+            logged_need: RecordNeed::Nothing,
+            queried_this_tick: 0,
         }
     }
 
@@ -50,15 +50,15 @@
 }
 
 impl Balancer {
-    /// Totals of the record.
+    /// Figures of the flow records.
     #[must_use]
     pub fn record_counters(&self) -> FlowRecordCounters {
-        self.records.counters
+        self.flow_records.counters
     }
 
     /// What became of the flows that were recorded before the balancer's start.
     #[must_use]
     pub fn restore_totals(&self) -> RestoreTotals {
-        self.records.restorer.totals()
+        self.flow_records.restorer.totals()
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
@@ -1,5 +1,5 @@
-//! The flows of an earlier record: questions to their agents, and what follows from the
-//! answers.
+//! Restores the flows of the record that was written before a restart: queries their
+//! agents and acts on the answers.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::flow::message::{MAXIMUM_KEYS, PeerMessage, TargetReport};
 use crate::flow::packet::{FlowPacket, ResetReason};
 
-/// Flows asked for between two ticks. Each may be answered by a reset, of some 30
-/// microseconds.
-const ASKED_A_TICK: usize = 256;
+/// Maximum number of recorded flows queried between two ticks. Each may be answered by
+/// a reset, which takes some 30 microseconds.
+const MAXIMUM_QUERIED_PER_TICK: usize = 256;
 
 impl Balancer {
-    pub(super) fn take_record(
+    pub(super) fn restore_record(
         &mut self,
         record: &FlowRecord,
         time_of_day: u64,
@@ -24,92 +24,92 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         let age_ms = time_of_day.saturating_sub(record.written_at_ms);
-        self.records.counters.restored_record_age_ms = age_ms;
-        self.records.restorer.load(record, now);
-        self.notes.add(LogEvent::FlowRecordRead {
+        self.flow_records.counters.restored_record_age_ms = age_ms;
+        self.flow_records.restorer.load(record, now);
+        self.log_events.add(LogEvent::FlowRecordRead {
             flows: record.len(),
             age: Duration::from_millis(age_ms),
         });
-        // Agents may have been heard before: their next report may be long in coming.
+        // Agents that reported before the record was read may not report again for a
+        // long time.
         for agent in self.directory.agents() {
             let knowledge = AgentKnowledge {
                 knows_all_flows: false,
                 incarnation: agent.incarnation,
             };
-            self.records
+            self.flow_records
                 .restorer
                 .update_agent_knowledge(agent.address, knowledge);
         }
         self.probe_recorded_agents(now, actions);
-        self.ask_recorded_flows(now, actions);
+        self.query_recorded_flows(now, actions);
     }
 
-    /// After a start of everything the agents know only the balancers of their settings,
-    /// which may be the last to start.
+    /// Probes the agents that the record names. After a restart of the whole
+    /// deployment, agents know only the balancers of their settings, which may be the
+    /// last to start.
     fn probe_recorded_agents(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        for to in self.records.restorer.agents_to_probe(now) {
+        for to in self.flow_records.restorer.agents_to_probe(now) {
             self.counters.agent_probes += 1;
             let message = PeerMessage::Probe;
             actions.push(BalancerAction::Send { to, message });
         }
     }
 
-    /// An agent has reported: it is asked for the flows that it held.
-    pub(crate) fn recorded_agent_heard(
+    /// Handles a report: an agent that was awaited is queried about its recorded flows.
+    pub(crate) fn handle_recorded_agent_report(
         &mut self,
         agent: NodeAddress,
         report: &TargetReport,
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        if self.records.restorer.awaits(agent) {
+        if self.flow_records.restorer.awaits(agent) {
             let knowledge = AgentKnowledge {
                 knows_all_flows: report.knows_all_flows,
                 incarnation: report.incarnation,
             };
-            self.records
+            self.flow_records
                 .restorer
                 .update_agent_knowledge(agent, knowledge);
-            self.ask_recorded_flows(now, actions);
+            self.query_recorded_flows(now, actions);
         }
     }
 
-    fn ask_recorded_flows(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        let left = ASKED_A_TICK.saturating_sub(self.records.asked_this_tick);
-        for question in self.records.restorer.take_due_queries(left, now) {
-            self.records.asked_this_tick += question.keys.len();
-            for batch in question.keys.chunks(MAXIMUM_KEYS) {
+    fn query_recorded_flows(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
+        let remaining =
+            MAXIMUM_QUERIED_PER_TICK.saturating_sub(self.flow_records.queried_this_tick);
+        for query in self.flow_records.restorer.take_due_queries(remaining, now) {
+            self.flow_records.queried_this_tick += query.keys.len();
+            for batch in query.keys.chunks(MAXIMUM_KEYS) {
                 let message = PeerMessage::LocateRecorded {
-                    incarnation: question.incarnation,
+                    incarnation: query.incarnation,
                     keys: batch.to_vec(),
                 };
                 actions.push(BalancerAction::Send {
-                    to: question.agent,
+                    to: query.agent,
                     message,
                 });
             }
         }
     }
 
-    /// Asks for further recorded flows, and ends the restoring when it is over.
-    pub(crate) fn pursue_recorded_flows(
-        &mut self,
-        now: Instant,
-        actions: &mut Vec<BalancerAction>,
-    ) {
-        self.records.asked_this_tick = 0;
-        if self.records.restorer.tick(now) {
-            let totals = self.records.restorer.totals();
-            self.notes.add(LogEvent::FlowRecordRestored { totals });
+    /// Queries further recorded flows. The restoring ends when nothing is left to query
+    /// or its time is over.
+    pub(crate) fn advance_restoring(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
+        self.flow_records.queried_this_tick = 0;
+        if self.flow_records.restorer.tick(now) {
+            let totals = self.flow_records.restorer.totals();
+            self.log_events.add(LogEvent::FlowRecordRestored { totals });
         }
-        if !self.records.restorer.is_empty() {
+        if !self.flow_records.restorer.is_empty() {
             self.probe_recorded_agents(now, actions);
-            self.ask_recorded_flows(now, actions);
+            self.query_recorded_flows(now, actions);
         }
     }
 
-    /// An agent denies flows that an incarnation of its target held.
-    pub(crate) fn recorded_not_held(
+    /// Handles an agent's denial that the given incarnation of its target holds flows.
+    pub(crate) fn handle_recorded_denial(
         &mut self,
         from: NodeAddress,
         incarnation: Incarnation,
@@ -117,36 +117,40 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         for key in keys {
-            let flow = self.records.restorer.held_by(from, key);
+            let flow = self.flow_records.restorer.held_by(from, key);
             if flow.is_some_and(|flow| flow.incarnation == incarnation) {
-                self.reset_recorded(from, *key, actions);
+                self.reset_if_recorded_here(from, *key, actions);
             }
         }
     }
 
-    /// An agent denies a flow. When the record names it as the flow's holder, the
-    /// flow is gone and is reset. Says whether that was so.
-    pub(crate) fn reset_recorded(
+    /// Handles an agent's denial of a flow. If the flow record names this agent as the
+    /// holder, the flow no longer exists: it is reset and the result is `true`.
+    pub(crate) fn reset_if_recorded_here(
         &mut self,
         from: NodeAddress,
         key: FlowKey,
         actions: &mut Vec<BalancerAction>,
     ) -> bool {
-        let Some(flow) = self.records.restorer.held_by(from, &key) else {
+        let Some(flow) = self.flow_records.restorer.held_by(from, &key) else {
             return false;
         };
         if self.is_newer_than_record(&key, &flow) {
-            self.records.restorer.mark_superseded(&key);
+            self.flow_records.restorer.mark_superseded(&key);
             return false;
         }
-        let is_proven = self.records.restorer.handle_denial(from, &key).is_some();
+        let is_proven = self
+            .flow_records
+            .restorer
+            .handle_denial(from, &key)
+            .is_some();
         if is_proven {
-            self.reset_restored(key, &flow, actions);
+            self.reset_recorded_flow(key, &flow, actions);
         }
         is_proven
     }
 
-    fn reset_restored(
+    fn reset_recorded_flow(
         &mut self,
         key: FlowKey,
         flow: &RestoredFlow,
@@ -154,11 +158,12 @@
     ) {
         let entry = self.flows.remove(&key);
         let sequence = entry.map_or(flow.acknowledged, |entry| entry.acknowledged);
-        let reset = self.reset(key, sequence, ResetReason::HolderDenied, 1);
+        let reset = self.issue_reset(key, sequence, ResetReason::HolderDenied, 1);
         actions.push(BalancerAction::Reset(reset));
     }
 
-    /// Whether the table tells that the flow is another one than the record names.
+    /// Whether the flow table shows that the key now belongs to another flow than the
+    /// recorded one.
     fn is_newer_than_record(&self, key: &FlowKey, flow: &RestoredFlow) -> bool {
         self.flows.peek(key).is_some_and(|entry| {
             let is_elsewhere = match &entry.stage {
@@ -170,66 +175,73 @@
         })
     }
 
-    /// The target of an agent has ended with all its flows.
-    pub(crate) fn recorded_agent_ended(
+    /// Resets the recorded flows of a target that has ended. Returns how many.
+    pub(crate) fn reset_recorded_flows_of(
         &mut self,
         agent: NodeAddress,
         actions: &mut Vec<BalancerAction>,
     ) -> usize {
         let mut count = 0;
-        for (key, flow) in self.records.restorer.remove_ended_target(agent) {
+        for (key, flow) in self.flow_records.restorer.remove_ended_target(agent) {
             if !self.is_newer_than_record(&key, &flow) {
-                self.reset_restored(key, &flow, actions);
+                self.reset_recorded_flow(key, &flow, actions);
                 count += 1;
             }
         }
         count
     }
 
-    /// An agent says that its target holds a flow: it is there without a search.
-    pub(crate) fn recorded_located(&mut self, agent: NodeAddress, key: FlowKey, now: Instant) {
-        if let Some(flow) = self.records.restorer.handle_located(agent, &key) {
-            self.place_restored(key, flow, now);
+    /// Handles an agent's answer that its target holds a recorded flow: the flow is
+    /// added to the table without a search.
+    pub(crate) fn handle_recorded_flow_located(
+        &mut self,
+        agent: NodeAddress,
+        key: FlowKey,
+        now: Instant,
+    ) {
+        if let Some(flow) = self.flow_records.restorer.handle_located(agent, &key) {
+            self.insert_recorded_flow(key, flow, now);
         }
     }
 
-    /// An agent says that only its target can tell whether it holds these flows:
-    /// their packets go there, and come back if it does not.
-    pub(crate) fn recorded_undecided(
+    /// Handles an agent's answer that only its target can tell whether it holds
+    /// recorded flows. Their packets go to that target, which returns them if it does
+    /// not hold the flow.
+    pub(crate) fn handle_recorded_flows_undecided(
         &mut self,
         agent: NodeAddress,
         keys: &[FlowKey],
         now: Instant,
     ) {
         for key in keys {
-            if let Some(flow) = self.records.restorer.mark_undecided(agent, key) {
-                self.place_restored(*key, flow, now);
+            if let Some(flow) = self.flow_records.restorer.mark_undecided(agent, key) {
+                self.insert_recorded_flow(*key, flow, now);
             }
         }
     }
 
-    /// Puts the flow of an unknown packet into the table when the record names its
-    /// holder and that has been heard.
-    pub(crate) fn place_recorded(
+    /// Adds the flow of an unknown packet to the table if the flow record names its
+    /// holder and the holder's agent has reported. Returns that agent.
+    pub(crate) fn insert_if_recorded(
         &mut self,
         packet: &FlowPacket,
         now: Instant,
     ) -> Option<NodeAddress> {
         let key = packet.key;
-        let flow = self.records.restorer.flow(&key)?;
+        let flow = self.flow_records.restorer.flow(&key)?;
         if !flow.may_have_reached(packet.acknowledgement) {
-            self.records.restorer.mark_superseded(&key);
+            self.flow_records.restorer.mark_superseded(&key);
             return None;
         }
         let record = self.directory.agent(flow.agent)?;
         if record.is_marked_lost() {
             return None;
         }
-        self.place_restored(key, flow, now);
+        self.insert_recorded_flow(key, flow, now);
         self.flows.peek(&key).map(|_| flow.agent)
     }
 
-    fn place_restored(&mut self, key: FlowKey, flow: RestoredFlow, now: Instant) {
+    fn insert_recorded_flow(&mut self, key: FlowKey, flow: RestoredFlow, now: Instant) {
         let Some(record) = self.directory.agent(flow.agent) else {
             return;
         };
@@ -240,19 +252,19 @@
             service: record.service,
             acknowledged: flow.acknowledged,
             caller_next: flow.caller_next,
-            finished: false,
+            is_finished: false,
             stage: Stage::Held {
                 agent: flow.agent,
                 incarnation: record.incarnation.filter(|it| *it == flow.incarnation),
                 heartbeat: 0,
-                since: now,
+                known_since: now,
             },
         };
         self.flows.insert(key, entry, now);
     }
 
-    /// A caller opens a flow anew: what is recorded of an earlier one is over.
-    pub(crate) fn recorded_superseded(&mut self, key: &FlowKey) {
-        self.records.restorer.mark_superseded(key);
+    /// Drops what is recorded of a flow whose key the caller uses for a new one.
+    pub(crate) fn drop_recorded_flow(&mut self, key: &FlowKey) {
+        self.flow_records.restorer.mark_superseded(key);
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
@@ -1,4 +1,4 @@
-//! Flows that are open: their target from the table, or by a search.
+//! Routes packets of open flows, to the target that the table lists or by a search.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::flow::message::{ForwardHeader, ForwardPurpose};
 use crate::flow::packet::{FlowPacket, PacketKind, ResetReason};
 
-/// Time from a caller's opening within which it acknowledges an acceptance.
-const OPENING_LASTS: Duration = Duration::from_millis(2500);
-/// Most bytes that a target can have sent when a balancer sees the first
-/// acknowledgement.
-const FARTHEST_ACKNOWLEDGEMENT: u32 = 1 << 20;
+/// Time after its opening in which a caller acknowledges an acceptance.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Maximum number of bytes that a target can have sent by the time a balancer sees the
+/// caller's first acknowledgement.
+const MAXIMUM_ACKNOWLEDGEMENT_DISTANCE: u32 = 1 << 20;
 
 impl Balancer {
     pub(crate) fn route_established(
@@ -23,32 +23,37 @@
         now: Instant,
     ) -> Routing {
         let Some(entry) = self.flows.touch(&packet.key) else {
-            return self.search_unknown(packet, bytes, now);
+            return self.route_unknown_flow(packet, bytes, now);
         };
         let is_repeated = entry.is_repeated(packet);
         entry.acknowledged = packet.acknowledgement;
-        entry.finished |= packet.kind == PacketKind::Finish;
-        entry.settle(packet.acknowledgement, now);
+        entry.is_finished |= packet.kind == PacketKind::Finish;
+        entry.apply_caller_choice(packet.acknowledgement, now);
         let service = entry.service;
         match &entry.stage {
             Stage::Held { agent, .. } => {
                 let agent = *agent;
                 self.counters.established_packets += 1;
                 if is_repeated {
-                    // The target may be slow, or its machine may be gone.
+                    // The caller repeats its data: the target may be slow, or its
+                    // machine may be gone.
                     self.directory.start_probing(agent, now);
                 }
                 Routing::One {
                     to: agent,
-                    header: self.header(service, ForwardPurpose::Established),
+                    header: self.forward_header(service, ForwardPurpose::Established),
                 }
             }
-            Stage::Searching(_) => self.search_on(packet, bytes, now),
-            Stage::Opening { .. } => self.search_opened_elsewhere(packet, bytes, now),
+            Stage::Searching(_) => self.continue_search(packet, bytes, now),
+            Stage::Opening { .. } => self.search_flow_opened_elsewhere(packet, bytes, now),
         }
     }
 
-    pub(crate) fn header(&self, service: ServiceKey, purpose: ForwardPurpose) -> ForwardHeader {
+    pub(crate) fn forward_header(
+        &self,
+        service: ServiceKey,
+        purpose: ForwardPurpose,
+    ) -> ForwardHeader {
         ForwardHeader {
             service,
             version: self.routes.version(),
@@ -56,9 +61,9 @@
         }
     }
 
-    /// Resets the flows of a target that has ended; `ended` is the incarnation and
-    /// when it was last heard, and `None` when the agent itself is lost. Returns
-    /// how many.
+    /// Resets the flows of a target that has ended. `ended` is its incarnation and the
+    /// time when that was last heard, or `None` if the agent itself is lost. Returns
+    /// the number of flows.
     pub(crate) fn reset_flows_of(
         &mut self,
         agent: NodeAddress,
@@ -68,16 +73,16 @@
         let lost: Vec<(FlowKey, u32)> = self
             .flows
             .iter()
-            .filter(|(_, entry)| !entry.finished)
+            .filter(|(_, entry)| !entry.is_finished)
             .filter(|(_, entry)| match &entry.stage {
                 Stage::Held {
                     agent: holder,
                     incarnation,
-                    since,
+                    known_since,
                     ..
                 } => {
                     let has_ended = ended.is_none_or(|(ended, last_heard)| {
-                        *incarnation == Some(ended) && *since <= last_heard
+                        *incarnation == Some(ended) && *known_since <= last_heard
                     });
                     *holder == agent && has_ended
                 }
@@ -87,7 +92,7 @@
             .collect();
         for (key, acknowledged) in &lost {
             self.flows.remove(key);
-            let reset = self.reset(*key, *acknowledged, ResetReason::TargetEnded, 0);
+            let reset = self.issue_reset(*key, *acknowledged, ResetReason::TargetEnded, 0);
             actions.push(BalancerAction::Reset(reset));
         }
         lost.len()
@@ -95,8 +100,8 @@
 }
 
 impl crate::flow::balancer::FlowEntry {
-    /// Whether the caller has sent this packet's data before, because nobody has
-    /// acknowledged it.
+    /// Whether the caller has sent the data of this packet before, because nobody
+    /// acknowledged it. New data advances `caller_next`.
     fn is_repeated(&mut self, packet: &FlowPacket) -> bool {
         let end = packet.sequence.wrapping_add(packet.payload_length.into());
         let ahead = end.wrapping_sub(self.caller_next);
@@ -107,11 +112,11 @@
         packet.payload_length > 0 && !is_new
     }
 
-    /// The caller has answered an acceptance, and with that has chosen the
-    /// target that holds the flow.
-    fn settle(&mut self, acknowledgement: u32, now: Instant) {
+    /// Handles the caller's first packet after the opening: by acknowledging an
+    /// acceptance, the caller has chosen the target that holds the flow.
+    fn apply_caller_choice(&mut self, acknowledgement: u32, now: Instant) {
         let Stage::Opening {
-            since,
+            first_sent_at,
             accepted,
             awaited,
             is_queued,
@@ -120,33 +125,33 @@
         else {
             return;
         };
-        if now.since(*since) >= OPENING_LASTS {
+        if now.since(*first_sent_at) >= ACKNOWLEDGEMENT_TIMEOUT {
             return;
         }
-        let supposed = awaited
+        let presumed = awaited
             .filter(|_| accepted.is_empty() && !is_queued)
             .map(|agent| (agent, None, 0));
         let held = chosen_by_caller(accepted, acknowledgement)
             .map(|it| (it.agent, it.incarnation, it.heartbeat))
-            .or(supposed);
+            .or(presumed);
         if let Some((agent, incarnation, heartbeat)) = held {
             self.stage = Stage::Held {
                 agent,
                 incarnation,
                 heartbeat,
-                since: now,
+                known_since: now,
             };
         }
     }
 }
 
-/// The acceptance that a caller's packet acknowledges: the one whose number
-/// lies closest before the acknowledgement, not farther than a target can have
-/// sent meanwhile.
+/// The acceptance that a caller's packet acknowledges: the one whose sequence number
+/// lies closest before the acknowledgement, and not farther than a target can have sent
+/// meanwhile.
 fn chosen_by_caller(accepted: &[Acceptance], acknowledgement: u32) -> Option<&Acceptance> {
     let distance = |acceptance: &Acceptance| acknowledgement.wrapping_sub(acceptance.sequence);
     accepted
         .iter()
-        .filter(|acceptance| distance(acceptance) <= FARTHEST_ACKNOWLEDGEMENT)
+        .filter(|acceptance| distance(acceptance) <= MAXIMUM_ACKNOWLEDGEMENT_DISTANCE)
         .min_by_key(|acceptance| distance(acceptance))
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -1,5 +1,5 @@
-//! Openings of routes that bring many bytes wait while the link is shared by enough
-//! flows.
+//! Defers openings of routes with large transfers while enough flows already share the
+//! link.
 
 use std::time::Duration;
 
@@ -15,20 +15,21 @@
 use crate::flow::promises::DecidedOpening;
 
 impl Balancer {
-    /// What the machine's link bears; `None` where it does not bind.
+    /// Load and limits of the machine's link; `None` unless pacing of the link is
+    /// active.
     #[must_use]
     pub fn paced_link(&self) -> Option<&LinkBudget> {
         self.link.as_ref().filter(|_| self.mechanisms.paces_link)
     }
 
-    /// Counts a datagram that has come over the link.
+    /// Counts a datagram that was received over the link.
     pub fn count_received_datagram(&mut self, length: usize, now: Instant) {
         if let Some(link) = &mut self.link {
             link.record_received(length, now);
         }
     }
 
-    /// Counts a datagram that has left over the link.
+    /// Counts a datagram that was sent over the link.
     pub fn count_sent_datagram(&mut self, length: usize, now: Instant) {
         if let Some(link) = &mut self.link {
             link.record_sent(length, now);
@@ -42,15 +43,16 @@
             .is_some_and(|link| link.openings_waiting() > 0)
     }
 
-    /// Whether openings that waited for the link may go on.
+    /// Whether the link has room for openings that wait for it.
     #[must_use]
     pub fn can_release_openings(&self) -> bool {
         self.paced_link()
             .is_some_and(LinkBudget::can_release_waiting)
     }
 
-    /// What becomes of a packet because of the link; `None` when it goes on.
-    pub(crate) fn hold_for_link(
+    /// Decides whether a packet has to wait for the link; `None` if it may be routed
+    /// now.
+    pub(crate) fn defer_for_link(
         &mut self,
         packet: &FlowPacket,
         bytes: &[u8],
@@ -66,7 +68,7 @@
                 let (under_way, waiting) = (link.active_bulk_flows(), link.openings_waiting());
                 if waiting > waited_before {
                     self.counters.openings_deferred_for_link += 1;
-                    self.notes.add(LogEvent::OpeningDeferredForLink {
+                    self.log_events.add(LogEvent::OpeningDeferredForLink {
                         key: packet.key,
                         under_way,
                         waiting,
@@ -74,7 +76,8 @@
                 }
                 Some(Routing::Drop(DropReason::LinkShared))
             }
-            // A late duplicate: refusing it would end the flow.
+            // A late copy of an opening whose flow is open: refusing it would end the
+            // flow.
             BulkDecision::Refuse if is_open(&self.flows, &packet.key) => {
                 Some(Routing::Drop(DropReason::LinkShared))
             }
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Sends openings on whose turn on the link has come, and refuses those that have
-    /// waited for too long.
+    /// Routes the openings that the link has room for, and refuses those that have
+    /// waited too long.
     pub fn release_openings(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         if self.paced_link().is_none() {
             return;
@@ -91,20 +94,20 @@
         let Some(link) = &mut self.link else {
             return;
         };
-        // Their flows were opened by other copies of the openings.
+        // Drops waiting openings whose flows were opened meanwhile by other copies.
         link.forget_waiting(|key| is_open(&self.flows, key));
         for opening in link.release_waiting(now) {
             let routing = if opening.is_admitted {
-                self.relay_or_route(&opening.packet, &opening.bytes, now)
+                self.relay_or_route_packet(&opening.packet, &opening.bytes, now)
             } else {
-                self.ended_untried(&opening, now);
+                self.record_untried_end(&opening, now);
                 self.refuse_for_link(&opening.packet, opening.queued_at, now)
             };
-            self.carry_out(routing, &opening.bytes, actions);
+            self.push_actions(routing, &opening.bytes, actions);
         }
     }
 
-    fn ended_untried(&mut self, opening: &ReleasedOpening, now: Instant) {
+    fn record_untried_end(&mut self, opening: &ReleasedOpening, now: Instant) {
         self.promises.record_held_untried();
         if let Some(route) = self.routes.route(opening.packet.key.service) {
             self.promises.record_given_up(&DecidedOpening {
@@ -115,18 +118,23 @@
         }
     }
 
-    fn refuse_for_link(&mut self, packet: &FlowPacket, since: Instant, now: Instant) -> Routing {
+    fn refuse_for_link(
+        &mut self,
+        packet: &FlowPacket,
+        queued_at: Instant,
+        now: Instant,
+    ) -> Routing {
         self.counters.openings_refused_for_link += 1;
-        self.notes.add(LogEvent::OpeningRefusedForLink {
+        self.log_events.add(LogEvent::OpeningRefusedForLink {
             key: packet.key,
-            waited: now.since(since),
+            waited: now.since(queued_at),
         });
-        self.refuse(packet)
+        self.refuse_opening(packet)
     }
 }
 
-/// Whether a flow is open or being opened, as far as is known here; a new flow may
-/// have the key of one that has finished.
+/// Whether a flow is open or being opened, as far as this balancer knows. A new flow
+/// may have the key of one that has finished.
 fn is_open(flows: &FlowTable<FlowEntry>, key: &FlowKey) -> bool {
-    flows.peek(key).is_some_and(|entry| !entry.finished)
+    flows.peek(key).is_some_and(|entry| !entry.is_finished)
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/mod.rs
@@ -1,5 +1,5 @@
-//! Where a packet of a caller goes: new flows, open flows, and packets handed to
-//! larger balancers.
+//! Routes packets of callers: new flows, open flows, and packets relayed to larger
+//! balancers.
 
 pub(crate) mod established;
 pub(crate) mod link_share;
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -1,4 +1,4 @@
-//! New flows: choice of service and target, and further tries.
+//! Routes new flows: the choice of service and target, and further attempts.
 
 use crate::clock::Instant;
 use crate::flow::balancer::forwarding::routing::{DropReason, Routing};
@@ -12,11 +12,11 @@
 use crate::flow::packet::{FlowPacket, ResetReason};
 use crate::flow::selection::{SelectedTarget, TargetSelector};
 
-/// Targets that one opening is offered to before it waits.
+/// Maximum number of targets that one opening is offered to before it waits here.
 const MAXIMUM_TRIES: usize = 4;
-/// Agents that may give one opening back because their targets hold more than
-/// was believed.
-const TRIES_BY_LOAD: usize = 1;
+/// Number of agents that may return one opening because their targets hold more flows
+/// than this balancer believed.
+const MAXIMUM_RETURNS_BY_LOAD: usize = 1;
 
 impl Balancer {
     pub(crate) fn route_opening(
@@ -27,33 +27,33 @@
     ) -> Routing {
         let copy = packet.acknowledgement;
         if copy > 0
-            && let Some(routing) = self.route_copy(packet, bytes, now)
+            && let Some(routing) = self.route_opening_copy(packet, bytes, now)
         {
             return routing;
         }
-        self.route_first(packet, bytes, now)
+        self.route_first_opening(packet, bytes, now)
     }
 
-    fn route_first(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
+    fn route_first_opening(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
         if self.routes.current().is_none() {
             return Routing::Drop(DropReason::NoConfiguration);
         }
         let Some(route) = self.routes.route(packet.key.service) else {
-            let reset = self.reset(packet.key, 0, ResetReason::NoRoute, 0);
+            let reset = self.issue_reset(packet.key, 0, ResetReason::NoRoute, 0);
             return Routing::Reset(reset);
         };
-        let Some(service) = self.shares.next_service(route) else {
-            let reset = self.reset(packet.key, 0, ResetReason::NoRoute, 0);
+        let Some(service) = self.part_shares.next_service(route) else {
+            let reset = self.issue_reset(packet.key, 0, ResetReason::NoRoute, 0);
             return Routing::Reset(reset);
         };
-        self.traffic.count_flow(packet.key.service);
+        self.route_traffic.count_flow(packet.key.service);
         let entry = FlowEntry {
             service,
             acknowledged: 0,
             caller_next: packet.sequence.wrapping_add(1),
-            finished: false,
+            is_finished: false,
             stage: Stage::Opening {
-                since: packet.first_sent(now),
+                first_sent_at: packet.first_sent(now),
                 tried: Vec::new(),
                 awaited: None,
                 is_queued: false,
@@ -65,8 +65,14 @@
         self.offer_or_wait(packet, bytes, now)
     }
 
-    /// A copy is a sign that the first choice gave no answer.
-    fn route_copy(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Option<Routing> {
+    /// Routes a further copy of an opening. The copy shows that the first attempt has
+    /// had no answer.
+    fn route_opening_copy(
+        &mut self,
+        packet: &FlowPacket,
+        bytes: &[u8],
+        now: Instant,
+    ) -> Option<Routing> {
         let entry = self.flows.touch(&packet.key)?;
         let service = entry.service;
         let repeat = match &mut entry.stage {
@@ -82,7 +88,8 @@
                     Some(agent)
                 }
                 (None, Some(silent)) => {
-                    // Loads have changed since the others gave it back.
+                    // The agents that returned the opening may accept it now, so only
+                    // the silent one is left out.
                     *tried = vec![silent];
                     *awaited = None;
                     *is_queued = false;
@@ -96,8 +103,8 @@
         };
         match repeat {
             Some(agent) => {
-                let since = packet.first_sent(now);
-                let terms = self.terms_of(packet, service, since, now);
+                let first_sent_at = packet.first_sent(now);
+                let terms = self.opening_terms(packet, service, first_sent_at, now);
                 Some(Routing::One {
                     to: agent,
                     header: self.opening_header(service, terms),
@@ -116,17 +123,22 @@
 
     fn offer_or_wait(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
         self.offer(packet, now)
-            .unwrap_or_else(|| self.wait_for_target(packet, bytes))
+            .unwrap_or_else(|| self.queue_for_target(packet, bytes))
     }
 
-    /// Sends an opening to the best target that was not asked before; `None`
-    /// when there is none.
+    /// Sends an opening to the best target that has not been tried yet; `None` if there
+    /// is none.
     pub(crate) fn offer(&mut self, packet: &FlowPacket, now: Instant) -> Option<Routing> {
         let entry = self.flows.peek(&packet.key)?;
-        let Stage::Opening { tried, since, .. } = &entry.stage else {
+        let Stage::Opening {
+            tried,
+            first_sent_at,
+            ..
+        } = &entry.stage
+        else {
             return None;
         };
-        let (service, since, tries) = (entry.service, *since, tried.len());
+        let (service, first_sent_at, tries) = (entry.service, *first_sent_at, tried.len());
         let choice = TargetSelector {
             directory: &self.directory,
             excluded_zones: &self.excluded_zones,
@@ -134,28 +146,28 @@
             key: packet.key,
             service,
             tried,
-            bytes_per_flow: self.traffic.bytes_per_flow(packet.key.service),
+            bytes_per_flow: self.route_traffic.bytes_per_flow(packet.key.service),
         };
         let chosen = choice.select(now)?;
-        let mut terms = self.terms_of(packet, service, since, now);
-        let may_ask_elsewhere = chosen.other_candidates > 0 && tries < TRIES_BY_LOAD;
+        let mut terms = self.opening_terms(packet, service, first_sent_at, now);
+        let may_ask_elsewhere = chosen.other_candidates > 0 && tries < MAXIMUM_RETURNS_BY_LOAD;
         terms.estimated_load = may_ask_elsewhere.then_some(chosen.estimated_load);
-        self.sent_to(packet, &chosen, tries, now);
+        self.record_offer(packet, &chosen, tries, now);
         Some(Routing::One {
             to: chosen.agent,
             header: self.opening_header(service, terms),
         })
     }
 
-    fn terms_of(
+    fn opening_terms(
         &self,
         packet: &FlowPacket,
         service: ServiceKey,
-        since: Instant,
+        first_sent_at: Instant,
         now: Instant,
     ) -> OpeningTerms {
         let (terms, is_urgent) = self.routes.terms(packet.key.service, service);
-        let age = now.since(since).as_millis();
+        let age = now.since(first_sent_at).as_millis();
         OpeningTerms {
             age_ms: u16::try_from(age).unwrap_or(u16::MAX),
             aim_ms: terms.aim_ms,
@@ -165,7 +177,7 @@
         }
     }
 
-    fn sent_to(
+    fn record_offer(
         &mut self,
         packet: &FlowPacket,
         chosen: &SelectedTarget,
@@ -191,7 +203,7 @@
         } else {
             self.counters.flows_reopened += 1;
         }
-        self.notes.add(LogEvent::FlowSent {
+        self.log_events.add(LogEvent::FlowSent {
             key,
             agent: chosen.agent,
             copy: packet.acknowledgement,
@@ -210,8 +222,9 @@
         }
     }
 
-    /// An agent gave an opening back: it goes to the next target at once.
-    pub(crate) fn opening_returned(
+    /// Handles an opening that an agent returned: it is offered to the next target at
+    /// once.
+    pub(crate) fn handle_returned_opening(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -241,17 +254,18 @@
         let routing = match reason {
             ReturnReason::Expired => {
                 self.promises.record_held_untried();
-                self.refuse(packet)
+                self.refuse_opening(packet)
             }
             ReturnReason::StaleVersion => self.reopen_under_new_version(packet, bytes, now),
-            _ if is_exhausted => self.wait_for_target(packet, bytes),
+            _ if is_exhausted => self.queue_for_target(packet, bytes),
             _ => self.offer_or_wait(packet, bytes, now),
         };
-        self.carry_out(routing, bytes, actions);
+        self.push_actions(routing, bytes, actions);
     }
 
-    /// The agent knows a greater version, which is being fetched; when it has
-    /// come meanwhile, the flow is opened under it.
+    /// Handles an opening that was returned because its agent has a newer
+    /// configuration. If that version has arrived here meanwhile, the flow is opened
+    /// under it; otherwise the version is being fetched and the opening is dropped.
     fn reopen_under_new_version(
         &mut self,
         packet: &FlowPacket,
@@ -266,11 +280,11 @@
         if is_behind {
             return Routing::Drop(DropReason::NoConfiguration);
         }
-        self.route_first(packet, bytes, now)
+        self.route_first_opening(packet, bytes, now)
     }
 
-    /// Refuses an opening, of which nothing has run.
-    pub(crate) fn refuse(&mut self, packet: &FlowPacket) -> Routing {
+    /// Refuses an opening. Nothing of the flow has been executed.
+    pub(crate) fn refuse_opening(&mut self, packet: &FlowPacket) -> Routing {
         if let Some(entry) = self.flows.remove(&packet.key) {
             let was_accepted = match &entry.stage {
                 Stage::Opening { accepted, .. } => !accepted.is_empty(),
@@ -279,12 +293,13 @@
             let has_free_target = self.has_free_target(entry.service);
             self.promises.record_refusal(was_accepted, has_free_target);
         }
-        Routing::Reset(self.reset(packet.key, 0, ResetReason::NoTarget, 0))
+        Routing::Reset(self.issue_reset(packet.key, 0, ResetReason::NoTarget, 0))
     }
 
-    /// Whether a live target of a service has a free slot, as far as is known.
+    /// Whether a live target of a service has a free slot, as far as this balancer
+    /// knows.
     fn has_free_target(&self, service: ServiceKey) -> bool {
-        let now = self.ticked_at.unwrap_or(self.started_at);
+        let now = self.last_tick_at.unwrap_or(self.started_at);
         let agents = self.directory.agents_of(service).iter();
         let mut records = agents.filter_map(|agent| self.directory.agent(*agent));
         records.any(|record| {
@@ -295,8 +310,8 @@
         })
     }
 
-    /// An agent says that an opening waits in its queue.
-    pub(crate) fn opening_queued(&mut self, from: NodeAddress, key: &FlowKey) {
+    /// Handles an agent's message that an opening waits in its queue.
+    pub(crate) fn handle_queued_opening(&mut self, from: NodeAddress, key: &FlowKey) {
         if let Some(entry) = self.flows.touch(key)
             && let Stage::Opening {
                 awaited, is_queued, ..
@@ -306,7 +321,7 @@
         }
     }
 
-    pub(crate) fn carry_out(
+    pub(crate) fn push_actions(
         &self,
         routing: Routing,
         bytes: &[u8],
--- a/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
@@ -1,4 +1,4 @@
-//! What happens to a packet of a caller.
+//! The decision about a packet of a caller.
 
 use crate::flow::identity::NodeAddress;
 use crate::flow::message::ForwardHeader;
@@ -9,18 +9,18 @@
 pub enum Routing {
     /// To one agent.
     One {
-        /// The agent.
+        /// Agent that receives the packet.
         to: NodeAddress,
-        /// What goes before the packet.
+        /// Header that precedes the packet.
         header: ForwardHeader,
     },
     /// To several agents, with a header for each.
     Several(Vec<(NodeAddress, ForwardHeader)>),
     /// To a larger balancer, which decides.
     Relay(NodeAddress),
-    /// Nowhere; the caller is told.
+    /// To nobody; the caller is sent a reset.
     Reset(CallerReset),
-    /// Nowhere.
+    /// To nobody; the caller gets no answer.
     Drop(DropReason),
 }
 
@@ -31,14 +31,14 @@
     Forged,
     /// No configuration is known yet.
     NoConfiguration,
-    /// No target takes flows now; a later copy of the packet may find one.
+    /// No target takes flows now; a later copy of the opening may find one.
     NoTargetYet,
-    /// It cannot be known yet who holds the flow.
+    /// The holder of the flow is not known yet.
     HolderUnknown,
-    /// More flows are searched for than is allowed at a time.
+    /// The limit of new searches between two ticks is reached.
     TooManySearches,
-    /// The link is shared by enough flows; the opening waits for one of them to end.
+    /// Enough flows share the link; the opening waits for one of them to end.
     LinkShared,
-    /// The flow is reset or has ended already.
+    /// The flow has ended or been reset already.
     Ended,
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/waiting.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/waiting.rs
@@ -1,9 +1,9 @@
-//! Openings that wait for a target with room.
+//! Openings that wait for a target with a free slot.
 //!
-//! While every target of a service is full, or none is known yet, openings
-//! wait here instead of at the targets: nothing of them has run, and the
-//! newest, which can still be answered in time, go first. An opening that has
-//! waited too long, or that finds the queue full, is refused at once.
+//! While every target of a service is full, or none is known yet, openings wait here
+//! and not at the targets, so nothing of them has been executed. The newest are served
+//! first, because they can still be answered in time. An opening that has waited too
+//! long, or that finds the queue full, is refused at once.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use crate::flow::packet::FlowPacket;
 use crate::flow::promises::DecidedOpening;
 
-/// Most openings that wait.
-const CAPACITY: usize = 2048;
-/// Longest wait. The caller's attempt ends soon after.
-const LONGEST_WAIT: Duration = Duration::from_millis(1200);
-/// An opening that waits.
+/// Maximum number of openings that wait.
+const MAXIMUM_WAITING_OPENINGS: usize = 2048;
+/// Maximum time that an opening waits. The caller's attempt ends soon after.
+const MAXIMUM_WAIT: Duration = Duration::from_millis(1200);
+/// An opening that waits for a target.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingOpening {
     packet: FlowPacket,
@@ -26,13 +26,13 @@
 }
 
 impl Balancer {
-    /// Openings that wait for a target.
+    /// Number of openings that wait for a target.
     #[must_use]
     pub fn waiting_opening_count(&self) -> usize {
-        self.waiting.len()
+        self.waiting_openings.len()
     }
 
-    pub(crate) fn wait_for_target(&mut self, packet: &FlowPacket, bytes: &[u8]) -> Routing {
+    pub(crate) fn queue_for_target(&mut self, packet: &FlowPacket, bytes: &[u8]) -> Routing {
         let Some(entry) = self.flows.touch(&packet.key) else {
             return Routing::Drop(DropReason::Ended);
         };
@@ -41,63 +41,68 @@
             tried.clear();
             *awaited = None;
         }
-        if self.is_wholly_excluded(service) {
-            return self.refuse(packet);
+        if self.is_service_excluded(service) {
+            return self.refuse_opening(packet);
         }
-        self.notes.add(LogEvent::FlowWithoutTarget {
+        self.log_events.add(LogEvent::FlowWithoutTarget {
             key: packet.key,
             copy: packet.acknowledgement,
             known: self.directory.agents_of(service).len(),
             version: self.routes.version(),
         });
-        if self.waiting.len() >= CAPACITY {
-            return self.refuse(packet);
+        if self.waiting_openings.len() >= MAXIMUM_WAITING_OPENINGS {
+            return self.refuse_opening(packet);
         }
-        self.waiting.push(WaitingOpening {
+        self.waiting_openings.push(WaitingOpening {
             packet: *packet,
             bytes: bytes.to_vec(),
         });
         Routing::Drop(DropReason::NoTargetYet)
     }
 
-    /// Offers the waiting openings to targets that have room by now.
-    pub(crate) fn serve_waiting(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        let waiting = std::mem::take(&mut self.waiting);
+    /// Offers the waiting openings, newest first, to targets that have free slots by
+    /// now.
+    pub(crate) fn offer_waiting_openings(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<BalancerAction>,
+    ) {
+        let waiting = std::mem::take(&mut self.waiting_openings);
         let mut remaining = Vec::with_capacity(waiting.len());
         for opening in waiting.into_iter().rev() {
-            let Some(since) = self.waits_since(&opening) else {
+            let Some(first_sent_at) = self.waiting_since(&opening) else {
                 continue;
             };
-            let age = now.since(since);
-            if self.is_vain(&opening.packet, age) {
+            let age = now.since(first_sent_at);
+            if self.is_too_late(&opening.packet, age) {
                 self.promises.record_held_untried();
-                if let Some(decided) = self.decided(&opening.packet, age) {
+                if let Some(decided) = self.decided_opening(&opening.packet, age) {
                     self.promises.record_given_up(&decided);
                 }
-                let routing = self.refuse(&opening.packet);
-                self.carry_out(routing, &opening.bytes, actions);
+                let routing = self.refuse_opening(&opening.packet);
+                self.push_actions(routing, &opening.bytes, actions);
                 continue;
             }
             match self.offer(&opening.packet, now) {
-                Some(routing) => self.carry_out(routing, &opening.bytes, actions),
+                Some(routing) => self.push_actions(routing, &opening.bytes, actions),
                 None => remaining.push(opening),
             }
         }
         remaining.reverse();
-        self.waiting = remaining;
+        self.waiting_openings = remaining;
     }
 
     /// Whether no target can answer an opening of this age in time for its caller.
-    fn is_vain(&self, packet: &FlowPacket, age: Duration) -> bool {
+    fn is_too_late(&self, packet: &FlowPacket, age: Duration) -> bool {
         let Some(entry) = self.flows.peek(&packet.key) else {
             return true;
         };
         let (terms, _) = self.routes.terms(packet.key.service, entry.service);
         let useful_for = Duration::from_millis(terms.timeout_ms.into());
-        age >= LONGEST_WAIT.min(useful_for) || self.is_wholly_excluded(entry.service)
+        age >= MAXIMUM_WAIT.min(useful_for) || self.is_service_excluded(entry.service)
     }
 
-    fn decided(&self, packet: &FlowPacket, age: Duration) -> Option<DecidedOpening> {
+    fn decided_opening(&self, packet: &FlowPacket, age: Duration) -> Option<DecidedOpening> {
         let service = self.flows.peek(&packet.key)?.service;
         let (terms, is_urgent) = self.routes.terms(packet.key.service, service);
         Some(DecidedOpening {
@@ -107,15 +112,15 @@
         })
     }
 
-    /// When the opening was first sent, or `None` when it no longer waits.
-    fn waits_since(&self, opening: &WaitingOpening) -> Option<Instant> {
+    /// When the caller first sent the opening, or `None` if it no longer waits here.
+    fn waiting_since(&self, opening: &WaitingOpening) -> Option<Instant> {
         match &self.flows.peek(&opening.packet.key)?.stage {
             Stage::Opening {
-                since,
+                first_sent_at,
                 awaited: None,
                 accepted,
                 ..
-            } if accepted.is_empty() => Some(*since),
+            } if accepted.is_empty() => Some(*first_sent_at),
             _ => None,
         }
     }
--- a/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
@@ -1,4 +1,4 @@
-//! Zones that take no new flows: what the balancer knows, and whom it tells.
+//! Zones that take no new flows: their adoption, and their effect on openings.
 
 use crate::clock::Instant;
 use crate::flow::balancer::Balancer;
@@ -7,27 +7,32 @@
 use crate::flow::log_event::LogEvent;
 
 impl Balancer {
-    /// Takes the excluded zones that the store gave.
+    /// Adopts the excluded zones that were read from the store.
     pub fn adopt_store_exclusions(&mut self, zones: &ExcludedZones) {
-        self.adopt_zones(zones, None);
+        self.adopt_excluded_zones(zones, None);
     }
 
-    /// The excluded zones that the balancer knows.
+    /// The excluded zones that the balancer knows of.
     #[must_use]
     pub fn excluded_zones(&self) -> &ExcludedZones {
         &self.excluded_zones
     }
 
-    pub(crate) fn adopt_zones(&mut self, zones: &ExcludedZones, from: Option<NodeAddress>) {
+    pub(crate) fn adopt_excluded_zones(
+        &mut self,
+        zones: &ExcludedZones,
+        from: Option<NodeAddress>,
+    ) {
         let formerly = self.excluded_zones.zones.len();
         if !self.excluded_zones.adopt(zones) {
             return;
         }
-        // The next tick tells the others; a change from the store is told to
-        // every node at once, because only a few balancers watch.
-        self.greeted_peers_at = Instant::ORIGIN;
-        self.tells_zones |= from.is_none();
-        self.notes.add(LogEvent::ZonesExcluded {
+        // The next tick sends a hello to the next few balancers. A change from the
+        // store is sent to every node at once, because only a few balancers watch the
+        // store.
+        self.peer_hellos_sent_at = Instant::ORIGIN;
+        self.must_send_excluded_zones |= from.is_none();
+        self.log_events.add(LogEvent::ZonesExcluded {
             excluded: self.excluded_zones.zones.len(),
             formerly,
             own_is_excluded: self.excluded_zones.excludes(self.options.zone),
@@ -36,9 +41,9 @@
         });
     }
 
-    /// Whether every target of a service stands in an excluded zone, so that an
-    /// opening has nothing to wait for.
-    pub(crate) fn is_wholly_excluded(&self, service: ServiceKey) -> bool {
+    /// Whether all targets of a service are in excluded zones, so that waiting cannot
+    /// help an opening.
+    pub(crate) fn is_service_excluded(&self, service: ServiceKey) -> bool {
         let agents = self.directory.agents_of(service);
         let mut records = agents
             .iter()
--- a/crates/woodladder-core/src/flow/balancer/membership/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/mod.rs
@@ -1,10 +1,10 @@
-//! Which agents and balancers there are, and what nodes tell each other of
-//! configuration and excluded zones.
+//! Discovery of agents and balancers, and the spread of configurations and excluded
+//! zones between nodes.
 
-pub(crate) mod agent_census;
+pub(crate) mod agent_discovery;
 pub(crate) mod dissemination;
 pub(crate) mod exclusion;
-pub(crate) mod greeting_periods;
-pub(crate) mod greetings;
+pub(crate) mod hello_periods;
+pub(crate) mod hellos;
 pub(crate) mod readiness;
 pub(crate) mod snapshots;
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -1,42 +1,43 @@
-//! Whether the balancer should be given packets of callers.
+//! Decides whether the balancer should receive packets of callers.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 use crate::flow::balancer::Balancer;
 
-/// Silence of all agents after which the balancer counts as cut off, when the
-/// other balancers are silent too or hear agents themselves. Reports of all agents
-/// together come each 24 ms at the least. Routers take another second; until then
-/// everything sent to the balancer is lost.
+/// Silence of all agents after which the balancer counts as cut off, if the other
+/// balancers are silent too or hear agents themselves. The reports of all agents
+/// together arrive at least every 24 ms. Routers take another second to react, and
+/// everything sent to the balancer until then is lost.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-/// Silence of all agents after which the balancer counts as cut off, whatever
-/// the other balancers hear: they may be cut off together with it.
-const CUT_OFF_AT_LAST_AFTER: Duration = Duration::from_millis(900);
-/// Time since an agent was heard within which the balancer says that it hears
-/// agents. Others hear of it soon after they count as cut off themselves, and long
-/// before a router has missed them twice.
-const HEARS_WITHIN: Duration = Duration::from_millis(100);
-/// Age of another balancer's word that it hears no agent.
-const SHARED_WITHIN: Duration = Duration::from_millis(600);
+/// Silence of all agents after which the balancer counts as cut off even if another
+/// balancer hears no agent either: both may be cut off together.
+const CUT_OFF_WITH_OTHERS_AFTER: Duration = Duration::from_millis(900);
+/// Time after the last message of an agent in which the balancer's hellos say that it
+/// hears agents. Others learn of its silence soon after they count as cut off
+/// themselves, and long before a router has missed them twice.
+const HEARS_AGENTS_WITHIN: Duration = Duration::from_millis(100);
+/// Time in which another balancer's statement that it hears no agent stays valid.
+const SHARED_SILENCE_VALID_FOR: Duration = Duration::from_millis(600);
 
-/// Why a balancer is not ready.
+/// Reason why a balancer is not ready.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotReadyReason {
     /// A planned stop has begun.
     Leaving,
     /// No configuration is known.
     NoConfiguration,
-    /// No agent has been heard of yet.
+    /// No agent has been heard yet.
     NoAgent,
     /// Agents are known, and none has been heard for a while.
     CutOff,
-    /// Larger balancers of the zone bear more without it.
+    /// The zone carries more load if only its larger balancers are ready, because
+    /// routers give each ready balancer an equal share.
     Standby,
 }
 
 impl NotReadyReason {
-    /// The reason's name in answers and logs.
+    /// Name of the reason in responses and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -50,34 +51,35 @@
 }
 
 impl Balancer {
-    /// Whether the balancer is ready.
+    /// Checks whether the balancer is ready.
     ///
     /// # Errors
     /// [`NotReadyReason`] when it is not.
     pub fn check_ready(&self, now: Instant) -> Result<(), NotReadyReason> {
-        self.able(now)?;
-        let capacity = self.options.usable_cpu_millicores();
+        self.check_can_serve(now)?;
+        let usable_cpu_millicores = self.options.usable_cpu_millicores();
         if self
             .zone_members
-            .should_stand_by(self.options.address, capacity, now)
+            .should_stand_by(self.options.address, usable_cpu_millicores, now)
         {
             return Err(NotReadyReason::Standby);
         }
         Ok(())
     }
 
-    /// Whether the balancer could serve, whatever the others of its zone bear.
-    pub(crate) fn able(&self, now: Instant) -> Result<(), NotReadyReason> {
-        if self.leaving {
+    /// Checks whether the balancer could serve callers, regardless of the capacity of
+    /// the other balancers in its zone.
+    pub(crate) fn check_can_serve(&self, now: Instant) -> Result<(), NotReadyReason> {
+        if self.is_leaving {
             return Err(NotReadyReason::Leaving);
         }
         if self.routes.current().is_none() {
             return Err(NotReadyReason::NoConfiguration);
         }
-        let agent_heard = self.last_agent_heard.ok_or(NotReadyReason::NoAgent)?;
+        let agent_heard = self.last_agent_heard_at.ok_or(NotReadyReason::NoAgent)?;
         let silence = now.since(agent_heard);
-        let limit = if self.shares_silence(now) {
-            CUT_OFF_AT_LAST_AFTER
+        let limit = if self.is_silence_shared(now) {
+            CUT_OFF_WITH_OTHERS_AFTER
         } else {
             CUT_OFF_AFTER
         };
@@ -87,16 +89,16 @@
         Ok(())
     }
 
-    /// Whether another balancer was heard lately that hears no agent either:
-    /// the targets may be gone for all balancers.
-    fn shares_silence(&self, now: Instant) -> bool {
-        self.peer_without_agents
-            .is_some_and(|heard_at| now.since(heard_at) < SHARED_WITHIN)
+    /// Whether another balancer has recently said that it hears no agent either: the
+    /// targets may be gone for all balancers.
+    fn is_silence_shared(&self, now: Instant) -> bool {
+        self.peer_without_agents_at
+            .is_some_and(|heard_at| now.since(heard_at) < SHARED_SILENCE_VALID_FOR)
     }
 
-    /// Whether an agent was heard lately.
+    /// Whether an agent was heard recently.
     pub(crate) fn hears_agents(&self, now: Instant) -> bool {
-        self.last_agent_heard
-            .is_some_and(|heard_at| now.since(heard_at) < HEARS_WITHIN)
+        self.last_agent_heard_at
+            .is_some_and(|heard_at| now.since(heard_at) < HEARS_AGENTS_WITHIN)
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots: what this balancer asks of other nodes, takes from them and tells them.
+//! Snapshots of a node's knowledge: requested from other nodes, applied here, and sent
+//! to others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +10,10 @@
 use crate::flow::message::{Snapshot, SnapshotRequest};
 
 /// Time after which a request for a snapshot counts as lost.
-const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Balancer {
-    /// Takes what another node knows.
+    /// Applies a snapshot that another node has sent.
     pub fn handle_snapshot(
         &mut self,
         from: NodeAddress,
@@ -20,33 +21,39 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        if self.fetch.is_some_and(|(asked, _)| asked == from) {
-            self.fetch = None;
+        if self
+            .pending_snapshot
+            .is_some_and(|(asked, _)| asked == from)
+        {
+            self.pending_snapshot = None;
         }
         if let Some(configuration) = snapshot.configuration {
-            self.adopt(Arc::new(configuration), Some(from));
+            self.adopt_configuration(Arc::new(configuration), Some(from));
         }
-        self.adopt_zones(&snapshot.excluded_zones, Some(from));
+        self.adopt_excluded_zones(&snapshot.excluded_zones, Some(from));
         for balancer in snapshot.balancers {
-            self.name_peer(balancer, now, actions);
+            self.add_named_peer(balancer, now, actions);
         }
         self.has_complete_snapshot |= snapshot.knows_all_agents;
         for agent in snapshot.agents {
             if self.directory.agent(agent).is_none() {
-                self.name_agent(agent);
+                self.add_named_agent(agent);
             }
         }
-        self.greet_next_named_agents(now, actions);
+        self.send_next_named_agent_hellos(now, actions);
     }
 
-    /// A request for a snapshot failed.
+    /// Handles the failure of a request for a snapshot.
     pub fn handle_snapshot_failure(&mut self, from: NodeAddress) {
-        if self.fetch.is_some_and(|(asked, _)| asked == from) {
-            self.fetch = None;
+        if self
+            .pending_snapshot
+            .is_some_and(|(asked, _)| asked == from)
+        {
+            self.pending_snapshot = None;
         }
     }
 
-    /// What this node tells others that ask for a snapshot.
+    /// Answers another node's request for a snapshot.
     #[must_use]
     pub fn answer_snapshot_request(&self, request: &SnapshotRequest) -> Snapshot {
         let mut balancers: Vec<NodeAddress> = self.peers.addresses().collect();
@@ -62,13 +69,13 @@
             &self.excluded_zones,
             balancers,
             agents.collect(),
-            self.was_complete,
+            self.knew_all_agents,
         )
     }
 
-    /// Asks a node for a snapshot unless another is awaited; says whether it
-    /// does.
-    pub(crate) fn fetch_from(
+    /// Requests a snapshot from a node unless another request is pending. Returns
+    /// whether it did.
+    pub(crate) fn request_snapshot(
         &mut self,
         from: NodeAddress,
         wants_nodes: bool,
@@ -76,12 +83,12 @@
         actions: &mut Vec<BalancerAction>,
     ) -> bool {
         let pending = self
-            .fetch
-            .is_some_and(|(_, since)| now.since(since) < FETCH_TIMEOUT);
+            .pending_snapshot
+            .is_some_and(|(_, since)| now.since(since) < SNAPSHOT_TIMEOUT);
         if pending {
             return false;
         }
-        self.fetch = Some((from, now));
+        self.pending_snapshot = Some((from, now));
         let request = SnapshotRequest {
             known_version: self.routes.version(),
             wants_nodes,
--- a/crates/woodladder-core/src/flow/balancer/messages.rs
+++ b/crates/woodladder-core/src/flow/balancer/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of agents and balancers, and what is due with time.
+//! Messages from agents and other balancers, and the work done at each tick.
 
 use std::time::Duration;
 
@@ -7,21 +7,23 @@
 use super::super::log_event::LogEvent;
 use super::super::message::{PeerMessage, ReturnReason, TargetReport};
 use super::super::packet::{FlowPacket, PacketKind};
-use super::{Acceptance, Balancer, BalancerAction, STALL, Stage};
+use super::{Acceptance, Balancer, BalancerAction, STALL_THRESHOLD, Stage};
 use crate::clock::Instant;
 
-/// Time between ticks while something waits for one.
-const SHORT_TICK: Duration = Duration::from_millis(25);
-/// Time between ticks while questions about unknown flows are gathered.
-const GATHERING_TICK: Duration = Duration::from_millis(4);
-/// Time between ticks while nothing does.
-const LONG_TICK: Duration = Duration::from_millis(50);
-/// Acceptances remembered for one opening.
+/// Time between ticks while openings, searches or unanswered agents depend on the next
+/// one.
+const SHORT_TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Time between ticks while new queries are collected, so that queries about several
+/// flows share a message.
+const QUERY_BATCH_TICK_INTERVAL: Duration = Duration::from_millis(4);
+/// Time between ticks while nothing waits.
+const LONG_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of acceptances kept for one opening.
 const MAXIMUM_ACCEPTANCES: usize = 4;
 
 impl Balancer {
-    /// Takes a message in. `packet` is the packet behind it as the shell read
-    /// it, with its bytes.
+    /// Handles a message from another node. `packet` is the packet that followed the
+    /// message, if any: parsed, and as bytes.
     pub fn handle_message(
         &mut self,
         from: NodeAddress,
@@ -32,9 +34,9 @@
     ) {
         self.directory.record_contact(from, now);
         match message {
-            PeerMessage::Report(report) => self.reported(from, &report, now, actions),
+            PeerMessage::Report(report) => self.handle_report(from, &report, now, actions),
             PeerMessage::ReportWithFlows { report, flows } => {
-                self.reported(from, &report, now, actions);
+                self.handle_report(from, &report, now, actions);
                 self.flow_index.apply_statement(from, report.epoch, &flows);
             }
             PeerMessage::FlowList(part) => self.flow_index.add_list_part(from, part),
@@ -44,20 +46,20 @@
                 version,
                 excluded_zones,
             } => {
-                self.adopt_zones(&excluded_zones, Some(from));
+                self.adopt_excluded_zones(&excluded_zones, Some(from));
                 self.directory.update_load(from, load, now);
                 if let Some(zone) = self.directory.agent(from).map(|record| record.zone) {
-                    self.learn_version(from, zone, version, now, actions);
+                    self.handle_version(from, zone, version, now, actions);
                 }
                 if let Some((packet, bytes)) = packet {
-                    self.returned(from, reason, packet, bytes, now, actions);
+                    self.handle_returned_packet(from, reason, packet, bytes, now, actions);
                 }
             }
-            PeerMessage::NotHeld { keys } => self.denied(from, &keys, now, actions),
+            PeerMessage::NotHeld { keys } => self.handle_denial(from, &keys, now, actions),
             PeerMessage::RecordedNotHeld { incarnation, keys } => {
-                self.recorded_not_held(from, incarnation, &keys, actions);
+                self.handle_recorded_denial(from, incarnation, &keys, actions);
             }
-            PeerMessage::MayBeHeld { keys } => self.undecided(from, &keys, now, actions),
+            PeerMessage::MayBeHeld { keys } => self.handle_undecided(from, &keys, now, actions),
             PeerMessage::Accepted {
                 key,
                 sequence,
@@ -71,27 +73,27 @@
                     incarnation,
                     heartbeat: load.last_heartbeat,
                 };
-                self.accepted(key, acceptance);
+                self.handle_acceptance(key, acceptance);
             }
             PeerMessage::Queued { key, load } => {
                 self.directory.update_load(from, load, now);
-                self.opening_queued(from, &key);
+                self.handle_queued_opening(from, &key);
             }
             PeerMessage::Located {
                 key,
                 incarnation,
                 heartbeat,
             } => {
-                self.located(from, key, incarnation, heartbeat, now, actions);
+                self.handle_located(from, key, incarnation, heartbeat, now, actions);
             }
             PeerMessage::Relay => {
                 if let Some((packet, bytes)) = packet {
                     self.counters.relayed_packets_received += 1;
-                    self.relayed(packet, bytes, now, actions);
+                    self.route_relayed_packet(packet, bytes, now, actions);
                 }
             }
-            PeerMessage::TargetEnded => self.agent_ended(from, actions),
-            PeerMessage::Hello(greeting) => self.greeted(from, &greeting, now, actions),
+            PeerMessage::TargetEnded => self.handle_target_ended(from, actions),
+            PeerMessage::Hello(hello) => self.handle_hello(from, &hello, now, actions),
             PeerMessage::Forward(_)
             | PeerMessage::Locate { .. }
             | PeerMessage::LocateRecorded { .. }
@@ -102,37 +104,37 @@
         }
     }
 
-    fn reported(
+    fn handle_report(
         &mut self,
         from: NodeAddress,
         report: &TargetReport,
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.notice_return(from, now, actions);
+        self.detect_return_of_contact(from, now, actions);
         let mut changes = Vec::new();
         self.directory.apply_report(from, report, now, &mut changes);
-        self.last_agent_heard = Some(now);
+        self.last_agent_heard_at = Some(now);
         let is_found = changes.contains(&DirectoryChange::Found(from));
-        self.apply(changes, now, actions);
-        self.recorded_agent_heard(from, report, now, actions);
+        self.apply_directory_changes(changes, now, actions);
+        self.handle_recorded_agent_report(from, report, now, actions);
         if !is_found {
             self.correct_report_interval(from, report, now, actions);
         }
-        self.learn_version(from, report.zone, report.version, now, actions);
+        self.handle_version(from, report.zone, report.version, now, actions);
     }
 
-    fn agent_ended(&mut self, agent: NodeAddress, actions: &mut Vec<BalancerAction>) {
+    fn handle_target_ended(&mut self, agent: NodeAddress, actions: &mut Vec<BalancerAction>) {
         self.named_agents.remove(&agent);
         self.flow_index.remove_agent(agent);
         if self.directory.remove(agent) {
             let flows = self.reset_flows_of(agent, None, actions)
-                + self.recorded_agent_ended(agent, actions);
-            self.notes.add(LogEvent::AgentStopped { agent, flows });
+                + self.reset_recorded_flows_of(agent, actions);
+            self.log_events.add(LogEvent::AgentStopped { agent, flows });
         }
     }
 
-    fn returned(
+    fn handle_returned_packet(
         &mut self,
         from: NodeAddress,
         reason: ReturnReason,
@@ -142,22 +144,22 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         self.counters.returned_packets += 1;
-        self.notes.add(LogEvent::PacketReturned {
+        self.log_events.add(LogEvent::PacketReturned {
             key: packet.key,
             agent: from,
             reason,
         });
         if packet.kind == PacketKind::Open {
-            self.opening_returned(from, packet, bytes, reason, now, actions);
+            self.handle_returned_opening(from, packet, bytes, reason, now, actions);
             return;
         }
         let is_denied = reason == ReturnReason::NotHeld;
-        if !(is_denied && self.reset_recorded(from, packet.key, actions)) {
-            self.held_elsewhere(from, packet, bytes, now, actions);
+        if !(is_denied && self.reset_if_recorded_here(from, packet.key, actions)) {
+            self.handle_packet_not_held(from, packet, bytes, now, actions);
         }
     }
 
-    fn accepted(&mut self, key: super::FlowKey, acceptance: Acceptance) {
+    fn handle_acceptance(&mut self, key: super::FlowKey, acceptance: Acceptance) {
         let Some(entry) = self.flows.touch(&key) else {
             return;
         };
@@ -181,62 +183,62 @@
         }
     }
 
-    /// Longest time from one tick to the next as things stand. Events may
-    /// shorten it.
+    /// Maximum time from one tick to the next in the present state. Events may shorten
+    /// it.
     #[must_use]
     pub fn tick_interval(&self) -> Duration {
-        let is_waited_for = !self.waiting.is_empty()
+        let is_waited_for = !self.waiting_openings.is_empty()
             || self.has_openings_waiting_for_link()
-            || !self.searching.is_empty()
+            || !self.searched_flows.is_empty()
             || !self.named_agents.is_empty()
             || self.directory.is_probing_any();
-        match (self.unasked.is_empty(), is_waited_for) {
-            (false, _) => GATHERING_TICK,
-            (true, true) => SHORT_TICK,
-            (true, false) => LONG_TICK,
+        match (self.unqueried_flows.is_empty(), is_waited_for) {
+            (false, _) => QUERY_BATCH_TICK_INTERVAL,
+            (true, true) => SHORT_TICK_INTERVAL,
+            (true, false) => LONG_TICK_INTERVAL,
         }
     }
 
-    /// Does what is due; to be called again after [`Self::tick_interval`].
+    /// Does the periodic work. The shell calls it again after [`Self::tick_interval`].
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        self.notice_stall(now);
+        self.detect_stall(now);
         self.flows.tick(now);
         let mut changes = Vec::new();
         self.directory.tick(now, &mut changes);
-        self.apply(changes, now, actions);
+        self.apply_directory_changes(changes, now, actions);
         self.zone_members.tick(now);
-        self.choose_relay_receivers(now);
-        self.find_relaying_members();
+        self.update_relay_receivers(now);
+        self.update_relaying_members();
         for balancer in self.peers.tick(now) {
-            self.notes.add(LogEvent::BalancerLost { balancer });
+            self.log_events.add(LogEvent::BalancerLost { balancer });
         }
-        self.seek_complete_snapshot(now, actions);
-        self.greet_named_agents(now, actions);
-        self.ask_doubted_agents(now, actions);
-        self.note_store_duty(now);
-        self.was_complete = self.knows_all_agents(now);
+        self.request_complete_snapshot(now, actions);
+        self.send_named_agent_hellos(now, actions);
+        self.send_due_probes(now, actions);
+        self.log_store_watch_change(now);
+        self.knew_all_agents = self.knows_all_agents(now);
         self.release_openings(now, actions);
-        self.serve_waiting(now, actions);
-        self.pursue_recorded_flows(now, actions);
-        self.ask_for_lists(now, actions);
-        self.pursue_searches(now, actions);
-        self.greet_agents(now, actions);
-        self.greet_peers(now, actions);
+        self.offer_waiting_openings(now, actions);
+        self.advance_restoring(now, actions);
+        self.request_flow_lists(now, actions);
+        self.run_query_round(now, actions);
+        self.send_due_agent_hellos(now, actions);
+        self.send_due_peer_hellos(now, actions);
     }
 
-    fn notice_stall(&mut self, now: Instant) {
-        let pause = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
-        self.ticked_at = Some(now);
-        if pause >= STALL {
+    fn detect_stall(&mut self, now: Instant) {
+        let pause = self.last_tick_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.last_tick_at = Some(now);
+        if pause >= STALL_THRESHOLD {
             self.directory.restart_silence_timers(now);
             self.peers.restart_silence_timers(now);
             self.zone_members.restart_silence_timers(now);
-            self.listen_anew(now);
-            self.notes.add(LogEvent::Stalled { duration: pause });
+            self.restart_listening(now);
+            self.log_events.add(LogEvent::Stalled { duration: pause });
         }
     }
 
-    fn apply(
+    fn apply_directory_changes(
         &mut self,
         changes: Vec<DirectoryChange>,
         now: Instant,
@@ -245,12 +247,12 @@
         for change in changes {
             match change {
                 DirectoryChange::Found(agent) => {
-                    self.agent_found_at = now;
-                    self.notes.add(LogEvent::AgentFound { agent });
+                    self.last_agent_found_at = now;
+                    self.log_events.add(LogEvent::AgentFound { agent });
                     let named = self.named_agents.remove(&agent);
-                    match named.and_then(|named| named.greet_again_at) {
-                        Some(again_at) => self.directory.set_next_hello(agent, again_at),
-                        None => self.greet_agent(agent, now, actions),
+                    match named.and_then(|named| named.next_hello_at) {
+                        Some(next_hello_at) => self.directory.set_next_hello(agent, next_hello_at),
+                        None => self.send_hello_to_agent(agent, now, actions),
                     }
                 }
                 DirectoryChange::Replaced {
@@ -259,7 +261,7 @@
                     last_heard,
                 } => {
                     let flows = self.reset_flows_of(agent, Some((ended, last_heard)), actions);
-                    self.notes.add(LogEvent::TargetReplaced {
+                    self.log_events.add(LogEvent::TargetReplaced {
                         agent,
                         ended,
                         flows,
@@ -272,7 +274,7 @@
                     let unanswered_for =
                         record.map_or(Duration::ZERO, |record| record.unanswered_for(now));
                     let flows = self.reset_flows_of(agent, None, actions);
-                    self.notes.add(LogEvent::AgentLost {
+                    self.log_events.add(LogEvent::AgentLost {
                         agent,
                         silence,
                         unanswered_for,
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -1,10 +1,11 @@
-//! The balancer on the carrier without tokens.
+//! The balancer for flows that carry no routing token.
 //!
 //! # Lifecycle
-//! It starts without knowledge and is ready once it holds a configuration and
-//! hears an agent. Configuration and balancers come from the store or from any
-//! node; agents come from their reports. Its table of flows is a cache: a flow
-//! that is not in it is searched for among the targets of its route.
+//! A balancer starts without any state and becomes ready once it has a configuration
+//! and hears at least one agent. It gets the configuration and the addresses of other
+//! balancers from the store or from any other node, and learns of agents from their
+//! reports. Its flow table is only a cache: for a flow that is not in the table, the
+//! balancer searches among the targets of the flow's route.
 
 mod decision;
 mod flow_records;
@@ -41,14 +42,15 @@
 pub use membership::readiness::NotReadyReason;
 pub use search::flow_index::FlowIndex;
 pub use search::work_budget::WorkBudget;
-pub use search::{SEARCH_FANOUT, SEARCHES_A_TICK};
-pub use store_duty::{REGISTERED, WATCHERS};
+pub use search::{MAXIMUM_SEARCHES_PER_ROUND, SEARCH_FANOUT};
+pub use store_duty::{REGISTERED_BALANCERS, STORE_WATCHERS};
 
-/// Most agents that are all asked about one flow: questions and answers of more take
-/// longer than the packets to the first targets that they replace.
-const MOST_ASKED_AGENTS: usize = 160;
-/// A pause between two ticks after which the process counts as stalled.
-const STALL: Duration = Duration::from_millis(400);
+/// Largest number of agents at which every agent is queried about an unknown flow. With
+/// more agents, the queries and answers take longer than the packets to the first
+/// targets that they replace.
+const MAXIMUM_QUERIED_AGENTS: usize = 160;
+/// Time between two ticks from which on the process counts as stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Debug)]
 struct Acceptance {
@@ -61,144 +63,157 @@
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Openings were sent, and the caller has not answered an acceptance yet.
+    /// One or more openings were sent; the caller has not acknowledged an acceptance
+    /// yet.
     Opening {
-        /// When the caller first sent it.
-        since: Instant,
-        /// Agents that gave the opening back or did not answer it.
+        /// When the caller sent the first copy of the opening.
+        first_sent_at: Instant,
+        /// Agents that returned the opening or did not answer it.
         tried: Vec<NodeAddress>,
-        /// Agent that has the opening and has not answered yet.
+        /// Agent that was sent the opening and has not answered yet.
         awaited: Option<NodeAddress>,
-        /// Whether that agent has said that the opening waits in its queue.
+        /// Whether the awaited agent has reported that the opening is in its queue.
         is_queued: bool,
         accepted: Vec<Acceptance>,
     },
-    /// One target holds the flow.
+    /// One target is known to hold the flow.
     Held {
         agent: NodeAddress,
         incarnation: Option<Incarnation>,
-        /// Number of the target's last heartbeat when the flow was opened, or found by a
-        /// search.
+        /// Number of the target's last heartbeat at the time when the flow was opened
+        /// or located.
         heartbeat: u64,
-        /// When it was opened, or found by a search, as far as is known here.
-        since: Instant,
+        /// When this balancer learned that the target holds the flow: at its opening,
+        /// or when a search located it.
+        known_since: Instant,
     },
-    /// The targets are asked who holds the flow.
+    /// The balancer searches for the target that holds the flow.
     Searching(search::Search),
 }
 
 #[derive(Clone, Debug)]
 struct FlowEntry {
     service: ServiceKey,
-    /// Last acknowledgement of the caller, from which a reset is numbered.
+    /// The caller's last acknowledgement number, which is the sequence number of a
+    /// reset.
     acknowledged: u32,
-    /// Number after the caller's last new byte.
+    /// Sequence number after the caller's last new byte.
     caller_next: u32,
-    /// Whether the caller has closed its side.
-    finished: bool,
+    /// Whether the caller has closed its direction of the flow.
+    is_finished: bool,
     stage: Stage,
 }
 
-/// The balancer's state.
+/// State of a balancer, without I/O: methods take events and return or push what the
+/// shell has to do.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     options: BalancerOptions,
     routes: RouteTable,
     mechanisms: ActiveMechanisms,
-    shares: WeightedRoundRobin,
-    traffic: RouteTraffic,
+    part_shares: WeightedRoundRobin,
+    route_traffic: RouteTraffic,
     directory: AgentDirectory,
     peers: BalancerPeers,
     zone_members: ZoneMembers,
-    /// What the machine's link bears, when its rate is known.
+    /// Load and limits of the machine's link; `None` when its rate is not known.
     link: Option<LinkBudget>,
-    /// Larger balancers that callers' packets are handed to.
+    /// Larger balancers that this one relays callers' packets to.
     relay_receivers: Vec<NodeAddress>,
-    /// Smaller balancers of the zone that hand their packets to this one.
+    /// Smaller balancers of the zone that relay their packets to this one.
     relaying_members: Vec<NodeAddress>,
     flows: FlowTable<FlowEntry>,
-    notes: LogEventBuffer,
+    log_events: LogEventBuffer,
     counters: BalancerCounters,
     promises: PromiseWatch,
-    leaving: bool,
-    ticked_at: Option<Instant>,
+    is_leaving: bool,
+    last_tick_at: Option<Instant>,
     started_at: Instant,
-    /// Greetings of other balancers so far.
-    peer_round: u64,
-    /// Balancers that greetings of this round name, so that each is spread to all.
-    named_in_greetings: Vec<NodeAddress>,
-    /// When the store last confirmed the configuration, here or to a balancer
-    /// that has told so.
-    confirmed_at: Option<Instant>,
-    /// A version later than the own one, and when the store confirmed it to a balancer
-    /// that has told so.
-    later_confirmation: Option<(u64, Instant)>,
-    /// Whether the balancer had to watch the store at its last tick.
-    watched: bool,
-    /// Whether the settings name other balancers.
+    /// Number of rounds of hellos to other balancers so far.
+    peer_hello_round: u64,
+    /// Balancers that the hellos of this round name. Each round names the next few, so
+    /// that every node learns of every balancer.
+    balancers_in_hellos: Vec<NodeAddress>,
+    /// When the store last confirmed the configuration to this balancer or to one whose
+    /// hello said so.
+    configuration_confirmed_at: Option<Instant>,
+    /// A configuration version newer than the one in force here, and when the store
+    /// confirmed it, as another balancer's hello said.
+    newer_version_confirmation: Option<(u64, Instant)>,
+    /// Whether this balancer watched the store as of its last tick.
+    was_watching_store: bool,
+    /// Whether the settings name any seed balancers.
     has_seeds: bool,
-    /// Whether the settings or the store's list name this balancer to others.
-    others_begin_here: bool,
-    /// Whether the store has just given a configuration that others lack.
-    tells_all: bool,
-    /// Whether the nodes of the zone are to be told of a configuration just adopted.
-    tells_zone: bool,
-    /// When a greater version than the own was first heard of.
-    newer_heard_at: Option<Instant>,
+    /// Whether this balancer is itself a seed or in the store's list, so that others
+    /// contact it first.
+    is_seed: bool,
+    /// Whether the next round sends a hello to every balancer with an older
+    /// configuration, because the store has just delivered a new one to this balancer.
+    must_inform_outdated_peers: bool,
+    /// Whether to send a hello to the nodes of the zone at the next tick because a
+    /// configuration was just adopted.
+    must_inform_zone: bool,
+    /// When a configuration version newer than the one in force here was first heard
+    /// of.
+    newer_version_heard_at: Option<Instant>,
     excluded_zones: ExcludedZones,
-    /// Whether every node is to be told of the excluded zones at once.
-    tells_zones: bool,
-    greeted_peers_at: Instant,
-    /// When the balancers that hand their packets to this one were last greeted.
-    greeted_relaying_at: Instant,
-    fetch: Option<(NodeAddress, Instant)>,
-    last_agent_heard: Option<Instant>,
-    /// When another balancer last said that it hears no agent.
-    peer_without_agents: Option<Instant>,
-    agent_found_at: Instant,
-    /// Since when the balancer listens without a break.
+    /// Whether to send a hello to every node at the next tick because the excluded
+    /// zones have changed.
+    must_send_excluded_zones: bool,
+    peer_hellos_sent_at: Instant,
+    /// When the balancers that relay to this one were last sent a hello.
+    relaying_member_hellos_sent_at: Instant,
+    pending_snapshot: Option<(NodeAddress, Instant)>,
+    last_agent_heard_at: Option<Instant>,
+    /// When another balancer's hello last said that it hears no agent.
+    peer_without_agents_at: Option<Instant>,
+    last_agent_found_at: Instant,
+    /// Since when the balancer has received messages without interruption: its start,
+    /// or the end of the last stall or loss of contact.
     listening_since: Instant,
-    /// Whether a balancer that knew all agents has told them since then.
+    /// Whether, since then, a balancer that knew all agents has sent a snapshot of
+    /// them.
     has_complete_snapshot: bool,
-    /// Balancers asked so far which agents they know.
-    sought: usize,
-    /// Whether this balancer knew all agents at its last tick.
-    was_complete: bool,
-    /// Agents that other nodes have named and that were not heard yet.
-    named_agents: BTreeMap<NodeAddress, membership::agent_census::NamedAgent>,
-    /// How many of them were greeted since the last tick.
-    named_agents_greeted: u32,
-    /// Flows that are searched for.
-    searching: Vec<FlowKey>,
-    /// What agents tell of their flows.
+    /// Number of snapshots requested so far in order to learn of all agents.
+    snapshots_requested: usize,
+    /// Whether this balancer knew all agents as of its last tick.
+    knew_all_agents: bool,
+    /// Agents that other nodes have named but that have not reported here yet.
+    named_agents: BTreeMap<NodeAddress, membership::agent_discovery::NamedAgent>,
+    /// How many of those were sent a hello since the last tick.
+    named_agent_hellos_this_tick: u32,
+    /// Flows with a search under way.
+    searched_flows: Vec<FlowKey>,
+    /// Which flows the agents announce that they hold.
     flow_index: search::flow_index::FlowIndex,
-    questions: search::work_budget::WorkBudget,
-    list_bytes: search::work_budget::WorkBudget,
-    packet_bytes: search::work_budget::WorkBudget,
-    /// Flows about which all agents are to be asked with the next tick.
-    unasked: Vec<FlowKey>,
-    /// Searches begun since they were last counted anew.
-    searches_begun: u32,
-    /// When searches were last counted anew and all gone through.
-    searches_counted_at: Instant,
-    /// Packets of searches handed over since the last tick.
-    packets_handed: u32,
-    /// The record of held flows at the store.
-    records: flow_records::FlowRecords,
-    /// Openings that wait for a target, the newest last.
-    waiting: Vec<forwarding::waiting::WaitingOpening>,
+    query_budget: search::work_budget::WorkBudget,
+    list_byte_budget: search::work_budget::WorkBudget,
+    packet_byte_budget: search::work_budget::WorkBudget,
+    /// Flows about which all agents are to be queried at the next tick.
+    unqueried_flows: Vec<FlowKey>,
+    /// Searches begun since the last full round of queries.
+    searches_begun_this_round: u32,
+    /// When all searches were last gone through in one round.
+    last_full_round_at: Instant,
+    /// Packets sent, since the last full round, to agents that cannot answer a query
+    /// without one.
+    search_packets_this_round: u32,
+    /// This balancer's records of held flows in the store.
+    flow_records: flow_records::FlowRecords,
+    /// Openings that wait for a target, oldest first.
+    waiting_openings: Vec<forwarding::waiting::WaitingOpening>,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet.
+    /// Creates a balancer without configuration, agents or flows.
     #[must_use]
     pub fn new(options: BalancerOptions, now: Instant) -> Self {
         Self {
             options,
             routes: RouteTable::default(),
             mechanisms: ActiveMechanisms::default(),
-            shares: WeightedRoundRobin::default(),
-            traffic: RouteTraffic::default(),
+            part_shares: WeightedRoundRobin::default(),
+            route_traffic: RouteTraffic::default(),
             directory: AgentDirectory::default(),
             peers: BalancerPeers::default(),
             zone_members: ZoneMembers::default(),
@@ -206,107 +221,112 @@
             relay_receivers: Vec::new(),
             relaying_members: Vec::new(),
             flows: FlowTable::new(options.flow_capacity, options.flow_retention),
-            notes: LogEventBuffer::default(),
+            log_events: LogEventBuffer::default(),
             counters: BalancerCounters::default(),
             promises: PromiseWatch::default(),
-            leaving: false,
-            ticked_at: None,
+            is_leaving: false,
+            last_tick_at: None,
             started_at: now,
-            peer_round: 0,
-            named_in_greetings: Vec::new(),
-            confirmed_at: None,
-            later_confirmation: None,
-            watched: false,
+            peer_hello_round: 0,
+            balancers_in_hellos: Vec::new(),
+            configuration_confirmed_at: None,
+            newer_version_confirmation: None,
+            was_watching_store: false,
             has_seeds: false,
-            others_begin_here: false,
-            tells_all: false,
-            tells_zone: false,
-            newer_heard_at: None,
+            is_seed: false,
+            must_inform_outdated_peers: false,
+            must_inform_zone: false,
+            newer_version_heard_at: None,
             excluded_zones: ExcludedZones::default(),
-            tells_zones: false,
-            greeted_peers_at: Instant::ORIGIN,
-            greeted_relaying_at: Instant::ORIGIN,
-            fetch: None,
-            last_agent_heard: None,
-            peer_without_agents: None,
-            agent_found_at: now,
+            must_send_excluded_zones: false,
+            peer_hellos_sent_at: Instant::ORIGIN,
+            relaying_member_hellos_sent_at: Instant::ORIGIN,
+            pending_snapshot: None,
+            last_agent_heard_at: None,
+            peer_without_agents_at: None,
+            last_agent_found_at: now,
             listening_since: now,
             has_complete_snapshot: false,
-            sought: 0,
-            was_complete: false,
+            snapshots_requested: 0,
+            knew_all_agents: false,
             named_agents: BTreeMap::new(),
-            named_agents_greeted: 0,
-            searching: Vec::new(),
+            named_agent_hellos_this_tick: 0,
+            searched_flows: Vec::new(),
             flow_index: search::flow_index::FlowIndex::default(),
-            questions: search::work_budget::WorkBudget::for_queries(options.cpu_millicores, now),
-            packet_bytes: search::work_budget::WorkBudget::of_packet_bytes(
+            query_budget: search::work_budget::WorkBudget::for_queries(options.cpu_millicores, now),
+            packet_byte_budget: search::work_budget::WorkBudget::for_packet_bytes(
                 options.link_rate_kbps,
                 now,
             ),
-            list_bytes: search::work_budget::WorkBudget::of_list_bytes(options.link_rate_kbps, now),
-            unasked: Vec::new(),
-            searches_begun: 0,
-            searches_counted_at: Instant::ORIGIN,
-            packets_handed: 0,
-            records: flow_records::FlowRecords::new(options.address, now),
-            waiting: Vec::new(),
+            list_byte_budget: search::work_budget::WorkBudget::for_list_bytes(
+                options.link_rate_kbps,
+                now,
+            ),
+            unqueried_flows: Vec::new(),
+            searches_begun_this_round: 0,
+            last_full_round_at: Instant::ORIGIN,
+            search_packets_this_round: 0,
+            flow_records: flow_records::FlowRecords::new(options.address, now),
+            waiting_openings: Vec::new(),
         }
     }
 
-    /// The routes in force.
+    /// The configuration in force, as a table of routes.
     #[must_use]
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// The optional mechanisms that act here.
+    /// The optional mechanisms that are active on this balancer.
     #[must_use]
     pub fn mechanisms(&self) -> ActiveMechanisms {
         self.mechanisms
     }
 
-    /// Whether flows are located by what agents tell and by questions to all of them:
-    /// where that is called for, and while there are few enough agents to ask.
+    /// Whether unknown flows are located through the flows that agents announce and by
+    /// queries to all agents. This applies while the mechanism is active and there are
+    /// few enough agents to query.
     #[must_use]
     pub fn locates_flows(&self) -> bool {
-        self.mechanisms.locates_flows && self.directory.len() <= MOST_ASKED_AGENTS
+        self.mechanisms.locates_flows && self.directory.len() <= MAXIMUM_QUERIED_AGENTS
     }
 
-    /// Known targets.
+    /// The known agents and their targets.
     #[must_use]
     pub fn directory(&self) -> &AgentDirectory {
         &self.directory
     }
 
-    /// Other balancers.
+    /// The other balancers that are known.
     #[must_use]
     pub fn peers(&self) -> &BalancerPeers {
         &self.peers
     }
 
-    /// Flows in the table.
+    /// Number of flows in the table.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Running totals.
+    /// Counters since the start.
     #[must_use]
     pub fn counters(&self) -> &BalancerCounters {
         &self.counters
     }
 
-    /// Notes for the log and how many were left out.
+    /// Removes and returns the events for the log, and the number of events that were
+    /// dropped.
     pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
-        self.notes.take()
+        self.log_events.take()
     }
 
-    /// Takes a configuration that the store gave.
+    /// Adopts a configuration that was read from the store.
     pub fn adopt_store_configuration(&mut self, configuration: Arc<Configuration>) {
-        self.adopt(configuration, None);
+        self.adopt_configuration(configuration, None);
     }
 
-    /// Takes the balancers that the settings name.
+    /// Adds the seed balancers that the settings name, and sends them a hello.
     pub fn add_seed_balancers(
         &mut self,
         seeds: &[NodeAddress],
@@ -317,59 +337,64 @@
         self.add_listed_balancers(seeds, now, actions);
     }
 
-    /// Takes the balancers that the store lists.
+    /// Adds the balancers of the store's list, and sends them a hello.
     pub fn add_listed_balancers(
         &mut self,
         balancers: &[NodeAddress],
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.others_begin_here |= balancers.contains(&self.options.address);
+        self.is_seed |= balancers.contains(&self.options.address);
         for balancer in balancers {
-            self.name_peer(*balancer, now, actions);
+            self.add_named_peer(*balancer, now, actions);
         }
     }
 
-    /// Begins a planned stop: not ready any more, forwards on.
+    /// Begins a planned stop: the balancer is not ready any more but continues to
+    /// forward packets.
     pub fn leave(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        self.leaving = true;
-        self.records.leave(now);
+        self.is_leaving = true;
+        self.flow_records.leave(now);
         let known: Vec<NodeAddress> = self.peers.addresses().collect();
         for address in known {
-            self.greet(address, now, actions);
+            self.send_hello(address, now, actions);
         }
     }
 
-    fn adopt(&mut self, configuration: Arc<Configuration>, from: Option<NodeAddress>) {
+    fn adopt_configuration(
+        &mut self,
+        configuration: Arc<Configuration>,
+        from: Option<NodeAddress>,
+    ) {
         let former = self.routes.version();
         if !self.routes.adopt(configuration) {
             return;
         }
         let routes = &self.routes;
-        self.shares
+        self.part_shares
             .retain(|address| routes.route(address).is_some());
-        self.traffic
+        self.route_traffic
             .retain(|address| routes.route(address).is_some());
         if let Some(link) = &mut self.link {
             link.retain_routes(|address| routes.route(address).is_some());
         }
-        // The others are told with the next tick, and all at once when the
-        // store gave it.
-        self.greeted_peers_at = Instant::ORIGIN;
-        self.tells_all |= from.is_none();
-        self.tells_zone = true;
-        self.newer_heard_at = None;
-        self.confirmation_adopted();
-        self.notes.add(LogEvent::ConfigurationAdopted {
+        // The next tick sends a hello to some of the other balancers and, if the
+        // configuration came from the store, to every balancer that has an older one.
+        self.peer_hellos_sent_at = Instant::ORIGIN;
+        self.must_inform_outdated_peers |= from.is_none();
+        self.must_inform_zone = true;
+        self.newer_version_heard_at = None;
+        self.apply_confirmation_of_adopted();
+        self.log_events.add(LogEvent::ConfigurationAdopted {
             version: self.routes.version(),
             former,
             routes: self.routes.current().map_or(0, |it| it.routes.len()),
             from,
         });
-        self.choose_mechanisms();
+        self.update_mechanisms();
     }
 
-    fn choose_mechanisms(&mut self) {
+    fn update_mechanisms(&mut self) {
         let Some(configuration) = self.routes.current() else {
             return;
         };
@@ -380,11 +405,12 @@
             options.link_rate_kbps,
         );
         if std::mem::replace(&mut self.mechanisms, next) != next {
-            self.notes.add(LogEvent::MechanismsChanged { active: next });
+            self.log_events
+                .add(LogEvent::MechanismsChanged { active: next });
         }
     }
 
-    fn reset(
+    fn issue_reset(
         &mut self,
         key: FlowKey,
         sequence: u32,
@@ -404,10 +430,10 @@
             ResetReason::TargetEnded | ResetReason::HeldNowhere | ResetReason::HolderDenied
         );
         if counts_as_gone {
-            let now = self.ticked_at.unwrap_or(self.started_at);
+            let now = self.last_tick_at.unwrap_or(self.started_at);
             self.promises.record_reset(key, now);
         }
-        self.notes.add(LogEvent::FlowReset {
+        self.log_events.add(LogEvent::FlowReset {
             key,
             reason,
             denied,
@@ -415,13 +441,13 @@
         CallerReset { key, sequence }
     }
 
-    /// How often each promise was broken here.
+    /// How often this balancer has broken each promise.
     #[must_use]
     pub fn broken_promises(&self) -> &BrokenPromises {
         self.promises.broken()
     }
 
-    /// Decides about a packet of a caller; `bytes` are the packet as it came.
+    /// Decides where a caller's packet goes. `bytes` is the packet as it was received.
     pub fn route_caller_packet(
         &mut self,
         packet: &FlowPacket,
@@ -429,26 +455,32 @@
         now: Instant,
     ) -> Routing {
         self.counters.caller_packets += 1;
-        match self.hold_for_link(packet, bytes, now) {
+        match self.defer_for_link(packet, bytes, now) {
             Some(routing) => routing,
-            None => self.relay_or_route(packet, bytes, now),
+            None => self.relay_or_route_packet(packet, bytes, now),
         }
     }
 
-    fn relay_or_route(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
+    fn relay_or_route_packet(
+        &mut self,
+        packet: &FlowPacket,
+        bytes: &[u8],
+        now: Instant,
+    ) -> Routing {
         match self.relay_receiver(packet.key) {
             Some(receiver) => self.relay(receiver),
-            None => self.route(packet, bytes, now),
+            None => self.route_packet(packet, bytes, now),
         }
     }
 
-    fn route(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
+    fn route_packet(&mut self, packet: &FlowPacket, bytes: &[u8], now: Instant) -> Routing {
         let own_address = self.options.address.ip();
-        self.traffic.count_bytes(packet.key.service, bytes.len());
+        self.route_traffic
+            .count_bytes(packet.key.service, bytes.len());
         let routing = match packet.kind {
             _ if packet.key.caller.ip() == own_address => Routing::Drop(DropReason::Forged),
             PacketKind::Open => {
-                self.recorded_superseded(&packet.key);
+                self.drop_recorded_flow(&packet.key);
                 self.route_opening(packet, bytes, now)
             }
             PacketKind::Accept => Routing::Drop(DropReason::Forged),
--- a/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
@@ -1,7 +1,7 @@
-//! Which agents say that their targets hold a flow.
+//! Index of the agents that announce each flow as held by their targets.
 //!
-//! The index only chooses whom to ask first. A wrong or old entry costs one denial, a
-//! missing one a question to all agents.
+//! The index only decides which agents are sent the packet first. A wrong or outdated
+//! entry costs one denial; a missing entry costs a query to all agents.
 
 use std::time::Duration;
 
@@ -13,36 +13,37 @@
 };
 use crate::flow::identity::NodeAddress;
 
-/// Most entries, some 40 bytes each. Agents whose flows do not fit are asked like
-/// agents that tell nothing.
-const MOST_ENTRIES: usize = 400_000;
-/// Agents that are named for one fingerprint.
-const MOST_NAMED: usize = 3;
-/// Time between two requests for one agent's list.
-const ASKS_AGAIN_AFTER: Duration = Duration::from_millis(500);
+/// Maximum number of entries, of some 40 bytes each. Flows beyond it are treated like
+/// those of agents that announce nothing.
+const MAXIMUM_ENTRIES: usize = 400_000;
+/// Maximum number of agents kept for one fingerprint.
+const MAXIMUM_HOLDERS: usize = 3;
+/// Minimum time between two requests for one agent's list.
+const LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What one agent has told.
+/// The flows that one agent has announced.
 #[derive(Clone, Debug, Default)]
 struct AgentFlows {
     epoch: u64,
     flows: FxHashSet<FlowFingerprint>,
-    /// Number of the last change up to which nothing is missing.
+    /// Sequence number of the last change up to which the set of flows is complete;
+    /// `None` if changes are missing.
     complete_to: Option<u32>,
-    /// Whether the agent has too many flows to list.
+    /// Whether the agent holds too many flows to announce them.
     has_too_many: bool,
-    asked_at: Option<Instant>,
-    pending: Option<PendingList>,
+    list_requested_at: Option<Instant>,
+    pending_list: Option<PendingList>,
 }
 
-/// Parts of a list that have come.
+/// The received parts of an incomplete list.
 #[derive(Clone, Debug)]
 struct PendingList {
-    last: u32,
+    last_change: u32,
     parts: FxHashSet<u8>,
     flows: FxHashSet<FlowFingerprint>,
 }
 
-/// Agents by the flows that they tell.
+/// Agents by the flows that they announce.
 #[derive(Clone, Debug, Default)]
 pub struct FlowIndex {
     agents: FxHashMap<NodeAddress, AgentFlows>,
@@ -51,25 +52,25 @@
 }
 
 impl FlowIndex {
-    /// Agents that say that they hold a flow.
+    /// Agents that announce a flow.
     #[must_use]
     pub fn holders(&self, flow: FlowFingerprint) -> &[NodeAddress] {
         self.holders.get(&flow).map_or(&[], Vec::as_slice)
     }
 
-    /// Flows that are told, counted once for each agent.
+    /// Number of entries: flows, counted once for each agent that announces them.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries
     }
 
-    /// Whether no flow is told.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries == 0
     }
 
-    /// Whether all that an agent tells is known.
+    /// Whether everything that an agent can announce is known here.
     #[must_use]
     pub fn is_complete(&self, agent: NodeAddress) -> bool {
         self.agents
@@ -77,17 +78,18 @@
             .is_some_and(|known| known.has_too_many || known.complete_to.is_some())
     }
 
-    /// Takes in what a report of an agent's start `epoch` states.
+    /// Applies the flow announcement of an agent's report. `epoch` identifies the
+    /// agent's start.
     pub fn apply_statement(
         &mut self,
         agent: NodeAddress,
         epoch: u64,
-        statement: &FlowAnnouncement,
+        announcement: &FlowAnnouncement,
     ) {
         self.begin_epoch(agent, epoch);
         let known = self.agents.entry(agent).or_default();
-        known.has_too_many = statement.coverage == AnnouncementCoverage::Nothing;
-        match statement.coverage {
+        known.has_too_many = announcement.coverage == AnnouncementCoverage::Nothing;
+        match announcement.coverage {
             AnnouncementCoverage::Nothing => {
                 known.complete_to = None;
                 self.replace(agent, &FxHashSet::default());
@@ -95,37 +97,37 @@
             AnnouncementCoverage::Complete => {
                 let is_late = known
                     .complete_to
-                    .is_some_and(|to| is_after(to, statement.last_change));
+                    .is_some_and(|to| is_after(to, announcement.last_change));
                 if !is_late {
-                    known.complete_to = Some(statement.last_change);
-                    let flows = statement.open.iter().copied().collect();
+                    known.complete_to = Some(announcement.last_change);
+                    let flows = announcement.open.iter().copied().collect();
                     self.replace(agent, &flows);
                 }
             }
-            AnnouncementCoverage::Changes => self.changed(agent, statement),
+            AnnouncementCoverage::Changes => self.changed(agent, announcement),
         }
     }
 
-    fn changed(&mut self, agent: NodeAddress, statement: &FlowAnnouncement) {
+    fn changed(&mut self, agent: NodeAddress, announcement: &FlowAnnouncement) {
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
         };
         if let Some(to) = known.complete_to {
-            if !is_after(statement.last_change, to) {
+            if !is_after(announcement.last_change, to) {
                 return;
             }
-            let is_gap = is_after(statement.base_change, to);
-            known.complete_to = (!is_gap).then_some(statement.last_change);
+            let is_gap = is_after(announcement.base_change, to);
+            known.complete_to = (!is_gap).then_some(announcement.last_change);
         }
-        for flow in &statement.closed {
+        for flow in &announcement.closed {
             self.remove(agent, *flow);
         }
-        for flow in &statement.open {
+        for flow in &announcement.open {
             self.add(agent, *flow);
         }
     }
 
-    /// Takes in a part of a list that was asked for.
+    /// Applies one part of a list that was requested.
     pub fn add_list_part(&mut self, agent: NodeAddress, part: FlowListPart) {
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
@@ -136,28 +138,28 @@
         if known.epoch != part.epoch || is_late {
             return;
         }
-        let pending = match known.pending.take() {
-            Some(pending) if pending.last == part.last_change => pending,
+        let pending = match known.pending_list.take() {
+            Some(pending) if pending.last_change == part.last_change => pending,
             _ => PendingList {
-                last: part.last_change,
+                last_change: part.last_change,
                 parts: FxHashSet::default(),
                 flows: FxHashSet::default(),
             },
         };
-        let pending = known.pending.insert(pending);
+        let pending = known.pending_list.insert(pending);
         pending.parts.insert(part.part_index);
         pending.flows.extend(part.open);
         if pending.parts.len() < usize::from(part.part_count) {
             return;
         }
-        if let Some(list) = known.pending.take() {
-            known.complete_to = Some(list.last);
+        if let Some(list) = known.pending_list.take() {
+            known.complete_to = Some(list.last_change);
             self.replace(agent, &list.flows);
         }
     }
 
-    /// At most `count` agents of those given that are to be asked for their list, which
-    /// counts as asking them.
+    /// Returns at most `count` of the given agents whose list is incomplete and due to
+    /// be requested, and records them as requested now.
     pub fn take_agents_to_list(
         &mut self,
         agents: impl Iterator<Item = NodeAddress>,
@@ -174,17 +176,17 @@
             };
             let is_missing = !known.has_too_many && known.complete_to.is_none();
             let is_due = known
-                .asked_at
-                .is_none_or(|at| now.since(at) >= ASKS_AGAIN_AFTER);
+                .list_requested_at
+                .is_none_or(|at| now.since(at) >= LIST_REQUEST_INTERVAL);
             if is_missing && is_due {
-                known.asked_at = Some(now);
+                known.list_requested_at = Some(now);
                 due.push(agent);
             }
         }
         due
     }
 
-    /// An agent is gone.
+    /// Removes an agent and its flows.
     pub fn remove_agent(&mut self, agent: NodeAddress) {
         self.replace(agent, &FxHashSet::default());
         self.agents.remove(&agent);
@@ -218,12 +220,12 @@
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
         };
-        let named = self.holders.entry(flow).or_default();
-        let has_room = named.len() < MOST_NAMED && self.entries < MOST_ENTRIES;
+        let holders = self.holders.entry(flow).or_default();
+        let has_room = holders.len() < MAXIMUM_HOLDERS && self.entries < MAXIMUM_ENTRIES;
         if has_room && known.flows.insert(flow) {
-            named.push(agent);
+            holders.push(agent);
             self.entries += 1;
-        } else if named.is_empty() {
+        } else if holders.is_empty() {
             self.holders.remove(&flow);
         }
     }
@@ -237,16 +239,16 @@
             return;
         }
         self.entries -= 1;
-        if let Some(named) = self.holders.get_mut(&flow) {
-            named.retain(|holder| *holder != agent);
-            if named.is_empty() {
+        if let Some(holders) = self.holders.get_mut(&flow) {
+            holders.retain(|holder| *holder != agent);
+            if holders.is_empty() {
                 self.holders.remove(&flow);
             }
         }
     }
 }
 
-/// Whether one number of a wrapping sequence lies after another.
+/// Whether the first number comes after the second in a wrapping sequence.
 fn is_after(one: u32, other: u32) -> bool {
     let distance = one.wrapping_sub(other);
     distance != 0 && distance < u32::MAX / 2
--- a/crates/woodladder-core/src/flow/balancer/search/outcome.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/outcome.rs
@@ -1,13 +1,12 @@
-//! The outcome of searches: denials, claims, and the reset of flows that are
-//! held nowhere.
+//! The outcome of searches: denials, located flows, and the reset of flows that no
+//! target holds.
 //!
-//! Once the first targets have denied, or have had time to answer, every agent whose
-//! target may hold the flow is asked by batched queries, which need no further packet
-//! of the caller. An agent
-//! that has restarted beside a running target cannot tell: it is handed the
-//! packet, which the target gives back when it does not hold the flow. The flow is
-//! reset only when each of them has denied and the balancer knows all of them
-//! ([`crate::flow::balancer::membership::agent_census`]).
+//! Once the first targets have denied the flow, or have had time to answer, every agent
+//! whose target may hold it is queried. Queries are batched and need no further packet
+//! of the caller. An agent that has restarted beside a running target cannot tell. It
+//! is sent the packet, which the target returns if it does not hold the flow. The flow
+//! is reset only when each of these agents has denied it and the balancer knows all
+//! agents ([`crate::flow::balancer::membership::agent_discovery`]).
 
 use std::time::Duration;
 
@@ -18,13 +17,13 @@
 use crate::flow::message::ForwardPurpose;
 use crate::flow::packet::{FlowPacket, ResetReason};
 
-/// Packets handed to agents that cannot tell without one, between two ticks. The
-/// others follow when the agent has been asked again.
-const PACKETS_A_TICK: u32 = 256;
+/// Maximum number of packets sent, between two full rounds of queries, to agents that
+/// cannot tell without one. The others follow when the agent has been queried again.
+const MAXIMUM_PACKETS_PER_ROUND: u32 = 256;
 
 impl Balancer {
-    /// Every agent whose target may hold a flow: of all services, because the
-    /// route may have led elsewhere before this balancer started.
+    /// Agents whose targets may hold a flow. Agents of all services count, because the
+    /// route may have led to another service before this balancer started.
     pub(crate) fn possible_holders(&self, now: Instant) -> Vec<NodeAddress> {
         let locates = self.locates_flows();
         self.directory
@@ -35,9 +34,9 @@
             .collect()
     }
 
-    /// An agent says that its target does not hold a flow that it was sent a
-    /// packet of; the packet goes to the others.
-    pub(crate) fn held_elsewhere(
+    /// Handles a packet that an agent returned because its target does not hold the
+    /// flow; the packet goes on to the others.
+    pub(crate) fn handle_packet_not_held(
         &mut self,
         from: NodeAddress,
         packet: &FlowPacket,
@@ -45,15 +44,15 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        if self.search_when_holder_denies(from, &packet.key, bytes, now) {
+        if self.search_if_denied_by_holder(from, &packet.key, bytes, now) {
             let routing = self.begin_search(packet.key);
-            self.carry_out(routing, bytes, actions);
+            self.push_actions(routing, bytes, actions);
         }
-        self.denied(from, &[packet.key], now, actions);
+        self.handle_denial(from, &[packet.key], now, actions);
     }
 
-    /// An agent says that its target does not hold flows searched for.
-    pub(crate) fn denied(
+    /// Handles an agent's denial that its target holds flows that are searched for.
+    pub(crate) fn handle_denial(
         &mut self,
         from: NodeAddress,
         keys: &[FlowKey],
@@ -61,12 +60,12 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         for key in keys {
-            if self.reset_recorded(from, *key, actions) {
+            if self.reset_if_recorded_here(from, *key, actions) {
                 continue;
             }
-            if self.search_when_holder_denies(from, key, &[], now) {
-                self.searching.push(*key);
-                self.notes.add(LogEvent::SearchStarted {
+            if self.search_if_denied_by_holder(from, key, &[], now) {
+                self.searched_flows.push(*key);
+                self.log_events.add(LogEvent::SearchStarted {
                     key: *key,
                     asked: 0,
                 });
@@ -74,42 +73,42 @@
             let Some(search) = self.search_of(key) else {
                 continue;
             };
-            search.denied.insert(from);
-            let is_unasked = search.queried_at.is_none();
-            if is_unasked && self.locates_flows() {
-                self.unasked.push(*key);
+            search.denied_by.insert(from);
+            let is_unqueried = search.queried_at.is_none();
+            if is_unqueried && self.locates_flows() {
+                self.unqueried_flows.push(*key);
             }
         }
-        self.conclude(keys, now, actions);
+        self.reset_denied_flows(keys, now, actions);
     }
 
-    /// An agent cannot tell whether its target holds flows: the target decides
-    /// by the caller's packet. Where a flow is not likely to be, that counts as a
-    /// denial: its packets must not reach another service, so nothing more can be
-    /// learned.
-    pub(crate) fn undecided(
+    /// Handles the answer of an agent that cannot tell whether its target holds flows:
+    /// it is sent a packet of each flow, and the target decides. For a flow that cannot
+    /// have been opened with the agent's service, the answer counts as a denial: the
+    /// packet must not reach another service, so nothing more can be learned.
+    pub(crate) fn handle_undecided(
         &mut self,
         from: NodeAddress,
         keys: &[FlowKey],
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.recorded_undecided(from, keys, now);
+        self.handle_recorded_flows_undecided(from, keys, now);
         let Some(service) = self.directory.agent(from).map(|record| record.service) else {
             return;
         };
-        let (likely, unlikely): (Vec<FlowKey>, Vec<FlowKey>) = keys
+        let (possible, ruled_out): (Vec<FlowKey>, Vec<FlowKey>) = keys
             .iter()
-            .partition(|key| self.likely_services(**key).contains(&service));
-        self.denied(from, &unlikely, now, actions);
-        for key in likely {
-            self.hand_packet(from, service, key, now, actions);
+            .partition(|key| self.possible_services(**key).contains(&service));
+        self.handle_denial(from, &ruled_out, now, actions);
+        for key in possible {
+            self.send_search_packet_within_limits(from, service, key, now, actions);
         }
     }
 
-    /// Hands the packet of a search to an agent that cannot tell without one, if another
-    /// may be handed over now.
-    fn hand_packet(
+    /// Sends the packet of a search to an agent that cannot tell without one, if the
+    /// limits allow another.
+    fn send_search_packet_within_limits(
         &mut self,
         agent: NodeAddress,
         service: ServiceKey,
@@ -118,16 +117,16 @@
         actions: &mut Vec<BalancerAction>,
     ) {
         let is_possible = if self.locates_flows() {
-            self.may_ask_about_another(now)
+            self.can_query_another_flow(now)
         } else {
-            self.packets_handed < PACKETS_A_TICK
+            self.search_packets_this_round < MAXIMUM_PACKETS_PER_ROUND
         };
         if is_possible {
-            self.give_packet(agent, service, key, now, actions);
+            self.send_search_packet(agent, service, key, now, actions);
         }
     }
 
-    pub(crate) fn give_packet(
+    pub(crate) fn send_search_packet(
         &mut self,
         agent: NodeAddress,
         service: ServiceKey,
@@ -137,24 +136,24 @@
     ) {
         let packet = self
             .search_of(&key)
-            .and_then(|search| search.packet_for(agent, now));
+            .and_then(|search| search.take_packet_for(agent, now));
         let Some(packet) = packet else {
             return;
         };
-        self.packets_handed += 1;
+        self.search_packets_this_round += 1;
         let bytes = u32::try_from(packet.len()).unwrap_or(u32::MAX);
-        self.packet_bytes.spend(bytes);
-        self.questions.spend(1);
+        self.packet_byte_budget.spend(bytes);
+        self.query_budget.spend(1);
         self.counters.search_packets += 1;
         actions.push(BalancerAction::Forward {
             to: agent,
-            header: self.header(service, ForwardPurpose::Search),
+            header: self.forward_header(service, ForwardPurpose::Search),
             packet,
         });
     }
 
     /// Resets those of the flows that every possible holder has denied.
-    pub(crate) fn conclude(
+    pub(crate) fn reset_denied_flows(
         &mut self,
         keys: &[FlowKey],
         now: Instant,
@@ -168,28 +167,28 @@
             let Some(search) = self.search_of(key) else {
                 continue;
             };
-            // Counting first spares the comparison, which is made for each answer.
-            let may_be_all = search.denied.len() >= holders.len();
+            // This runs for each answer, so the counts are compared before the sets.
+            let may_be_all = search.denied_by.len() >= holders.len();
             if !may_be_all
                 || search.is_over(now)
-                || !holders.iter().all(|agent| search.denied.contains(agent))
+                || !holders.iter().all(|agent| search.denied_by.contains(agent))
             {
                 continue;
             }
-            let count = search.denied.len();
+            let count = search.denied_by.len();
             let waited = now.since(search.started_at);
-            self.notes
+            self.log_events
                 .add(LogEvent::AbsenceProved { key: *key, waited });
             if let Some(entry) = self.flows.remove(key) {
                 let sequence = entry.acknowledged;
-                let reset = self.reset(*key, sequence, ResetReason::HeldNowhere, count);
+                let reset = self.issue_reset(*key, sequence, ResetReason::HeldNowhere, count);
                 actions.push(BalancerAction::Reset(reset));
             }
         }
     }
 
-    /// A target holds a flow that was searched for.
-    pub(crate) fn located(
+    /// Handles an agent's answer that its target holds a flow that is searched for.
+    pub(crate) fn handle_located(
         &mut self,
         agent: NodeAddress,
         key: FlowKey,
@@ -203,17 +202,17 @@
             return;
         };
         let service = record.service;
-        self.recorded_located(agent, key, now);
+        self.handle_recorded_flow_located(agent, key, now);
         let Some(search) = self.search_of(&key) else {
             return;
         };
         let waited = now.since(search.started_at);
-        let was_named = search.was_named(agent);
+        let was_named = search.was_sent_first(agent);
         if self.locates_flows() {
             let (terms, _) = self.routes.terms(key.service, service);
             let is_awaited = waited < Duration::from_millis(terms.timeout_ms.into());
             if is_awaited {
-                self.hand_kept(agent, service, &key, actions);
+                self.send_kept_packets(agent, service, &key, actions);
             }
             let counter = if was_named {
                 &mut self.counters.flows_located_by_list
@@ -228,9 +227,9 @@
                 agent,
                 incarnation,
                 heartbeat,
-                since: now,
+                known_since: now,
             };
-            self.notes.add(LogEvent::FlowLocated {
+            self.log_events.add(LogEvent::FlowLocated {
                 key,
                 agent,
                 waited,
--- a/crates/woodladder-core/src/flow/balancer/search/rounds.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of questions about the flows that are searched for.
+//! Rounds of queries about the flows that are searched for.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,45 +9,47 @@
 use crate::flow::log_event::LogEvent;
 use crate::flow::message::{MAXIMUM_KEYS, PeerMessage};
 
-/// Time between two queries for one flow.
+/// Time between two rounds of queries about one flow.
 const QUERY_INTERVAL: Duration = Duration::from_millis(120);
-/// Least time between two rounds through all searches, when single ones begin between.
-const ALL_SEARCHES_EVERY: Duration = Duration::from_millis(20);
-/// Age from which a search counts as long.
-const NOTED_AFTER: Duration = Duration::from_millis(300);
-/// Flows asked for in one round of queries.
-const QUERIED_FLOWS: usize = 4096;
+/// Minimum time between two rounds that cover all searches, when rounds for new
+/// searches run in between.
+const FULL_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+/// Age from which on a search is logged as long.
+const LONG_SEARCH_AFTER: Duration = Duration::from_millis(300);
+/// Maximum number of flows in one round of queries.
+const MAXIMUM_FLOWS_PER_ROUND: usize = 4096;
 
 impl Balancer {
-    /// Asks again for the flows that are searched for.
-    pub(crate) fn pursue_searches(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
-        let unasked = std::mem::take(&mut self.unasked);
-        if !unasked.is_empty() && !self.is_time_for_all(now) {
-            // A tick between two others, for the flows that have just come.
-            return self.ask_about(&unasked, now, actions);
+    /// Runs a round of queries: for the new searches only, or for all of them when that
+    /// is due.
+    pub(crate) fn run_query_round(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
+        let new_searches = std::mem::take(&mut self.unqueried_flows);
+        if !new_searches.is_empty() && !self.is_full_round_due(now) {
+            // A round for the new searches, between two rounds for all of them.
+            return self.query_flows(&new_searches, now, actions);
         }
-        self.searches_counted_at = now;
-        self.searches_begun = 0;
-        self.packets_handed = 0;
-        if self.searching.is_empty() {
+        self.last_full_round_at = now;
+        self.searches_begun_this_round = 0;
+        self.search_packets_this_round = 0;
+        if self.searched_flows.is_empty() {
             return;
         }
-        let mut searching = std::mem::take(&mut self.searching);
-        // The others are asked about in later rounds.
-        let later = searching.split_off(searching.len().min(QUERIED_FLOWS));
-        searching.retain(|key| {
+        let mut flows = std::mem::take(&mut self.searched_flows);
+        // The remaining flows are queried in later rounds.
+        let later = flows.split_off(flows.len().min(MAXIMUM_FLOWS_PER_ROUND));
+        flows.retain(|key| {
             self.search_of(key)
                 .is_some_and(|search| !search.is_over(now))
         });
-        self.ask_about(&searching, now, actions);
-        self.conclude(&searching, now, actions);
-        self.note_long_searches(&searching, now);
-        self.searching.extend(later);
-        self.searching.append(&mut searching);
+        self.query_flows(&flows, now, actions);
+        self.reset_denied_flows(&flows, now, actions);
+        self.log_long_searches(&flows, now);
+        self.searched_flows.extend(later);
+        self.searched_flows.append(&mut flows);
     }
 
-    /// Notes once for each search that goes on for long whom it waits for.
-    fn note_long_searches(&mut self, keys: &[FlowKey], now: Instant) {
+    /// Logs, once for each long search, which agents have not answered.
+    fn log_long_searches(&mut self, keys: &[FlowKey], now: Instant) {
         if !self.locates_flows() {
             return;
         }
@@ -58,32 +60,33 @@
                 continue;
             };
             let waited = now.since(search.started_at);
-            if search.is_noted || waited < NOTED_AFTER {
+            if search.is_logged || waited < LONG_SEARCH_AFTER {
                 continue;
             }
-            search.is_noted = true;
-            let denied = search.denied.clone();
-            let handed: BTreeSet<NodeAddress> = search.handed.keys().copied().collect();
+            search.is_logged = true;
+            let denied = search.denied_by.clone();
+            let with_packet: BTreeSet<NodeAddress> =
+                search.packet_sent_at.keys().copied().collect();
             let holders = holders.get_or_insert_with(|| self.possible_holders(now));
             let mut open = holders.iter().filter(|agent| !denied.contains(agent));
             let awaited = open.next().copied();
-            self.notes.add(LogEvent::SearchWaits {
+            self.log_events.add(LogEvent::SearchWaits {
                 key: *key,
                 waited,
                 open: awaited.map_or(0, |_| 1 + open.count()),
                 awaited,
-                is_undecided: awaited.is_some_and(|agent| handed.contains(&agent)),
+                is_undecided: awaited.is_some_and(|agent| with_packet.contains(&agent)),
                 knows_all,
             });
         }
     }
 
-    fn is_time_for_all(&self, now: Instant) -> bool {
-        now.since(self.searches_counted_at) >= ALL_SEARCHES_EVERY
+    fn is_full_round_due(&self, now: Instant) -> bool {
+        now.since(self.last_full_round_at) >= FULL_ROUND_INTERVAL
     }
 
-    /// Asks all possible holders about those of the flows for which it is time.
-    fn ask_about(&mut self, keys: &[FlowKey], now: Instant, actions: &mut Vec<BalancerAction>) {
+    /// Queries all possible holders about those of the flows that are due.
+    fn query_flows(&mut self, keys: &[FlowKey], now: Instant, actions: &mut Vec<BalancerAction>) {
         let is_bounded = self.locates_flows();
         let holders: BTreeSet<NodeAddress> = self.possible_holders(now).into_iter().collect();
         let undecided = if is_bounded {
@@ -97,13 +100,13 @@
                 continue;
             };
             let is_due = match search.queried_at {
-                None => !search.awaits_first(|agent| holders.contains(&agent), now),
+                None => !search.awaits_first_targets(|agent| holders.contains(&agent), now),
                 Some(at) => now.since(at) >= QUERY_INTERVAL,
             };
             if !is_due {
                 continue;
             }
-            if is_bounded && !self.may_ask_about_another(now) {
+            if is_bounded && !self.can_query_another_flow(now) {
                 self.counters.search_queries_deferred += 1;
                 continue;
             }
@@ -113,10 +116,10 @@
             search.queried_at = Some(now);
             let open: Vec<NodeAddress> = holders
                 .iter()
-                .filter(|agent| !search.denied.contains(agent))
+                .filter(|agent| !search.denied_by.contains(agent))
                 .copied()
                 .collect();
-            for agent in self.hand_to_undecided(*key, open, &undecided, now, actions) {
+            for agent in self.send_to_undecided(*key, open, &undecided, now, actions) {
                 queries.entry(agent).or_default().push(*key);
             }
         }
@@ -124,7 +127,7 @@
             self.directory.start_probing(to, now);
             for batch in keys.chunks(MAXIMUM_KEYS) {
                 self.counters.search_queries += 1;
-                self.questions.spend(1);
+                self.query_budget.spend(1);
                 let message = PeerMessage::Locate {
                     keys: batch.to_vec(),
                 };
--- a/crates/woodladder-core/tests/flow_fleet_size.rs
+++ b/crates/woodladder-core/tests/flow_fleet_size.rs
@@ -1,5 +1,5 @@
-//! What one node sends, remembers and believes beside scripted crowds of other
-//! nodes of growing size: rates stay bounded, and nobody that lives is forgotten.
+//! What one node sends and keeps track of beside scripted crowds of other nodes of
+//! growing size: its send rates stay bounded, and it forgets no live node.
 
 mod flow_support;
 
@@ -10,20 +10,20 @@
 
 use flow_support::*;
 use woodladder_core::flow::agent::{Agent, AgentAction};
-use woodladder_core::flow::balancer::{Balancer, BalancerAction, BalancerOptions, WATCHERS};
+use woodladder_core::flow::balancer::{Balancer, BalancerAction, BalancerOptions, STORE_WATCHERS};
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
 use woodladder_core::flow::message::{BalancerHello, PeerMessage, Snapshot, TargetReport};
 
 const LARGE: u32 = 500;
 const SMALL: u32 = 120;
-/// Zones that the balancers of a crowd are spread over.
+/// Number of zones that the balancers of a crowd are spread over.
 const ZONES: usize = 5;
-/// One balancer of so many is large.
-const LARGE_SHARE: usize = 6;
-/// Agents for each balancer, in tenths.
+/// One in this many balancers of a zone is large.
+const BALANCERS_PER_LARGE: usize = 6;
+/// Number of agents for every ten balancers.
 const AGENTS_PER_TEN_BALANCERS: usize = 22;
-/// Time between two ticks: below the pause that counts as a stall.
-const TICK: u64 = 390;
+/// Time between two ticks, in milliseconds: below the pause that counts as a stall.
+const TICK_MS: u64 = 390;
 
 fn balancer_node(index: usize) -> NodeAddress {
     numbered(10, index)
@@ -43,7 +43,7 @@
 }
 
 fn capacity_of(index: usize) -> u32 {
-    if (index / ZONES).is_multiple_of(LARGE_SHARE) {
+    if (index / ZONES).is_multiple_of(BALANCERS_PER_LARGE) {
         LARGE
     } else {
         SMALL
@@ -66,12 +66,12 @@
 
 /// A node of the crowd.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Other {
+enum CrowdNode {
     Balancer(usize),
     Agent(usize),
 }
 
-impl Other {
+impl CrowdNode {
     fn address(self) -> NodeAddress {
         match self {
             Self::Balancer(index) => balancer_node(index),
@@ -80,46 +80,46 @@
     }
 }
 
-/// One balancer beside a crowd that answers its greetings, and greets and reports
-/// as often as it is told.
-struct Scene {
+/// One balancer beside a crowd of nodes that answer its hellos, and send hellos and
+/// reports as often as its hellos ask.
+struct CrowdWorld {
     balancer: Balancer,
-    others: BTreeMap<NodeAddress, Other>,
-    /// When each of the crowd sends next, in milliseconds.
-    due: BinaryHeap<Reverse<(u64, Other)>>,
-    /// What the balancer last told each: the report interval, and when it greets
-    /// again.
-    told: BTreeMap<Other, (u64, u64)>,
-    greeted_at: BTreeMap<Other, u64>,
-    asked_for_report: BTreeSet<Other>,
+    others: BTreeMap<NodeAddress, CrowdNode>,
+    /// When each node of the crowd sends next, in milliseconds.
+    due: BinaryHeap<Reverse<(u64, CrowdNode)>>,
+    /// The report interval and the time until the next hello that the balancer last
+    /// stated to each node, in milliseconds.
+    last_stated: BTreeMap<CrowdNode, (u64, u64)>,
+    hello_sent_at: BTreeMap<CrowdNode, u64>,
+    asked_for_report: BTreeSet<CrowdNode>,
     sequences: BTreeMap<usize, u64>,
-    /// Messages of the balancer since the count began.
+    /// Number of messages that the balancer has sent, by kind.
     sent: BTreeMap<&'static str, u64>,
-    /// Most messages of the balancer between two ticks.
-    most_a_tick: usize,
+    /// Maximum number of messages that the balancer sent in one tick.
+    most_messages_per_tick: usize,
 }
 
-impl Scene {
-    /// The balancer with number `own` of a crowd of `balancers`, which has just
-    /// started and is named all others by the first.
+impl CrowdWorld {
+    /// The balancer with number `own` in a crowd of `balancers`. It has just started,
+    /// and the first of the others sends it a snapshot with all nodes.
     fn new(own: usize, balancers: usize) -> Self {
         let agents = balancers * AGENTS_PER_TEN_BALANCERS / 10;
         let crowd = (0..balancers)
             .filter(|index| *index != own)
-            .map(Other::Balancer)
-            .chain((0..agents).map(Other::Agent));
-        let others: BTreeMap<NodeAddress, Other> =
+            .map(CrowdNode::Balancer)
+            .chain((0..agents).map(CrowdNode::Agent));
+        let others: BTreeMap<NodeAddress, CrowdNode> =
             crowd.map(|other| (other.address(), other)).collect();
-        let mut scene = Self {
+        let mut world = Self {
             balancer: balancer_at(own),
             others,
             due: BinaryHeap::new(),
-            told: BTreeMap::new(),
-            greeted_at: BTreeMap::new(),
+            last_stated: BTreeMap::new(),
+            hello_sent_at: BTreeMap::new(),
             asked_for_report: BTreeSet::new(),
             sequences: BTreeMap::new(),
             sent: BTreeMap::new(),
-            most_a_tick: 0,
+            most_messages_per_tick: 0,
         };
         let snapshot = Snapshot {
             balancers: (0..balancers).map(balancer_node).collect(),
@@ -129,17 +129,17 @@
         };
         let mut actions = Vec::new();
         let first = balancer_node(usize::from(own == 0));
-        scene
+        world
             .balancer
             .handle_snapshot(first, snapshot, at(1), &mut actions);
-        scene.carry_out(actions, 1);
-        scene
+        world.carry_out(actions, 1);
+        world
     }
 
     fn run(&mut self, from: u64, to: u64) {
         let mut now = from;
         while now < to {
-            now += TICK;
+            now += TICK_MS;
             while let Some(Reverse((due, other))) = self.due.peek().copied() {
                 if due > now {
                     break;
@@ -149,7 +149,7 @@
             }
             let mut actions = Vec::new();
             self.balancer.tick(at(now), &mut actions);
-            self.most_a_tick = self.most_a_tick.max(actions.len());
+            self.most_messages_per_tick = self.most_messages_per_tick.max(actions.len());
             self.carry_out(actions, now);
         }
     }
@@ -161,44 +161,45 @@
             };
             let other = self.others[&to];
             let kind = match (&message, other) {
-                (PeerMessage::Hello(_), Other::Agent(_)) => "greeting to agent",
-                (PeerMessage::Hello(_), Other::Balancer(_)) => "greeting to balancer",
+                (PeerMessage::Hello(_), CrowdNode::Agent(_)) => "hello to agent",
+                (PeerMessage::Hello(_), CrowdNode::Balancer(_)) => "hello to balancer",
                 _ => "other",
             };
             *self.sent.entry(kind).or_default() += 1;
-            if let PeerMessage::Hello(greeting) = message {
-                self.judge_promise(other, now);
-                if greeting.requests_report {
+            if let PeerMessage::Hello(hello) = message {
+                self.check_hello_time(other, now);
+                if hello.requests_report {
                     self.asked_for_report.insert(other);
                 }
-                let report = u64::from(greeting.report_interval_ms);
-                let told = (report, u64::from(greeting.next_hello_within_ms));
-                if self.told.insert(other, told).is_none() {
+                let report = u64::from(hello.report_interval_ms);
+                let last_stated = (report, u64::from(hello.next_hello_within_ms));
+                if self.last_stated.insert(other, last_stated).is_none() {
                     self.due.push(Reverse((now + 1, other)));
                 }
             }
         }
     }
 
-    /// An agent forgets a balancer that greets it later than it has promised.
-    fn judge_promise(&mut self, other: Other, now: u64) {
-        let last = self.greeted_at.insert(other, now);
-        if let (Other::Agent(_), Some(last)) = (other, last) {
-            let (_, promised) = self.told[&other];
+    /// Checks that the balancer sends an agent the next hello in the time that the last
+    /// one stated, because the agent drops a balancer whose hello is late.
+    fn check_hello_time(&mut self, other: CrowdNode, now: u64) {
+        let last = self.hello_sent_at.insert(other, now);
+        if let (CrowdNode::Agent(_), Some(last)) = (other, last) {
+            let (_, promised) = self.last_stated[&other];
             let gap = now - last;
             assert!(
-                gap <= promised + 4 * TICK,
+                gap <= promised + 4 * TICK_MS,
                 "{other:?}: {gap} for {promised}"
             );
         }
     }
 
-    /// The other's next message, at the pace that the balancer asks of it or keeps
-    /// itself towards it.
-    fn send(&mut self, other: Other, now: u64) {
-        let (report_interval, greeted_within) = self.told[&other];
+    /// Sends a node's next message: an agent reports as often as it was asked to, and a
+    /// balancer sends a hello as often as it is sent one.
+    fn send(&mut self, other: CrowdNode, now: u64) {
+        let (report_interval, next_hello_within) = self.last_stated[&other];
         let (message, next) = match other {
-            Other::Agent(index) => {
+            CrowdNode::Agent(index) => {
                 let sequence = self.sequences.entry(index).or_default();
                 *sequence += 1;
                 let report = TargetReport {
@@ -208,15 +209,15 @@
                 };
                 (PeerMessage::Report(report), report_interval)
             }
-            Other::Balancer(index) => {
-                let greeting = BalancerHello {
+            CrowdNode::Balancer(index) => {
+                let hello = BalancerHello {
                     zone: zone_of(index),
                     cpu_millicores: capacity_of(index),
                     link_rate_kbps: None,
-                    next_hello_within_ms: u32::try_from(greeted_within).expect("time"),
+                    next_hello_within_ms: u32::try_from(next_hello_within).expect("time"),
                     ..peer_greeting()
                 };
-                (PeerMessage::Hello(greeting), greeted_within)
+                (PeerMessage::Hello(hello), next_hello_within)
             }
         };
         self.due.push(Reverse((now + next, other)));
@@ -232,26 +233,28 @@
     }
 }
 
-/// Large and small balancers beside crowds of each size, long after the start.
-fn settled(balancers: usize) -> impl Iterator<Item = (u32, Scene, u64)> {
-    // The first is large; the one numbered like the zones is small.
+/// A large and a small balancer beside a crowd, long after the start, with their CPU
+/// and the time reached.
+fn settled(balancers: usize) -> impl Iterator<Item = (u32, CrowdWorld, u64)> {
+    // The balancer with number 0 is large; the one whose number equals the count of
+    // zones is small.
     [0, ZONES].into_iter().map(move |own| {
-        let mut scene = Scene::new(own, balancers);
+        let mut world = CrowdWorld::new(own, balancers);
         let settled_at = 30_000 + u64::try_from(balancers).expect("count") * 25;
-        scene.run(0, settled_at);
-        (capacity_of(own), scene, settled_at)
+        world.run(0, settled_at);
+        (capacity_of(own), world, settled_at)
     })
 }
 
 #[test]
-fn what_a_balancer_sends_is_bounded_at_any_size() {
+fn the_send_rate_of_a_balancer_is_bounded_at_any_size() {
     for balancers in [100, 1000, 4000] {
-        for (capacity, mut scene, settled_at) in settled(balancers) {
-            scene.sent.clear();
-            scene.run(settled_at, settled_at + 20_000);
-            let to_agents = scene.rate("greeting to agent", 20);
-            let to_balancers = scene.rate("greeting to balancer", 20);
-            let other = scene.rate("other", 20);
+        for (capacity, mut world, settled_at) in settled(balancers) {
+            world.sent.clear();
+            world.run(settled_at, settled_at + 20_000);
+            let to_agents = world.rate("hello to agent", 20);
+            let to_balancers = world.rate("hello to balancer", 20);
+            let other = world.rate("other", 20);
             let rates = format!("{balancers}, {capacity}: {to_agents} {to_balancers} {other}");
             assert!(to_agents <= 100, "{rates}");
             let to_relaying = if capacity == LARGE { 400 } else { 0 };
@@ -262,22 +265,22 @@
 }
 
 #[test]
-fn nobody_that_lives_is_forgotten_at_any_size() {
+fn no_live_node_is_forgotten_at_any_size() {
     for balancers in [100, 1000] {
-        for (capacity, mut scene, settled_at) in settled(balancers) {
+        for (capacity, mut world, settled_at) in settled(balancers) {
             let agents = balancers * AGENTS_PER_TEN_BALANCERS / 10;
             for minute in 0..3 {
                 let from = settled_at + minute * 60_000;
-                scene.run(from, from + 60_000);
-                let known = scene.balancer.peers().len();
+                world.run(from, from + 60_000);
+                let known = world.balancer.peers().len();
                 assert_eq!(known, balancers - 1, "{capacity}, minute {minute}");
-                let counted = scene
+                let counted = world
                     .balancer
                     .peers()
                     .heard_recently(at(from + 60_000))
                     .count();
                 assert_eq!(counted, balancers - 1, "{capacity}, minute {minute}");
-                let known = scene.balancer.directory().len();
+                let known = world.balancer.directory().len();
                 assert_eq!(known, agents, "{capacity}, minute {minute}");
             }
         }
@@ -285,13 +288,13 @@
 }
 
 #[test]
-fn a_start_does_not_greet_a_whole_fleet_of_agents_at_once() {
+fn a_start_does_not_send_a_hello_to_a_whole_fleet_of_agents_at_once() {
     for (own, most) in [(0, 70), (ZONES, 25)] {
-        let mut scene = Scene::new(own, 1000);
-        let first = scene.sent.get("greeting to agent").copied();
+        let mut world = CrowdWorld::new(own, 1000);
+        let first = world.sent.get("hello to agent").copied();
         assert!(first.is_some_and(|sent| sent <= most), "{first:?}");
-        scene.run(0, 60_000);
-        assert_eq!(scene.balancer.directory().len(), 2200);
+        world.run(0, 60_000);
+        assert_eq!(world.balancer.directory().len(), 2200);
     }
 }
 
@@ -314,51 +317,47 @@
                 })
                 .count()
         };
-        assert!(watching(10_100) <= WATCHERS, "{balancers}");
+        assert!(watching(10_100) <= STORE_WATCHERS, "{balancers}");
         assert_eq!(watching(10_000 + most), 20, "{balancers}");
     }
 }
 
-/// Agents that knew an earlier life of the balancer would report in their turn, up to
-/// a minute later, and a flow at one of them would count as held nowhere.
+/// Agents that already knew the balancer before its restart would send their next
+/// report only when due, up to a minute later. Until then, a flow at one of them would
+/// count as held nowhere.
 #[test]
-fn a_balancer_that_has_started_again_gets_reports_at_once() {
-    let mut scene = Scene::new(0, 1000);
+fn a_restarted_balancer_gets_reports_at_once() {
+    let mut world = CrowdWorld::new(0, 1000);
     let asks = |message: &PeerMessage| match message {
-        PeerMessage::Hello(greeting) => greeting.requests_report,
+        PeerMessage::Hello(hello) => hello.requests_report,
         _ => false,
     };
-    scene.run(0, 20_000);
-    let asked = &scene.asked_for_report;
+    world.run(0, 20_000);
+    let asked = &world.asked_for_report;
     assert_eq!(asked.len(), 2200, "each agent is asked");
     let mut actions = Vec::new();
     let again = agent_node(5);
-    scene.balancer.handle_message(
+    world.balancer.handle_message(
         again,
         PeerMessage::Report(report(1, 1_000_000)),
         None,
         at(20_001),
         &mut actions,
     );
-    let greets = actions
+    let sends_request = actions
         .iter()
         .any(|action| matches!(action, BalancerAction::Send { message, .. } if asks(message)));
-    assert!(!greets, "one that is known is not asked");
+    assert!(!sends_request, "one that is known is not asked");
 
     let mut agent = agent();
     let mut reports = |requests_report, now| {
-        let greeting = BalancerHello {
+        let hello = BalancerHello {
             report_interval_ms: 30_000,
             requests_report,
             ..peer_greeting()
         };
         let mut actions = Vec::new();
-        agent.handle_message(
-            node(1),
-            &PeerMessage::Hello(greeting),
-            at(now),
-            &mut actions,
-        );
+        agent.handle_message(node(1), &PeerMessage::Hello(hello), at(now), &mut actions);
         let is_report = |action: &&AgentAction| {
             matches!(
                 action,
@@ -375,9 +374,9 @@
     assert_eq!(reports(true, 600), 1);
 }
 
-/// The balancers that the settings name may start a moment after the agent.
+/// The balancers that the settings name may start shortly after the agent.
 #[test]
-fn an_agent_reports_often_to_the_few_that_it_begins_with() {
+fn an_agent_reports_often_to_the_balancers_of_its_settings() {
     let mut agent = agent();
     agent.add_listed_balancers(&[node(1), node(2), node(3)], at(0));
     let mut reports = 0;
@@ -389,21 +388,21 @@
     assert_eq!(reports, 3 * 4);
 }
 
-/// An agent that each of many balancers has greeted once and asked for the reports
-/// that they ask for at that size.
+/// An agent that many balancers have sent one hello, asking for the report interval of
+/// a fleet of their size.
 #[test]
-fn what_an_agent_sends_is_bounded_at_any_size() {
+fn the_report_rate_of_an_agent_is_bounded_at_any_size() {
     for balancers in [100_u32, 1000, 4000] {
         let mut agent: Agent = agent();
         let interval = balancers * 22 / 10 * 24;
         for index in 0..balancers {
-            let greeting = BalancerHello {
+            let hello = BalancerHello {
                 report_interval_ms: interval,
                 next_hello_within_ms: interval * 4,
                 ..peer_greeting()
             };
             let from = balancer_node(usize::try_from(index).expect("index"));
-            agent.handle_message(from, &PeerMessage::Hello(greeting), at(10), &mut Vec::new());
+            agent.handle_message(from, &PeerMessage::Hello(hello), at(10), &mut Vec::new());
         }
         let mut reports = 0;
         let seconds = 2 * u64::from(interval) / 1000 + 60;
--- a/crates/woodladder-core/tests/flow_search.rs
+++ b/crates/woodladder-core/tests/flow_search.rs
@@ -1,19 +1,21 @@
-//! Flows that a balancer does not know are found at their target, and reset
-//! only when it is known that no target holds them.
+//! Searches for flows that a balancer does not know: they are located at their target,
+//! and reset only when it is proven that no target holds them.
 
 mod flow_support;
 
 use flow_support::*;
 use woodladder_core::flow::agent::{AgentAction, ForwardDecision, ListenState};
-use woodladder_core::flow::balancer::{Balancer, BalancerAction, SEARCH_FANOUT, SEARCHES_A_TICK};
+use woodladder_core::flow::balancer::{
+    Balancer, BalancerAction, MAXIMUM_SEARCHES_PER_ROUND, SEARCH_FANOUT,
+};
 use woodladder_core::flow::identity::{FlowKey, NodeAddress};
 use woodladder_core::flow::message::{ForwardPurpose, PeerMessage};
 
-/// A machine that was just added runs its agent before its target: a packet
-/// handed to the target's port then is answered with a reset by the machine,
-/// which would break a flow that another target holds.
+/// The agent of a machine that was just added runs before its target. If it forwarded a
+/// packet to the target's port, the machine would answer with a reset and break a flow
+/// that another target holds.
 #[test]
-fn a_new_agent_hands_no_unknown_flow_to_a_target_that_was_never_heard() {
+fn a_new_agent_forwards_no_unknown_flow_before_its_targets_first_heartbeat() {
     let mut agent = empty_agent();
     let purpose = ForwardPurpose::Search;
     let delivery = forward_to(
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn a_restarted_agent_hands_unknown_flows_to_a_target_that_was_heard() {
+fn a_restarted_agent_forwards_unknown_flows_after_its_targets_heartbeat() {
     let mut agent = empty_agent();
     agent
         .handle_heartbeat(&heartbeat(1, 20), at(5))
@@ -42,7 +44,7 @@
 }
 
 #[test]
-fn a_restarted_agent_hands_on_what_a_balancer_knows_to_be_held() {
+fn a_restarted_agent_forwards_flows_that_a_balancer_knows_to_be_held() {
     let mut agent = empty_agent();
     let purpose = ForwardPurpose::Established;
     let delivery = forward_to(
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn an_agent_that_saw_its_target_begin_denies_what_it_does_not_know() {
+fn an_agent_that_ran_before_its_target_denies_unknown_flows() {
     let mut agent = agent();
     let purpose = ForwardPurpose::Search;
     let delivery = forward_to(
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_flow_is_found_by_asking_every_target_at_once() {
+fn a_flow_is_located_by_sending_its_packet_to_every_target() {
     let mut balancer = balancer(&[2, 3, 4]);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_600));
     assert_eq!(receivers(&routing).len(), 3);
@@ -85,9 +87,9 @@
     assert_eq!(receivers(&routing), vec![node(3)]);
 }
 
-/// The caller is silent meanwhile: the queries alone decide.
+/// The caller sends nothing meanwhile, so only the queries can decide the search.
 #[test]
-fn an_undecided_search_goes_on_without_the_callers_packets() {
+fn a_search_continues_without_further_packets_of_the_caller() {
     let mut balancer = balancer(&[2, 3]);
     deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
     let both = vec![(node(2), vec![flow(1)]), (node(3), vec![flow(1)])];
@@ -97,7 +99,7 @@
     assert_eq!(queried_at(&mut balancer, 10_850), both);
 }
 
-/// The agents that a tick asks, with the flows that they are asked for.
+/// The agents that a tick queries, with the flows that they are queried about.
 fn queried_at(balancer: &mut Balancer, now: u64) -> Vec<(NodeAddress, Vec<FlowKey>)> {
     let mut actions = Vec::new();
     balancer.tick(at(now), &mut actions);
@@ -113,10 +115,10 @@
         .collect()
 }
 
-/// A flow that a target holds is nearly always found among the first, and its
-/// target shows it only with an answer.
+/// The holder of a flow is nearly always among the first targets, and its target shows
+/// that it holds the flow only by an answer to the caller.
 #[test]
-fn others_are_asked_only_when_the_first_targets_have_had_time_to_answer() {
+fn other_agents_are_queried_only_when_the_first_targets_have_had_time_to_answer() {
     let agents: Vec<u8> = (2..=60).collect();
     let mut balancer = balancer(&agents);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn others_are_asked_at_once_when_all_first_targets_have_denied() {
+fn other_agents_are_queried_at_once_when_all_first_targets_have_denied() {
     let agents: Vec<u8> = (2..=60).collect();
     let mut balancer = balancer(&agents);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn an_agent_that_may_not_know_a_flow_says_so() {
+fn an_agent_that_may_not_know_all_flows_answers_that_a_flow_may_be_held() {
     let mut agent = empty_agent();
     agent
         .handle_heartbeat(&heartbeat(1, 20), at(5))
@@ -183,8 +185,8 @@
     assert_eq!(actions, vec![expected]);
 }
 
-/// After a loss of power the first heartbeats come before the agent listens,
-/// so their number does not tell that the target is new.
+/// After a power failure, the first heartbeats are sent before the agent listens, so
+/// the number of a heartbeat does not show that the target is new.
 #[test]
 fn an_agent_whose_target_began_after_it_knows_all_flows() {
     let mut agent = empty_agent();
@@ -205,26 +207,27 @@
     ));
 }
 
-/// Anyone can send packets of flows that never existed.
+/// Anyone can send packets of flows that never existed; they must not cause unlimited
+/// traffic.
 #[test]
-fn packets_of_unknown_flows_are_not_multiplied_without_a_bound() {
+fn the_number_of_searches_begun_per_round_is_limited() {
     let mut balancer = balancer(&[2, 3]);
     let mut asked = 0;
     for port in 1..=5000 {
         let routing = deliver_caller_packet(&mut balancer, &data(flow(port), 1, 1), at(10_600));
         asked += u32::from(!receivers(&routing).is_empty());
     }
-    assert_eq!(asked, SEARCHES_A_TICK);
+    assert_eq!(asked, MAXIMUM_SEARCHES_PER_ROUND);
     balancer.tick(at(10_625), &mut Vec::new());
     let routing = deliver_caller_packet(&mut balancer, &data(flow(6000), 1, 1), at(10_630));
     assert_eq!(receivers(&routing).len(), 2, "the next tick allows more");
 }
 
-/// An agent that has restarted can only let its target decide, for which it
-/// needs a packet. Where a service has more targets than a packet goes to at
-/// once, the next packet goes to those that have not denied.
+/// An agent that has restarted must let its target decide, for which it needs a packet.
+/// If a service has more targets than one packet is copied to, the next packet goes to
+/// those that have not denied the flow.
 #[test]
-fn further_packets_go_to_targets_beyond_the_first_until_they_deny() {
+fn further_packets_go_to_other_targets_that_have_not_denied() {
     let agents: Vec<u8> = (2..62).collect();
     let mut balancer = balancer(&agents);
     let routing = deliver_caller_packet(&mut balancer, &data(flow(1), 1, 77), at(10_500));
--- a/crates/woodladder-core/tests/flow_store_duty.rs
+++ b/crates/woodladder-core/tests/flow_store_duty.rs
@@ -1,5 +1,5 @@
-//! Which balancers call the store, and who takes over when those that should
-//! are cut off from it without a sign.
+//! Which balancers call the store, and which take over when the watchers are cut off
+//! from it without noticing.
 
 mod flow_support;
 
@@ -7,12 +7,12 @@
 
 use flow_support::*;
 use woodladder_core::flow::balancer::{
-    Balancer, BalancerAction, BalancerOptions, REGISTERED, WATCHERS,
+    Balancer, BalancerAction, BalancerOptions, REGISTERED_BALANCERS, STORE_WATCHERS,
 };
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
 use woodladder_core::flow::message::{BalancerHello, PeerMessage};
 
-/// Balancers of the tests' fleet.
+/// Number of balancers in the fleet.
 const FLEET: u8 = 90;
 
 fn balancer_on(number: u8) -> Balancer {
@@ -27,7 +27,7 @@
     Balancer::new(options, at(0))
 }
 
-fn greeting(version: u64, confirmed_ago_ms: Option<u32>) -> BalancerHello {
+fn hello(version: u64, confirmed_ago_ms: Option<u32>) -> BalancerHello {
     BalancerHello {
         version,
         confirmed_ago_ms,
@@ -35,19 +35,19 @@
     }
 }
 
-fn hear(balancer: &mut Balancer, from: u8, greeting: BalancerHello, now: u64) {
-    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(now));
+fn hear(balancer: &mut Balancer, from: u8, hello: BalancerHello, now: u64) {
+    deliver_message(balancer, from, PeerMessage::Hello(hello), at(now));
 }
 
-/// A fleet in which every balancer has heard every other, and has a
-/// configuration that the store confirmed at `confirmed` milliseconds.
+/// A fleet in which every balancer has heard every other one and has a configuration
+/// that the store confirmed at `confirmed` milliseconds.
 fn fleet(confirmed: u64) -> Vec<Balancer> {
     (1..=FLEET)
         .map(|number| {
             let mut balancer = balancer_on(number);
             balancer.adopt_store_configuration(configuration(1));
             for other in (1..=FLEET).filter(|other| *other != number) {
-                hear(&mut balancer, other, greeting(1, None), confirmed);
+                hear(&mut balancer, other, hello(1, None), confirmed);
             }
             balancer.record_store_confirmation(at(confirmed));
             balancer
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_few_balancers_of_a_fleet_watch_and_are_listed() {
+fn a_few_balancers_of_a_fleet_watch_the_store_and_register() {
     let fleet = fleet(10_000);
-    assert_eq!(watching(&fleet, 10_100), WATCHERS);
+    assert_eq!(watching(&fleet, 10_100), STORE_WATCHERS);
     let listed = fleet
         .iter()
         .filter(|balancer| balancer.should_register(at(10_100)))
         .count();
-    assert_eq!(listed, REGISTERED);
+    assert_eq!(listed, REGISTERED_BALANCERS);
 }
 
 #[test]
@@ -79,34 +79,37 @@
     for (index, balancer) in fleet.iter_mut().enumerate() {
         balancer.adopt_store_configuration(configuration(1));
         for other in (1..=4).filter(|other| usize::from(*other) != index + 1) {
-            hear(balancer, other, greeting(1, Some(0)), 10_000);
+            hear(balancer, other, hello(1, Some(0)), 10_000);
         }
     }
     assert_eq!(watching(&fleet, 10_100), 4);
 }
 
-/// All watchers are cut off from the store and do not notice, as their calls are
+/// All watchers are cut off from the store without noticing, because their calls are
 /// neither answered nor refused.
 #[test]
 fn others_call_the_store_one_after_the_other_when_no_watch_is_answered() {
     let fleet = fleet(10_000);
-    assert_eq!(watching(&fleet, 12_000), WATCHERS);
+    assert_eq!(watching(&fleet, 12_000), STORE_WATCHERS);
     let soon = watching(&fleet, 13_300);
-    assert!(soon > WATCHERS && soon < WATCHERS + 8, "{soon} call");
+    assert!(
+        soon > STORE_WATCHERS && soon < STORE_WATCHERS + 8,
+        "{soon} call"
+    );
     assert_eq!(watching(&fleet, 25_000), usize::from(FLEET));
 }
 
 #[test]
-fn a_confirmation_that_another_has_heard_spares_a_call() {
+fn a_confirmation_heard_from_another_balancer_saves_a_call() {
     let mut fleet = fleet(10_000);
     for balancer in &mut fleet {
         let former = balancer.confirmation_age(at(12_000));
-        hear(balancer, 200, greeting(1, Some(300)), 12_000);
+        hear(balancer, 200, hello(1, Some(300)), 12_000);
         assert_eq!(former, Some(Duration::from_millis(2000)));
         let ago = balancer.confirmation_age(at(12_000));
         assert_eq!(ago, Some(Duration::from_millis(300)));
     }
-    assert!(watching(&fleet, 14_600) <= WATCHERS);
+    assert!(watching(&fleet, 14_600) <= STORE_WATCHERS);
 }
 
 /// A balancer that has just started hears of a version before it has fetched it.
@@ -114,7 +117,7 @@
 fn a_confirmation_of_a_later_version_counts_once_that_is_adopted() {
     let mut balancer = balancer_on(1);
     balancer.adopt_store_configuration(configuration(3));
-    hear(&mut balancer, 2, greeting(5, Some(200)), 1000);
+    hear(&mut balancer, 2, hello(5, Some(200)), 1000);
     balancer.adopt_store_configuration(configuration(4));
     assert_eq!(balancer.confirmation_age(at(1100)), None);
     balancer.adopt_store_configuration(configuration(5));
@@ -122,17 +125,16 @@
     assert_eq!(ago, Some(Duration::from_millis(300)));
 }
 
-/// The confirmation is of the version that its sender knows, or of one later
-/// than that.
+/// A hello confirms only the version that its sender knows.
 #[test]
-fn a_confirmation_of_a_later_version_says_nothing_of_the_own_one() {
+fn a_confirmation_of_a_later_version_does_not_confirm_the_known_one() {
     let mut balancer = balancer_on(1);
     balancer.adopt_store_configuration(configuration(3));
-    hear(&mut balancer, 2, greeting(4, Some(0)), 100);
+    hear(&mut balancer, 2, hello(4, Some(0)), 100);
     assert_eq!(balancer.confirmation_age(at(100)), None);
-    hear(&mut balancer, 2, greeting(0, Some(0)), 100);
+    hear(&mut balancer, 2, hello(0, Some(0)), 100);
     assert_eq!(balancer.confirmation_age(at(100)), None);
-    hear(&mut balancer, 2, greeting(3, Some(0)), 100);
+    hear(&mut balancer, 2, hello(3, Some(0)), 100);
     assert_eq!(balancer.confirmation_age(at(100)), Some(Duration::ZERO));
 }
 
@@ -143,14 +145,14 @@
 }
 
 #[test]
-fn a_start_of_everything_costs_the_store_a_few_calls() {
+fn a_start_of_the_whole_fleet_causes_few_store_calls() {
     let seeds = [node(1), node(2), node(3)];
     let mut fleet: Vec<Balancer> = (1..=FLEET).map(|number| seeded(number, &seeds)).collect();
     assert_eq!(watching(&fleet, 20), seeds.len());
     for balancer in &mut fleet {
         balancer.adopt_store_configuration(configuration(1));
         for other in 1..=FLEET {
-            hear(balancer, other, greeting(1, Some(10)), 60);
+            hear(balancer, other, hello(1, Some(10)), 60);
         }
     }
     let listing = fleet
@@ -158,7 +160,7 @@
         .filter(|balancer| balancer.should_register(at(900)))
         .count();
     assert_eq!(listing, 0);
-    assert!(watching(&fleet, 600) <= WATCHERS);
+    assert!(watching(&fleet, 600) <= STORE_WATCHERS);
 }
 
 #[test]
@@ -170,10 +172,10 @@
     assert!(alone.store_watch_wait(at(0)).is_some());
 }
 
-/// After a loss of all power the store's list still names those that were
-/// entered. The others greet them, so they must not wait for anyone.
+/// After a power failure, the store's list still names the balancers that were
+/// registered. The others contact them first, so they must not wait for anyone.
 #[test]
-fn a_balancer_that_the_list_names_reads_the_configuration_at_once() {
+fn a_balancer_in_the_stores_list_reads_the_configuration_at_once() {
     let mut balancer = seeded(7, &[node(1), node(2)]);
     balancer.add_listed_balancers(&[node(5), node(6)], at(10), &mut Vec::new());
     assert!(balancer.store_watch_wait(at(10)).is_none());
@@ -182,32 +184,32 @@
 }
 
 #[test]
-fn a_configuration_from_the_store_is_told_to_all_that_lack_it_at_once() {
+fn a_configuration_from_the_store_is_sent_at_once_to_all_that_lack_it() {
     let mut balancer = balancer_on(1);
     balancer.adopt_store_configuration(configuration(1));
     for other in 2..=FLEET {
         let version = if other % 2 == 0 { 1 } else { 2 };
-        hear(&mut balancer, other, greeting(version, None), 10_000);
+        hear(&mut balancer, other, hello(version, None), 10_000);
     }
     balancer.tick(at(10_010), &mut Vec::new());
     balancer.adopt_store_configuration(configuration(2));
     let mut actions = Vec::new();
     balancer.tick(at(10_020), &mut actions);
     for other in (2..=FLEET).filter(|other| other % 2 == 0) {
-        let is_told = actions.iter().any(|action| {
-            matches!(action, BalancerAction::Send { to, message: PeerMessage::Hello(greeting) }
-                if *to == node(other) && greeting.version == 2)
+        let is_informed = actions.iter().any(|action| {
+            matches!(action, BalancerAction::Send { to, message: PeerMessage::Hello(hello) }
+                if *to == node(other) && hello.version == 2)
         });
-        assert!(is_told, "{other}");
+        assert!(is_informed, "{other}");
     }
 }
 
 #[test]
-fn the_clock_of_another_machine_does_not_make_the_configuration_newer() {
+fn an_old_confirmation_of_another_balancer_does_not_replace_a_newer_one() {
     let mut balancer = balancer_on(1);
     balancer.adopt_store_configuration(configuration(1));
     balancer.record_store_confirmation(at(5000));
-    hear(&mut balancer, 2, greeting(1, Some(u32::MAX)), 6000);
+    hear(&mut balancer, 2, hello(1, Some(u32::MAX)), 6000);
     assert_eq!(
         balancer.confirmation_age(at(6000)),
         Some(Duration::from_secs(1))
