--- a/crates/woodladder-core/src/flow/balancer/decision.rs
+++ b/crates/woodladder-core/src/flow/balancer/decision.rs
@@ -64,7 +64,7 @@
     /// Send the caller a reset of its flow.
     Reset(CallerReset),
     /// Request a snapshot from a node and pass the answer to
-    /// [`Balancer::handle_snapshot`].
+    /// [`super::Balancer::handle_snapshot`].
     FetchSnapshot {
         /// Node to request it from.
         from: NodeAddress,
@@ -112,7 +112,7 @@
     pub openings_deferred_for_link: u64,
     /// Openings refused because the link stayed busy until it was too late for them.
     pub openings_refused_for_link: u64,
-    /// Packets dropped without an answer.
+    /// Packets dropped without an answer, and messages that a balancer does not handle.
     pub dropped_packets: u64,
     /// Searches that could begin with agents that had announced the flow.
     pub searches_by_list: u64,
--- a/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
@@ -107,7 +107,7 @@
             zone: self.options.zone,
             cpu_millicores: self.options.cpu_millicores,
             link_rate_kbps: self.options.link_rate_kbps,
-            can_serve: self.check_able(now).is_ok(),
+            can_serve: self.check_can_serve(now).is_ok(),
             balancers: self.balancers_in_hellos.clone(),
         }
     }
--- a/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
@@ -35,23 +35,23 @@
 impl WorkBudget {
     /// A budget of queries for a CPU, given in thousandths of a core.
     #[must_use]
-    pub fn for_queries(capacity: u32, now: Instant) -> Self {
-        let share = f64::from(capacity) * MICROSECONDS_PER_MILLICORE * QUERY_CPU_SHARE;
+    pub fn for_queries(cpu_millicores: u32, now: Instant) -> Self {
+        let share = f64::from(cpu_millicores) * MICROSECONDS_PER_MILLICORE * QUERY_CPU_SHARE;
         Self::with_rate(share / QUERY_CPU_US, now)
     }
 
     /// A budget of bytes of flow lists for a link, given in kilobits a second.
     #[must_use]
-    pub fn for_list_bytes(link_rate: Option<u32>, now: Instant) -> Self {
-        let rate = f64::from(link_rate.unwrap_or(ASSUMED_LINK_RATE_KBPS));
+    pub fn for_list_bytes(link_rate_kbps: Option<u32>, now: Instant) -> Self {
+        let rate = f64::from(link_rate_kbps.unwrap_or(ASSUMED_LINK_RATE_KBPS));
         Self::with_rate(rate * BYTES_PER_KILOBIT * LIST_LINK_SHARE, now)
     }
 
     /// A budget of bytes of callers' packets, sent in searches, for a link, given in
     /// kilobits a second.
     #[must_use]
-    pub fn for_packet_bytes(link_rate: Option<u32>, now: Instant) -> Self {
-        let rate = f64::from(link_rate.unwrap_or(ASSUMED_LINK_RATE_KBPS));
+    pub fn for_packet_bytes(link_rate_kbps: Option<u32>, now: Instant) -> Self {
+        let rate = f64::from(link_rate_kbps.unwrap_or(ASSUMED_LINK_RATE_KBPS));
         Self::with_rate(rate * BYTES_PER_KILOBIT * PACKET_LINK_SHARE, now)
     }
 
@@ -67,8 +67,8 @@
     pub fn has_remaining(&mut self, now: Instant) -> bool {
         let passed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        let most = self.rate_per_second * BURST_DURATION.as_secs_f64();
-        self.remaining = (self.remaining + passed * self.rate_per_second).min(most);
+        let maximum = self.rate_per_second * BURST_DURATION.as_secs_f64();
+        self.remaining = (self.remaining + passed * self.rate_per_second).min(maximum);
         self.remaining > 0.0
     }
 
