--- a/crates/woodladder-core/src/flow/cold_reason.rs
+++ b/crates/woodladder-core/src/flow/cold_reason.rs
@@ -1,12 +1,12 @@
-//! Why a target may be cold although nothing says so.
+//! Reasons to assume that a target is cold although it has not said so.
 
-/// Why it is not known whether the target is cold.
+/// Why a target is assumed to be cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ColdReason {
     /// Its zone was excluded until now.
     ZoneTakenBack,
-    /// It was silent, so it may have started again.
+    /// The target was silent, so it may have restarted.
     Silent,
-    /// The agent did not run or hear of excluded zones for a while.
+    /// The agent was paused, or did not hear of excluded zones for a while.
     OutOfTouch,
 }
--- a/crates/woodladder-core/src/flow/configuration.rs
+++ b/crates/woodladder-core/src/flow/configuration.rs
@@ -9,29 +9,29 @@
 
 use super::identity::ServiceKey;
 
-/// Configurations whose services are remembered for flows that were opened
-/// under them.
-const REMEMBERED_CHANGES: usize = 8;
+/// Most former services that are remembered per route, for flows opened under earlier
+/// configurations.
+const MAXIMUM_FORMER_SERVICES: usize = 8;
 
-/// One share of a route's new flows.
+/// A service that receives part of a route's new flows.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RoutePart {
-    /// Service that takes the share.
+    /// The service.
     pub service: ServiceKey,
-    /// Weight against the route's other parts.
+    /// Weight relative to the other parts of the route.
     pub weight: u32,
 }
 
-/// What the operators expect of the requests of a route.
+/// The operators' requirements for the requests of a route.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RouteTerms {
-    /// Importance; zero is the highest.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Time in which a request should be answered, in milliseconds.
+    /// Time within which a request should be answered, in milliseconds.
     pub aim_ms: u32,
-    /// Time after which an answer is of no use any more, in milliseconds.
+    /// Time after which an answer is useless to the caller, in milliseconds.
     pub timeout_ms: u32,
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request can be sent again although it may already have run.
     pub is_repeatable: bool,
 }
 
@@ -46,98 +46,99 @@
     }
 }
 
-/// Where new flows to one address go.
+/// The services that receive new flows to one address.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Address and port that callers send to.
     pub address: SocketAddrV4,
-    /// Services by weight; one with the whole weight as a rule.
+    /// Weighted services; usually a single one.
     pub parts: Vec<RoutePart>,
-    /// What is expected of its requests.
+    /// Requirements for its requests.
     pub terms: RouteTerms,
 }
 
-/// What the operators state of a service's targets.
+/// The operators' settings for the targets of a service.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServiceTerms {
     /// The service.
     pub service: ServiceKey,
     /// Time for which a target is cold after its start, in milliseconds.
     pub warm_up_ms: u32,
-    /// Requests a second that a cold target bears, in thousandths; zero when
-    /// nothing is stated.
+    /// Requests per 1,000 seconds that a cold target can handle; zero when not specified.
     pub warm_up_rate: u32,
 }
 
 /// One version of the configuration.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Default, Eq, PartialEq)]
 pub struct Configuration {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services of which something is stated.
+    /// All services that have settings.
     pub services: Vec<ServiceTerms>,
-    /// Time after which a flow at rest may be forgotten, in milliseconds.
+    /// Time after which an idle flow may be forgotten, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// Routes of the greatest version seen, by address. Never goes back.
+/// Routes of the greatest configuration version seen, by address. The version never
+/// decreases.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     current: Option<Arc<Configuration>>,
     routes: FxHashMap<SocketAddrV4, usize>,
     former: FxHashMap<SocketAddrV4, Vec<ServiceKey>>,
-    /// The lowest importance, that is the greatest priority number, of the
-    /// routes that lead to a service.
-    lowest_importance: FxHashMap<ServiceKey, u8>,
+    /// For each service, the greatest priority number (the lowest priority) among its
+    /// routes.
+    lowest_priorities: FxHashMap<ServiceKey, u8>,
 }
 
 impl RouteTable {
-    /// The version in force; zero when there is none yet.
+    /// The active version; zero while there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     #[must_use]
     pub fn current(&self) -> Option<&Arc<Configuration>> {
         self.current.as_ref()
     }
 
-    /// Takes a configuration when its version is greater than the one in
-    /// force; says whether it did.
+    /// Activates a configuration if its version is greater than the active one; returns
+    /// whether it did.
     pub fn adopt(&mut self, next: Arc<Configuration>) -> bool {
         if next.version <= self.version() {
             return false;
         }
-        self.remember_services(&next);
+        self.remember_former_services(&next);
         self.routes = next
             .routes
             .iter()
             .enumerate()
             .map(|(index, route)| (route.address, index))
             .collect();
-        self.lowest_importance = lowest_importance(&next);
+        self.lowest_priorities = lowest_priorities(&next);
         self.current = Some(next);
         true
     }
 
-    /// Whether an address's requests matter more than others of the same
-    /// service, and what is expected of them.
+    /// The requirements of an address's requests, and whether another route of the same
+    /// service has a lower priority.
     #[must_use]
     pub fn terms(&self, address: SocketAddrV4, service: ServiceKey) -> (RouteTerms, bool) {
         let terms = self
             .route(address)
             .map_or_else(RouteTerms::default, |route| route.terms);
-        let lowest = self.lowest_importance.get(&service).copied();
-        let is_urgent = lowest.is_some_and(|lowest| terms.priority < lowest);
+        let lowest_priority = self.lowest_priorities.get(&service).copied();
+        let is_urgent =
+            lowest_priority.is_some_and(|lowest_priority| terms.priority < lowest_priority);
         (terms, is_urgent)
     }
 
-    /// Requests a second that a cold target of a service bears, in thousandths;
-    /// zero when nothing is stated.
+    /// Requests per 1,000 seconds that a cold target of a service can handle; zero when
+    /// not specified.
     #[must_use]
     pub fn warm_up_rate(&self, service: ServiceKey) -> u32 {
         self.service(service).map_or(0, |terms| terms.warm_up_rate)
@@ -169,7 +170,7 @@
         self.former.get(&address).map_or(&[], Vec::as_slice)
     }
 
-    fn remember_services(&mut self, next: &Configuration) {
+    fn remember_former_services(&mut self, next: &Configuration) {
         let Some(current) = self.current.take() else {
             return;
         };
@@ -179,34 +180,34 @@
             .map(|route| (route.address, route))
             .collect();
         for route in &current.routes {
-            let same = next_routes
+            let is_unchanged = next_routes
                 .get(&route.address)
-                .is_some_and(|later| later.parts == route.parts);
-            if !same {
-                self.remember(route);
+                .is_some_and(|next_route| next_route.parts == route.parts);
+            if !is_unchanged {
+                self.add_former_services(route);
             }
         }
     }
 
-    fn remember(&mut self, route: &Route) {
+    fn add_former_services(&mut self, route: &Route) {
         let services = self.former.entry(route.address).or_default();
         for part in &route.parts {
             if !services.contains(&part.service) {
                 services.push(part.service);
             }
         }
-        let surplus = services.len().saturating_sub(REMEMBERED_CHANGES);
+        let surplus = services.len().saturating_sub(MAXIMUM_FORMER_SERVICES);
         services.drain(..surplus);
     }
 }
 
-fn lowest_importance(configuration: &Configuration) -> FxHashMap<ServiceKey, u8> {
-    let mut lowest = FxHashMap::default();
+fn lowest_priorities(configuration: &Configuration) -> FxHashMap<ServiceKey, u8> {
+    let mut lowest_priority = FxHashMap::default();
     for route in &configuration.routes {
         for part in &route.parts {
-            let known = lowest.entry(part.service).or_insert(0);
+            let known = lowest_priority.entry(part.service).or_insert(0);
             *known = route.terms.priority.max(*known);
         }
     }
-    lowest
+    lowest_priority
 }
--- a/crates/woodladder-core/src/flow/directory.rs
+++ b/crates/woodladder-core/src/flow/directory.rs
@@ -1,12 +1,12 @@
-//! Targets as a balancer knows them from their agents' reports.
+//! A balancer's directory of agents and their targets, built from the agents' reports.
 //!
-//! An agent is live while its reports come at the pace that they state. A
-//! silent agent gets no new flow; after longer silence its flows count as
-//! lost, unless the balancer itself may have been cut off or stopped.
+//! An agent is live while its reports arrive at the interval that they state. A silent
+//! agent gets no new flow; after a longer silence its flows count as lost, unless the
+//! balancer itself may have been disconnected or paused.
 //!
-//! Reports are rare in a large fleet, so a balancer does not wait for missing
-//! ones: an agent that leaves something unanswered is asked directly, and is
-//! silent or lost when it does not answer that.
+//! Reports are rare in a large fleet, so a balancer does not wait for missing ones: an
+//! agent that leaves a message unanswered is probed directly, and counts as silent or
+//! lost when it leaves the probes unanswered too.
 
 use std::time::Duration;
 
@@ -18,34 +18,34 @@
 use super::target_restart::RestartDetector;
 use crate::clock::Instant;
 
-/// Time without an answer to repeated questions after which the flows of an
-/// agent count as lost. A question is repeated [`QUESTION_INTERVAL`] apart, so
-/// that several in a row must get lost for a living agent to be taken for dead.
-const LOST_WHEN_ASKED: Duration = Duration::from_millis(1000);
-/// Time between two questions to an agent that has not answered.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(150);
-/// Another agent must have been heard within this time for an unanswered
-/// question to say anything: otherwise the balancer itself may be cut off.
-const HEARS_OTHERS_WITHIN: Duration = Duration::from_millis(300);
+/// Time since the first unanswered probe after which the flows of an agent count as lost.
+/// Probes are repeated every [`PROBE_INTERVAL`], so several in a row must get lost before
+/// a live agent is taken for dead.
+const LOST_WHEN_UNANSWERED_FOR: Duration = Duration::from_millis(1000);
+/// Time between two probes to an agent that has not answered.
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
+/// An unanswered probe counts only if another agent was heard within this time; otherwise
+/// the balancer itself may be disconnected.
+const OTHERS_HEARD_WITHIN: Duration = Duration::from_millis(300);
 
-/// What a report or the passing of time has changed.
+/// Change that results from a report or from the passing of time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DirectoryChange {
     /// An agent was heard for the first time, or again after it was lost.
     Found(NodeAddress),
-    /// A target was replaced: flows of the earlier incarnation have ended.
+    /// A target was replaced: flows of its previous incarnation have ended.
     Replaced {
         /// The agent.
         agent: NodeAddress,
         /// The incarnation that has ended.
         ended: Incarnation,
-        /// When it was last heard; flows that were opened later may be open at
-        /// the incarnation after it.
+        /// When that incarnation was last heard. Flows that were opened later may be open
+        /// at its successor.
         last_heard: Instant,
     },
-    /// An agent has been silent for so long that its flows count as lost.
+    /// The agent has been silent for so long that its flows count as lost.
     Lost(NodeAddress),
-    /// A silent agent was forgotten.
+    /// The silent agent was removed from the directory.
     Forgotten(NodeAddress),
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl AgentDirectory {
-    /// Agents known.
+    /// Number of known agents.
     #[must_use]
     pub fn len(&self) -> usize {
         self.agents.len()
@@ -69,18 +69,18 @@
         self.agents.is_empty()
     }
 
-    /// One agent.
+    /// The record of an agent.
     #[must_use]
     pub fn agent(&self, address: NodeAddress) -> Option<&AgentRecord> {
         self.agents.get(&address)
     }
 
-    /// One agent, to be changed.
+    /// The record of an agent, mutable.
     pub fn agent_mut(&mut self, address: NodeAddress) -> Option<&mut AgentRecord> {
         self.agents.get_mut(&address)
     }
 
-    /// All agents.
+    /// The records of all agents.
     pub fn agents(&self) -> impl Iterator<Item = &AgentRecord> {
         self.agents.values()
     }
@@ -91,7 +91,7 @@
         self.services.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// Live agents.
+    /// Number of live agents.
     #[must_use]
     pub fn live_count(&self, now: Instant) -> usize {
         self.agents
@@ -100,7 +100,7 @@
             .count()
     }
 
-    /// Takes a report in; a late one changes nothing.
+    /// Applies a report; a report older than the last one changes nothing.
     pub fn apply_report(
         &mut self,
         address: NodeAddress,
@@ -111,13 +111,13 @@
         let known = self.agents.get(&address);
         if known.is_some_and(|record| {
             let is_late = record.epoch == report.epoch && record.sequence >= report.sequence;
-            is_late || record.former_epoch == Some(report.epoch)
+            is_late || record.previous_epoch == Some(report.epoch)
         }) {
             return;
         }
         if known.is_none_or(|record| record.service != report.service) {
             if let Some(ended) = known.and_then(|record| record.incarnation) {
-                // The address is another machine's now.
+                // The address now belongs to another machine.
                 changes.push(DirectoryChange::Replaced {
                     agent: address,
                     ended,
@@ -130,11 +130,11 @@
         let Some(record) = self.agents.get_mut(&address) else {
             return;
         };
-        if record.counted_lost {
-            record.counted_lost = false;
+        if record.is_marked_lost {
+            record.is_marked_lost = false;
             changes.push(DirectoryChange::Found(address));
         }
-        if let Some(ended) = record.take_incarnation(report, now) {
+        if let Some(ended) = record.update_incarnation(report, now) {
             let since = Duration::from_millis(report.previous_heartbeat_age_ms.into());
             let last_heard = now.since_origin().saturating_sub(since);
             changes.push(DirectoryChange::Replaced {
@@ -144,7 +144,7 @@
             });
         }
         if record.epoch != report.epoch {
-            record.former_epoch = Some(record.epoch);
+            record.previous_epoch = Some(record.epoch);
         }
         record.last_heartbeat = report.load.last_heartbeat;
         record.epoch = report.epoch;
@@ -155,100 +155,101 @@
         record.version = report.version;
         record.interval = Duration::from_millis(report.interval_ms.into());
         record.warm_at = now + Duration::from_millis(report.warm_up_ms.into());
-        record.heard(now);
-        record.take_load(report.load, now);
+        record.record_contact(now);
+        record.update_load(report.load, now);
     }
 
-    /// Takes in the load that an agent stated with an answer.
+    /// Applies the load that an agent stated in an answer.
     pub fn update_load(&mut self, address: NodeAddress, load: TargetLoad, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
-            record.heard(now);
-            record.take_load(load, now);
+            record.record_contact(now);
+            record.update_load(load, now);
         }
     }
 
-    /// An agent has sent anything: it lives.
+    /// Records that an agent has sent a message, which shows that it is alive.
     pub fn record_contact(&mut self, address: NodeAddress, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
-            record.heard(now);
+            record.record_contact(now);
         }
     }
 
-    /// A greeting has promised an agent another one by this time.
-    pub fn set_next_hello(&mut self, address: NodeAddress, greet_again_at: Instant) {
+    /// Records the time by which an agent was promised its next hello.
+    pub fn set_next_hello(&mut self, address: NodeAddress, next_hello_at: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
-            record.greet_again_at = greet_again_at;
+            record.next_hello_at = next_hello_at;
         }
     }
 
-    /// At most `count` agents that are to be greeted again now.
+    /// At most `count` agents whose next hello is due.
     #[must_use]
     pub fn due_for_hello(&self, count: usize, now: Instant) -> Vec<NodeAddress> {
         self.agents
             .values()
-            .filter(|record| record.greet_again_at <= now)
+            .filter(|record| record.next_hello_at <= now)
             .map(|record| record.address)
             .take(count)
             .collect()
     }
 
-    /// There is reason to doubt that an agent lives: it is asked until it has
-    /// answered, and its silence counts from now on.
+    /// Starts to probe an agent that may be dead, until it answers. Its silence is timed
+    /// from now on.
     pub fn start_probing(&mut self, address: NodeAddress, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address)
-            && record.asked_at.is_none()
+            && record.unanswered_since.is_none()
         {
-            record.asked_at = Some(now);
-            record.asked_again_at = Instant::ORIGIN;
+            record.unanswered_since = Some(now);
+            record.last_probe_at = Instant::ORIGIN;
         }
     }
 
-    /// Whether some agent owes an answer.
+    /// Whether any agent has an unanswered probe.
     #[must_use]
     pub fn is_probing_any(&self) -> bool {
         self.agents
             .values()
-            .any(|record| record.asked_at.is_some() && !record.counted_lost)
+            .any(|record| record.unanswered_since.is_some() && !record.is_marked_lost)
     }
 
-    /// Agents that are to be asked again now, which counts as asking them.
+    /// Agents whose next probe is due; records these probes as sent now.
     pub fn take_due_probes(&mut self, now: Instant) -> Vec<NodeAddress> {
-        let mut doubted = Vec::new();
+        let mut due_probes = Vec::new();
         for record in self.agents.values_mut() {
-            let is_due = now.since(record.asked_again_at) >= QUESTION_INTERVAL;
-            if record.asked_at.is_some() && !record.counted_lost && is_due {
-                record.asked_again_at = now;
-                doubted.push(record.address);
+            let is_due = now.since(record.last_probe_at) >= PROBE_INTERVAL;
+            if record.unanswered_since.is_some() && !record.is_marked_lost && is_due {
+                record.last_probe_at = now;
+                due_probes.push(record.address);
             }
         }
-        doubted
+        due_probes
     }
 
-    /// Counts the silence of all agents from now on, because the balancer
-    /// itself has not listened.
+    /// Restarts the silence timers of all agents, because the balancer itself has not
+    /// been receiving.
     pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.agents.values_mut() {
-            record.heard(now);
+            record.record_contact(now);
         }
     }
 
-    /// Finds agents that have become silent.
+    /// Reports agents that have become silent, and removes those silent for long.
     pub fn tick(&mut self, now: Instant, changes: &mut Vec<DirectoryChange>) {
-        let heard_another = self.live_count(now) > 0;
+        let hears_live_agent = self.live_count(now) > 0;
         let heard_at = self.agents.values().map(|record| record.heard_at).max();
-        let hears_others = heard_at.is_some_and(|at| now.since(at) < HEARS_OTHERS_WITHIN);
+        let hears_others = heard_at.is_some_and(|at| now.since(at) < OTHERS_HEARD_WITHIN);
         for record in self.agents.values_mut() {
-            let is_silent = heard_another && record.is_lost(now);
-            let is_mute = hears_others && record.unanswered_for(now) >= LOST_WHEN_ASKED;
-            if !record.counted_lost && (is_silent || is_mute) {
-                record.counted_lost = true;
+            let is_silent = hears_live_agent && record.should_mark_lost(now);
+            let ignores_probes =
+                hears_others && record.unanswered_for(now) >= LOST_WHEN_UNANSWERED_FOR;
+            if !record.is_marked_lost && (is_silent || ignores_probes) {
+                record.is_marked_lost = true;
                 changes.push(DirectoryChange::Lost(record.address));
             }
         }
         let forgotten: Vec<NodeAddress> = self
             .agents
             .values()
-            .filter(|record| record.is_forgotten(now))
+            .filter(|record| record.should_forget(now))
             .map(|record| record.address)
             .collect();
         for address in forgotten {
@@ -276,8 +277,8 @@
                 version: report.version,
                 incarnation: None,
                 started_at_ms: None,
-                succession: RestartDetector::default(),
-                former_epoch: None,
+                restart_detector: RestartDetector::default(),
+                previous_epoch: None,
                 last_heartbeat: 0,
                 heard_at: now,
                 load_at: now,
@@ -287,15 +288,15 @@
                 epoch: report.epoch,
                 sequence: 0,
                 interval: Duration::ZERO,
-                counted_lost: false,
-                greet_again_at: now,
-                asked_at: None,
-                asked_again_at: Instant::ORIGIN,
+                is_marked_lost: false,
+                next_hello_at: now,
+                unanswered_since: None,
+                last_probe_at: Instant::ORIGIN,
             },
         );
     }
 
-    /// Forgets an agent; says whether it was known.
+    /// Removes an agent; returns whether it was known.
     pub fn remove(&mut self, address: NodeAddress) -> bool {
         let Some(record) = self.agents.remove(&address) else {
             return false;
--- a/crates/woodladder-core/src/flow/excluded_zones.rs
+++ b/crates/woodladder-core/src/flow/excluded_zones.rs
@@ -1,9 +1,9 @@
-//! Zones whose targets take no new flows, by order of the operators.
+//! Zones that operators have excluded: their targets accept no new flows.
 //!
-//! The set is small, so nodes tell each other the whole of it in every greeting
-//! instead of fetching it. It carries the store's revision at which it was the
-//! whole set; a node takes only a set of a greater revision than its own, and
-//! so never goes back, whichever way and in whichever order sets reach it.
+//! The set is small, so nodes send the whole of it in every hello instead of fetching it.
+//! Each set carries the store revision that it reflects. A node accepts only a set with a
+//! greater revision than its own, so it never goes back to an older set, whichever way
+//! and in whichever order sets arrive.
 
 use std::collections::BTreeSet;
 
@@ -11,27 +11,26 @@
 
 use super::identity::ZoneKey;
 
-/// The excluded zones as the store held them at one revision.
+/// The excluded zones as of one store revision.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Default, Eq, PartialEq)]
 pub struct ExcludedZones {
-    /// Revision of the store; zero while nothing of the store is known.
+    /// Revision of the store; zero while nothing was read from the store.
     pub revision: u64,
-    /// All zones that were excluded then.
+    /// All zones that were excluded at this revision.
     pub zones: BTreeSet<ZoneKey>,
 }
 
-/// One zone was excluded, or is no longer.
+/// A change that excludes one zone or includes it again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ZoneChange {
     /// The zone.
     pub zone: ZoneKey,
-    /// Whether it is excluded from now on.
+    /// Whether the zone is excluded after the change.
     pub is_excluded: bool,
 }
 
 impl ExcludedZones {
-    /// Takes a set of a greater revision; says whether other zones are excluded
-    /// now.
+    /// Accepts a set with a greater revision; returns whether the excluded zones changed.
     pub fn adopt(&mut self, next: &Self) -> bool {
         if next.revision <= self.revision {
             return false;
@@ -41,13 +40,13 @@
         differs
     }
 
-    /// Whether a zone's targets take no new flows.
+    /// Whether the targets of a zone accept no new flows.
     #[must_use]
     pub fn excludes(&self, zone: ZoneKey) -> bool {
         self.zones.contains(&zone)
     }
 
-    /// The set after some changes, the latest last.
+    /// The set after applying changes in order.
     #[must_use]
     pub fn after(&self, changes: &[ZoneChange], revision: u64) -> Self {
         let mut zones = self.zones.clone();
--- a/crates/woodladder-core/src/flow/flow_table.rs
+++ b/crates/woodladder-core/src/flow/flow_table.rs
@@ -1,8 +1,8 @@
-//! A bounded table of flows that forgets the ones that rested longest.
+//! A bounded table of flows that forgets the least recently used ones.
 //!
-//! Two generations are kept: a flow that is used moves into the younger one,
-//! and at each rotation the elder one is forgotten as a whole. A flow is kept
-//! for at least one period after its last use, unless the table is full.
+//! The table keeps two generations. Using a flow moves it into the young generation; each
+//! rotation forgets the old generation as a whole. A flow is kept for at least one period
+//! after its last use, unless the table is full.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use super::identity::FlowKey;
 use crate::clock::Instant;
 
-/// Flows by key.
+/// Values by flow.
 #[derive(Clone, Debug)]
 pub struct FlowTable<V> {
-    younger: FxHashMap<FlowKey, V>,
-    elder: FxHashMap<FlowKey, V>,
+    young: FxHashMap<FlowKey, V>,
+    old: FxHashMap<FlowKey, V>,
     rotated_at: Instant,
     overflowed_at: Option<Instant>,
     period: Duration,
@@ -23,13 +23,13 @@
 }
 
 impl<V> FlowTable<V> {
-    /// An empty table that holds at most `capacity` flows and keeps each for
-    /// at least `period` after its last use.
+    /// An empty table that holds at most `capacity` flows and keeps each for at least
+    /// `period` after its last use.
     #[must_use]
     pub fn new(capacity: usize, period: Duration) -> Self {
         Self {
-            younger: FxHashMap::default(),
-            elder: FxHashMap::default(),
+            young: FxHashMap::default(),
+            old: FxHashMap::default(),
             rotated_at: Instant::ORIGIN,
             overflowed_at: None,
             period,
@@ -37,16 +37,16 @@
         }
     }
 
-    /// Flows held.
+    /// Number of flows in the table.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.younger.len() + self.elder.len()
+        self.young.len() + self.old.len()
     }
 
-    /// Whether no flow is held.
+    /// Whether the table holds no flow.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.younger.is_empty() && self.elder.is_empty()
+        self.young.is_empty() && self.old.is_empty()
     }
 
     /// When flows were last forgotten early because the table was full.
@@ -57,52 +57,52 @@
 
     /// The value of a flow; counts as a use.
     pub fn touch(&mut self, key: &FlowKey) -> Option<&mut V> {
-        if let Some(value) = self.elder.remove(key) {
-            self.younger.insert(*key, value);
+        if let Some(value) = self.old.remove(key) {
+            self.young.insert(*key, value);
         }
-        self.younger.get_mut(key)
+        self.young.get_mut(key)
     }
 
-    /// The value of a flow, without counting as a use.
+    /// The value of a flow; does not count as a use.
     #[must_use]
     pub fn peek(&self, key: &FlowKey) -> Option<&V> {
-        self.younger.get(key).or_else(|| self.elder.get(key))
+        self.young.get(key).or_else(|| self.old.get(key))
     }
 
     /// Adds or replaces a flow.
     pub fn insert(&mut self, key: FlowKey, value: V, now: Instant) {
-        self.elder.remove(&key);
-        if self.younger.len() >= self.capacity / 2 && !self.younger.contains_key(&key) {
-            if !self.elder.is_empty() {
+        self.old.remove(&key);
+        if self.young.len() >= self.capacity / 2 && !self.young.contains_key(&key) {
+            if !self.old.is_empty() {
                 self.overflowed_at = Some(now);
             }
             self.rotate(now);
         }
-        self.younger.insert(key, value);
+        self.young.insert(key, value);
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, key: &FlowKey) -> Option<V> {
-        self.younger.remove(key).or_else(|| self.elder.remove(key))
+        self.young.remove(key).or_else(|| self.old.remove(key))
     }
 
     /// All flows.
     pub fn iter(&self) -> impl Iterator<Item = (&FlowKey, &V)> {
-        self.younger.iter().chain(self.elder.iter())
+        self.young.iter().chain(self.old.iter())
     }
 
-    /// All flows, to be changed; does not count as a use.
+    /// All flows, mutable; does not count as a use.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&FlowKey, &mut V)> {
-        self.younger.iter_mut().chain(self.elder.iter_mut())
+        self.young.iter_mut().chain(self.old.iter_mut())
     }
 
-    /// Keeps only the flows for which `keep` holds.
+    /// Keeps only the flows for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&FlowKey, &mut V) -> bool) {
-        self.younger.retain(&mut keep);
-        self.elder.retain(&mut keep);
+        self.young.retain(&mut keep);
+        self.old.retain(&mut keep);
     }
 
-    /// Forgets what has rested for a whole period.
+    /// Rotates the generations once per period.
     pub fn tick(&mut self, now: Instant) {
         if now.since(self.rotated_at) >= self.period {
             self.rotate(now);
@@ -110,7 +110,7 @@
     }
 
     fn rotate(&mut self, now: Instant) {
-        self.elder = std::mem::take(&mut self.younger);
+        self.old = std::mem::take(&mut self.young);
         self.rotated_at = now;
     }
 }
--- a/crates/woodladder-core/src/flow/held_flows.rs
+++ b/crates/woodladder-core/src/flow/held_flows.rs
@@ -1,21 +1,21 @@
-//! What an agent tells balancers of the flows that its target holds.
+//! Messages in which an agent announces to balancers the flows that its target holds.
 //!
-//! A flow is named by a fingerprint of 32 bits: of two million flows at all agents
-//! together, one search in 2,000 is sent to an agent that does not hold the flow, and
-//! goes on after its denial. What is told here only says whom to ask first: that a flow
-//! is gone is never concluded from it.
+//! A flow is identified by a fingerprint of 32 bits. With two million flows at all agents
+//! together, one search in 2,000 goes first to an agent that does not hold the flow, and
+//! continues after that agent's denial. An announcement only decides which agent is asked
+//! first; a balancer never concludes from it that a flow is gone.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use super::identity::FlowKey;
 
-/// Most flows of one agent that are told. An agent with more is asked like one that
-/// tells nothing: its list would cost more than the questions that it saves.
+/// Most flows that one agent announces. An agent with more is searched like one that
+/// announces nothing: its list would cost more than the queries that it saves.
 pub const MAXIMUM_ANNOUNCED_FLOWS: usize = 4096;
-/// Most fingerprints in one datagram, which stays below 1,200 bytes.
+/// Most fingerprints in one datagram, which keeps it below 1,200 bytes.
 pub const MAXIMUM_FINGERPRINTS: usize = 256;
 
-/// The low bits of a flow's hash.
+/// The low 32 bits of a flow's hash.
 #[derive(
     BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
@@ -29,43 +29,44 @@
     }
 }
 
-/// How much of the agent's flows a statement covers.
+/// Which of the agent's flows an announcement covers.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnnouncementCoverage {
-    /// What has changed after the change numbered `base_change`.
+    /// The changes after the change numbered `base_change`.
     Changes,
-    /// All flows that are told; nothing else is open for longer than a moment.
+    /// All announced flows. A flow that is not listed has been open only for a moment, if
+    /// at all.
     Complete,
-    /// Nothing: the agent holds more than [`MAXIMUM_ANNOUNCED_FLOWS`].
+    /// None: the agent holds more than [`MAXIMUM_ANNOUNCED_FLOWS`].
     Nothing,
 }
 
-/// What an agent adds to a report.
+/// The announcement that an agent attaches to a report.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct FlowAnnouncement {
-    /// How much it covers.
+    /// Which flows it covers.
     pub coverage: AnnouncementCoverage,
-    /// Number of the last change before those that are stated.
+    /// Number of the change just before the first announced one.
     pub base_change: u32,
-    /// Number of the last change that is stated.
+    /// Number of the last announced change.
     pub last_change: u32,
     /// Flows that are open as of `last_change`.
     pub open: Vec<FlowFingerprint>,
-    /// Flows that have closed between the two.
+    /// Flows that have closed between `base_change` and `last_change`.
     pub closed: Vec<FlowFingerprint>,
 }
 
 /// One datagram of an agent's complete list.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct FlowListPart {
-    /// The agent's start.
+    /// Epoch of the agent: identifies its current start.
     pub epoch: u64,
-    /// Number of the last change that the list contains.
+    /// Number of the last change that the list includes.
     pub last_change: u32,
-    /// Place of this part, from zero.
+    /// Index of this part, from zero.
     pub part_index: u8,
-    /// Parts of the list.
+    /// Number of parts in the list.
     pub part_count: u8,
-    /// Flows that are open.
+    /// Open flows.
     pub open: Vec<FlowFingerprint>,
 }
--- a/crates/woodladder-core/src/flow/identity.rs
+++ b/crates/woodladder-core/src/flow/identity.rs
@@ -1,14 +1,14 @@
-//! Names of the things that flows are decided by.
+//! Identifiers of nodes, services, zones, targets and flows.
 
 use std::net::SocketAddrV4;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Address at which a node takes messages of other nodes; names the node.
+/// Address at which a node receives messages from other nodes; identifies the node.
 pub type NodeAddress = SocketAddrV4;
 
-/// A service, by a hash of its name.
+/// A service, identified by a hash of its name.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -32,7 +32,8 @@
     }
 }
 
-/// One start of a target, by a hash of the identifier that it was given.
+/// One run of a target from its start to its end, identified by a hash of the target's
+/// identifier.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -49,14 +50,14 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of the target with this identifier.
+    /// The incarnation of a target with this identifier.
     #[must_use]
     pub fn named(identifier: &str) -> Self {
         Self(xxh3_64(identifier.as_bytes()))
     }
 
-    /// The start of the target with this identifier at a time of its own, in
-    /// milliseconds of Unix time: one identifier may start several times.
+    /// The incarnation of a target with this identifier that started at a time by its own
+    /// clock, in milliseconds of Unix time. One identifier may start several times.
     #[must_use]
     pub fn started_at(identifier: &str, born_ms: u64) -> Self {
         Self(xxh3_64_with_seed(
@@ -66,7 +67,7 @@
     }
 }
 
-/// A zone, by a hash of its name.
+/// A zone, identified by a hash of its name.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -90,14 +91,14 @@
     }
 }
 
-/// A hash of a node's address that is the same at every node.
+/// A hash of a node's address; the same at every node.
 #[must_use]
 pub fn address_hash(address: NodeAddress) -> u64 {
     xxh3_64(&address_bytes(address))
 }
 
-/// A hash of two nodes that is the same at every node: the highest among several
-/// second ones chooses one of them for the first.
+/// A hash of a pair of nodes; the same at every node. Rendezvous hashing: of several
+/// second nodes, the one with the highest hash is assigned to the first node.
 #[must_use]
 pub fn pair_hash(first: NodeAddress, second: NodeAddress) -> u64 {
     xxh3_64_with_seed(&address_bytes(second), address_hash(first))
@@ -120,13 +121,13 @@
 }
 
 impl FlowKey {
-    /// A hash of the flow that is the same at every node.
+    /// A hash of the flow; the same at every node.
     #[must_use]
     pub fn hash(&self) -> u64 {
         xxh3_64(&self.bytes())
     }
 
-    /// The rank of a node for this flow: the highest rank comes first.
+    /// The rank of a node for this flow in rendezvous hashing; the highest comes first.
     #[must_use]
     pub fn rank(&self, node: NodeAddress) -> u64 {
         xxh3_64_with_seed(&address_bytes(node), self.hash())
--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -1,4 +1,4 @@
-//! Decisions worth a log line, with the inputs that decided them.
+//! Events for the log: decisions, with the inputs that led to them.
 
 use std::time::Duration;
 
@@ -9,342 +9,313 @@
 use super::message::{ReturnReason, TargetLoad, TargetState};
 use super::packet::ResetReason;
 
-/// One decision or one change of what a node believes.
+/// A decision, or a change in what a node believes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// A new flow was sent to a target.
     FlowSent {
-        /// The flow.
         key: FlowKey,
-        /// Agent chosen.
+        /// Agent of the selected target.
         agent: NodeAddress,
-        /// Copies of the opening before this one.
+        /// Retransmissions of the opening before this packet.
         copy: u32,
-        /// Agents asked before.
+        /// Agents that were tried before.
         tried: usize,
-        /// Score that won, in slots.
+        /// Score of the selected target, in slots; the lowest one wins.
         score: f64,
-        /// Age of the load that it was computed from.
+        /// Age of the load report behind the score.
         load_age: Duration,
-        /// Configuration that chose the service.
+        /// Version of the configuration that selected the service.
         version: u64,
     },
-    /// No target takes a new flow now.
+    /// No target accepts a new flow at the moment.
     FlowWithoutTarget {
-        /// The flow.
         key: FlowKey,
-        /// Copies of the opening before this one.
+        /// Retransmissions of the opening before this packet.
         copy: u32,
-        /// Agents of the service that are known.
+        /// Known agents of the service.
         known: usize,
-        /// Configuration that chose the service.
+        /// Version of the configuration that selected the service.
         version: u64,
     },
     /// An opening waits until fewer flows share the link.
     OpeningDeferredForLink {
-        /// The flow.
         key: FlowKey,
         /// Flows that share the link.
         under_way: usize,
-        /// Openings that wait, this one included.
+        /// Waiting openings, including this one.
         waiting: usize,
     },
-    /// An opening was refused, because its turn on the link comes too late.
+    /// An opening was refused because the link would have had capacity for it too late.
     OpeningRefusedForLink {
-        /// The flow.
         key: FlowKey,
-        /// Time that it has waited.
+        /// Time that the opening has waited.
         waited: Duration,
     },
-    /// An agent gave a packet back.
+    /// An agent returned a packet.
     PacketReturned {
-        /// The flow.
         key: FlowKey,
-        /// The agent.
         agent: NodeAddress,
-        /// Why.
+        /// Why the packet was returned.
         reason: ReturnReason,
     },
-    /// The targets of the route are asked who holds a flow.
+    /// All targets of the route are asked which of them holds a flow.
     SearchStarted {
-        /// The flow.
         key: FlowKey,
-        /// Agents asked.
+        /// Number of agents asked.
         asked: usize,
     },
-    /// A target holds a flow that was searched for.
+    /// The target that holds a searched flow was found.
     FlowLocated {
-        /// The flow.
         key: FlowKey,
-        /// Its agent.
+        /// The agent of the target.
         agent: NodeAddress,
         /// Time since the search began.
         waited: Duration,
-        /// Whether the agent had told the flow before it was asked.
+        /// Whether the agent had announced the flow before it was asked.
         was_named: bool,
     },
-    /// A search goes on for long.
+    /// A search takes long.
     SearchWaits {
-        /// The flow.
         key: FlowKey,
         /// Time since the search began.
         waited: Duration,
-        /// Agents that have not denied the flow.
+        /// Agents that have not denied holding the flow.
         open: usize,
-        /// One of them.
+        /// One of these agents.
         awaited: Option<NodeAddress>,
-        /// Whether that one has said that only its target can tell.
+        /// Whether `awaited` has answered that only its target can tell.
         is_undecided: bool,
         /// Whether the balancer knows all agents.
         knows_all: bool,
     },
-    /// Every agent has denied a flow: it is open nowhere.
+    /// Every agent has denied holding a flow, so the flow no longer exists.
     AbsenceProved {
-        /// The flow.
         key: FlowKey,
         /// Time since the search began.
         waited: Duration,
     },
-    /// A flow was reset towards its caller.
+    /// A reset was sent to the caller of a flow.
     FlowReset {
-        /// The flow.
         key: FlowKey,
-        /// Why.
+        /// Why the flow was reset.
         reason: ResetReason,
-        /// Agents that denied holding it.
+        /// Agents that denied holding the flow.
         denied: usize,
     },
-    /// A greater configuration is in force.
+    /// A newer configuration became active.
     ConfigurationAdopted {
-        /// The version.
+        /// Version of the new configuration.
         version: u64,
-        /// The version before.
+        /// Version of the previous configuration.
         former: u64,
-        /// Routes in it.
+        /// Routes in the new configuration.
         routes: usize,
-        /// Node that it came from; `None` for the store.
+        /// Node that sent the configuration; `None` for the store.
         from: Option<NodeAddress>,
     },
-    /// Other optional mechanisms act than before.
+    /// The set of active optional mechanisms has changed.
     MechanismsChanged {
-        /// Those that act now.
+        /// The mechanisms that are active now.
         active: ActiveMechanisms,
     },
-    /// Other zones than before take no new flows.
+    /// The set of excluded zones has changed.
     ZonesExcluded {
-        /// Zones that are excluded from now on.
+        /// Number of zones that are excluded now.
         excluded: usize,
-        /// Zones that were until now.
+        /// Number of zones that were excluded before.
         formerly: usize,
-        /// Whether the node's own zone is among those excluded from now on.
+        /// Whether the node's own zone is excluded now.
         own_is_excluded: bool,
-        /// Revision of the store at which this was so.
+        /// Store revision of the new set.
         revision: u64,
-        /// Node that it came from; `None` for the store.
+        /// Node that sent the set; `None` for the store.
         from: Option<NodeAddress>,
     },
-    /// It is not known any more whether the own target is cold, so it counts as
-    /// cold until a heartbeat tells.
+    /// The agent no longer knows whether its target is cold, so the target is assumed to
+    /// be cold until a heartbeat tells.
     AssumedCold {
-        /// Why.
+        /// Why this is not known.
         reason: ColdReason,
-        /// Incarnation, when known.
+        /// Incarnation of the target, if known.
         incarnation: Option<Incarnation>,
     },
-    /// An agent is heard.
-    AgentFound {
-        /// The agent.
-        agent: NodeAddress,
-    },
-    /// An agent has been silent for long.
+    /// An agent was heard for the first time, or again after it was lost.
+    AgentFound { agent: NodeAddress },
+    /// An agent has been silent for so long that its flows count as lost.
     AgentLost {
-        /// The agent.
         agent: NodeAddress,
-        /// For how long.
+        /// Time since the agent was last heard.
         silence: Duration,
-        /// For how long it has left a question unanswered; zero when it was
-        /// asked nothing.
+        /// Time since the first unanswered probe; zero if no probe is unanswered.
         unanswered_for: Duration,
         /// Flows that were reset.
         flows: usize,
     },
-    /// An agent has stopped after its target's end.
+    /// An agent has stopped after its target ended.
     AgentStopped {
-        /// The agent.
         agent: NodeAddress,
         /// Flows that were reset.
         flows: usize,
     },
-    /// A target was replaced.
+    /// A new incarnation of a target replaced an earlier one.
     TargetReplaced {
-        /// The agent.
         agent: NodeAddress,
-        /// Incarnation that has ended.
+        /// The incarnation that has ended.
         ended: Incarnation,
         /// Flows that were reset.
         flows: usize,
     },
-    /// The balancer begins to call the store, or ceases to.
+    /// The balancer starts or stops watching the store.
     StoreWatchChanged {
         /// Whether it watches the configuration now.
         watches: bool,
-        /// Balancers heard that come before it.
+        /// Live balancers that take this duty before this one.
         others_before: usize,
-        /// Time since the store confirmed the configuration to any balancer
-        /// heard of; `None` when that is not known.
+        /// Time since any balancer, as far as this one has heard, had the configuration
+        /// confirmed by the store; `None` if unknown.
         confirmed_ago: Option<Duration>,
     },
-    /// What the record of flows at the store is needed for has changed.
+    /// The purpose of the flow record in the store has changed.
     FlowRecording {
-        /// What it is needed for now.
+        /// What the record is needed for now.
         need: RecordNeed,
         /// Balancers that decide about flows.
         balancers: usize,
     },
-    /// The record of flows that was written before the start was read.
+    /// The flow record from before the start was read.
     FlowRecordRead {
-        /// Flows in it.
+        /// Flows in the record.
         flows: usize,
-        /// Its age by the time of day.
+        /// Age of the record by the wall clock.
         age: Duration,
     },
-    /// A record of flows is of no use.
+    /// A flow record was rejected.
     FlowRecordRefused {
-        /// Why.
+        /// Why the record was rejected.
         error: RecordError,
     },
-    /// It is settled what became of the flows of a record.
+    /// The fate of all flows of a record is settled.
     FlowRecordRestored {
-        /// What became of them.
+        /// Number of flows by outcome.
         totals: RestoreTotals,
     },
-    /// Another balancer is heard for the first time.
-    BalancerFound {
-        /// The balancer.
-        balancer: NodeAddress,
-    },
+    /// Another balancer was heard for the first time.
+    BalancerFound { balancer: NodeAddress },
     /// A balancer is no longer heard.
-    BalancerLost {
-        /// The balancer.
-        balancer: NodeAddress,
-    },
-    /// The process has not run for a while; silence is counted anew.
+    BalancerLost { balancer: NodeAddress },
+    /// The process was paused for a while; all silence timers restart.
     Stalled {
-        /// For how long.
+        /// Duration of the pause.
         duration: Duration,
     },
-    /// The own target changed its state.
+    /// The state of this agent's target changed.
     TargetState {
-        /// The state before.
+        /// Previous state.
         former: TargetState,
-        /// The state now.
+        /// Current state.
         state: TargetState,
-        /// Incarnation, when known.
+        /// Incarnation of the target, if known.
         incarnation: Option<Incarnation>,
     },
-    /// An opening was handed to the own target.
+    /// An opening was delivered to this agent's target.
     FlowOffered {
-        /// The flow.
         key: FlowKey,
-        /// Balancer that sent it.
+        /// Balancer that sent the opening.
         balancer: NodeAddress,
-        /// Requests at work.
+        /// Requests in progress at the target.
         busy: u16,
-        /// Configuration that chose the service.
+        /// Version of the configuration that selected the service.
         version: u64,
     },
-    /// The own target has become or ceased to be suspect by what came of its
-    /// requests.
+    /// This agent's target became suspect because it fails many requests, or ceased to be
+    /// suspect.
     TargetSuspicion {
-        /// Whether it is suspect now.
+        /// Whether the target is suspect now.
         is_suspect: bool,
-        /// Share of requests that it has failed, in percent.
+        /// Share of requests that the target has failed, in percent.
         failed_percent: u8,
-        /// Incarnation, when known.
+        /// Incarnation of the target, if known.
         incarnation: Option<Incarnation>,
     },
-    /// An opening waits until the own target can begin with it.
+    /// An opening waits in the queue until this agent's target can start on it.
     OpeningQueued {
-        /// The flow.
         key: FlowKey,
-        /// Balancer that sent it.
+        /// Balancer that sent the opening.
         balancer: NodeAddress,
-        /// Time since the caller first sent it.
+        /// Time since the caller first sent the opening.
         age: Duration,
-        /// Load of the target, this opening included.
+        /// Load of the target, including this opening.
         load: TargetLoad,
-        /// Time that a request is expected to take once it is handed over.
+        /// Time that a request is expected to take after delivery.
         expected: Duration,
     },
-    /// A request on an open flow waits until the own target can begin with it.
+    /// A request on an open flow waits until this agent's target can start on it.
     RequestQueued {
-        /// The flow.
         key: FlowKey,
-        /// Whether its route matters more than another one of the service.
+        /// Whether another route of the service has a lower priority.
         is_urgent: bool,
-        /// Openings and requests that wait, too, and whose routes matter more than
-        /// another one of the service.
+        /// Other waiting openings and requests that have priority over another route of
+        /// the service.
         urgent_waiting: usize,
-        /// Load of the target, this request included.
+        /// Load of the target, including this request.
         load: TargetLoad,
-        /// Time that the request is expected to take once it is handed over.
+        /// Time that the request is expected to take after delivery.
         expected: Duration,
     },
-    /// An opening, or a request on an open flow, that has waited was handed to the own
-    /// target.
+    /// A queued opening, or a queued request on an open flow, was delivered to this
+    /// agent's target.
     WorkReleased {
-        /// The flow.
         key: FlowKey,
-        /// Time that it has waited.
+        /// Time that it waited in the queue.
         waited: Duration,
     },
-    /// A request on an open flow that waited is dropped: its caller has left.
+    /// A queued request on an open flow was dropped because its caller has given up.
     RequestGivenUp {
-        /// The flow.
         key: FlowKey,
-        /// Time that it has waited.
+        /// Time that the request waited in the queue.
         waited: Duration,
     },
-    /// The own target ended one request of a flow.
+    /// This agent's target answered a request.
     RequestAnswered {
-        /// The flow.
         key: FlowKey,
         /// Time to the first byte of the answer.
         service_time: Duration,
     },
 }
 
-/// Notes that wait for the log; further ones are counted and dropped.
+/// A bounded buffer of events for the log. Events that exceed the bound are dropped and
+/// counted.
 #[derive(Clone, Debug, Default)]
 pub struct LogEventBuffer {
-    waiting: Vec<LogEvent>,
+    buffered: Vec<LogEvent>,
     dropped: u64,
 }
 
 impl LogEventBuffer {
-    /// Most notes that wait.
+    /// Most events in the buffer.
     pub const CAPACITY: usize = 512;
 
-    /// Adds a note.
-    pub fn add(&mut self, note: LogEvent) {
-        if self.waiting.len() < Self::CAPACITY {
-            self.waiting.push(note);
+    /// Adds an event, or counts it as dropped if the buffer is full.
+    pub fn add(&mut self, event: LogEvent) {
+        if self.buffered.len() < Self::CAPACITY {
+            self.buffered.push(event);
         } else {
             self.dropped += 1;
         }
     }
 
-    /// Takes what waits, and how many were dropped since the last call.
+    /// Takes the buffered events, and the number of events dropped since the last call.
     pub fn take(&mut self) -> (Vec<LogEvent>, u64) {
         (
-            std::mem::take(&mut self.waiting),
+            std::mem::take(&mut self.buffered),
             std::mem::take(&mut self.dropped),
         )
     }
 
-    /// Whether nothing waits.
+    /// Whether there is nothing to take: no event is buffered and none was dropped.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.dropped == 0
+        self.buffered.is_empty() && self.dropped == 0
     }
 }
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -1,7 +1,7 @@
-//! Messages between nodes on the carrier without tokens.
+//! Messages between nodes that load-balance opaque flows.
 //!
-//! A datagram is one [`PeerMessage`] in borsh; where the message carries a
-//! packet of a flow, the packet's bytes follow it to the datagram's end.
+//! A datagram holds one [`PeerMessage`], encoded with borsh. If the message carries a
+//! packet of a flow, the packet's bytes follow it up to the end of the datagram.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use super::held_flows::{FlowAnnouncement, FlowListPart};
 use super::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey, ZoneKey};
 
-/// First byte of each datagram: the version of this protocol.
+/// Protocol version; the first byte of each datagram.
 pub const PROTOCOL_VERSION: u8 = 8;
-/// Most balancers that a greeting names.
+/// Most balancers that one hello lists.
 pub const MAXIMUM_NAMED_BALANCERS: usize = 12;
 
-/// Most flows that one message asks for.
+/// Most flows in one query.
 pub const MAXIMUM_KEYS: usize = 64;
 
 /// Why a balancer sends a packet to an agent.
@@ -28,110 +28,110 @@
     Open(OpeningTerms),
     /// The balancer believes that the agent's target holds the flow.
     Established,
-    /// The balancer asks whether the agent's target holds the flow.
+    /// The balancer does not know where the flow is held and asks this agent too.
     Search,
 }
 
-/// What a balancer knows of an opening; the agent orders openings by it.
+/// What a balancer knows about an opening, the first packet of a flow. The agent orders
+/// its queue by it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OpeningTerms {
     /// Time since the caller first sent the opening, in milliseconds.
     pub age_ms: u16,
-    /// Time in which its request should be answered, in milliseconds.
+    /// Time within which the request should be answered, in milliseconds.
     pub aim_ms: u32,
-    /// Time after which its answer is of no use any more, in milliseconds.
+    /// Time after which the answer is useless to the caller, in milliseconds.
     pub timeout_ms: u32,
-    /// Whether its route matters more than another of the same service.
+    /// Whether another route of the same service has a lower priority.
     pub is_urgent: bool,
-    /// Requests that the balancer believes the target to hold or to have
-    /// queued, this one left out; `None` when the agent is to take the opening
-    /// whatever it holds.
+    /// Requests that the balancer believes the target to hold or to have queued, not
+    /// counting this one. `None` if the agent must accept the opening whatever its load.
     pub estimated_load: Option<u16>,
 }
 
-/// What goes before a packet on its way to an agent.
+/// Header in front of a packet that a balancer forwards to an agent.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ForwardHeader {
-    /// Service that the packet is for; another one's agent refuses it.
+    /// Service that the packet is for; agents of other services return it.
     pub service: ServiceKey,
-    /// Configuration that chose the service.
+    /// Version of the configuration that selected the service.
     pub version: u64,
-    /// Why it is sent.
+    /// Why the packet is sent.
     pub purpose: ForwardPurpose,
 }
 
-/// Why an agent did not deliver a packet.
+/// Why an agent returned a packet instead of delivering it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ReturnReason {
-    /// The agent stands for another service.
+    /// The agent belongs to another service.
     WrongService,
-    /// The agent knows no target that answers.
+    /// The agent has no responding target.
     NoTarget,
-    /// The target is leaving.
+    /// The target is shutting down.
     Leaving,
-    /// The target's zone takes no new flows.
+    /// The zone of the target accepts no new flows.
     ZoneExcluded,
-    /// The target is cold and has had as many requests within a second as it
-    /// bears.
+    /// The target is cold and has received as many requests within the last second as it
+    /// can handle.
     WarmingUp,
-    /// The target holds more than the balancer believed, or the queue is full;
-    /// the sender may ask elsewhere.
+    /// The target's load is higher than the balancer believed, or the agent's queue is
+    /// full; the balancer may try another target.
     Saturated,
-    /// The opening has waited in the agent's queue for as long as it may.
+    /// The opening has waited in the agent's queue for the maximum time.
     Expired,
-    /// The target itself did not take the flow.
+    /// The target itself rejected the flow.
     RefusedByTarget,
-    /// The agent knows a greater version of the configuration.
+    /// The agent uses a newer version of the configuration.
     StaleVersion,
     /// The target does not hold the flow.
     NotHeld,
 }
 
-/// Whether a target takes flows.
+/// Whether a target accepts flows.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum TargetState {
-    /// No heartbeat has come since the agent started.
+    /// No heartbeat has arrived since the agent started.
     #[default]
     Unknown,
-    /// It takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// It keeps its flows and gets no new ones.
+    /// Is shutting down: keeps its open flows and accepts no new ones.
     Leaving,
-    /// It does not answer.
+    /// Does not respond.
     Unresponsive,
 }
 
-/// Load of a target as its agent counts it.
+/// Load of a target, counted by its agent.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TargetLoad {
-    /// Requests at work or queued.
+    /// Requests in progress or queued at the target.
     pub busy: u16,
-    /// Flows accepted by the target that have sent no request yet, and
-    /// openings without an answer.
+    /// Openings that the target has not answered yet, and flows that it has accepted but
+    /// that have not sent a request yet.
     pub opening: u16,
-    /// Openings and requests of open flows in the agent's queue, of which the target
-    /// knows nothing yet.
+    /// Openings and requests of open flows in the agent's queue, which the target has not
+    /// received yet.
     pub queued: u16,
     /// Open flows.
     pub flows: u32,
-    /// Running mean of the time to the first byte of an answer, in
-    /// microseconds; zero before the first answer.
+    /// Moving average of the time to the first byte of an answer, in microseconds; zero
+    /// before the first answer.
     pub service_time_us: u32,
-    /// Work that the open flows at rest are expected to ask for, in thousandths of a
-    /// slot; `None` before enough of them were seen.
+    /// Work that the idle flows are expected to cause, in thousandths of a slot; `None`
+    /// before enough flows were observed.
     pub idle_flow_work_millislots: Option<u16>,
-    /// Share of the latest requests that the target has failed, in percent.
+    /// Share of recent requests that the target has failed, in percent.
     pub failed_percent: u8,
-    /// Number of the target's last heartbeat, zero before the first: it tells which flows
-    /// were open before which heartbeat.
+    /// Number of the target's last heartbeat, zero before the first. Shows which flows
+    /// were already open at that heartbeat.
     pub last_heartbeat: u64,
-    /// Openings that the target may still be handed within a second because it may
-    /// be cold; `None` when it is not limited.
+    /// Openings that the possibly cold target still accepts within the second; `None` if
+    /// it is not limited.
     pub openings_left: Option<u16>,
 }
 
 impl TargetLoad {
-    /// Requests at work, expected soon, or queued.
+    /// Requests in progress, expected soon, or queued.
     #[must_use]
     pub fn requests(&self) -> u16 {
         self.busy
@@ -140,68 +140,70 @@
     }
 }
 
-/// What an agent says of itself and its target.
+/// State of an agent and its target, as the agent reports it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetReport {
-    /// The agent's start, so that reports of an earlier one are told apart.
+    /// Identifies the agent's start, so that reports from before a restart are
+    /// recognized.
     pub epoch: u64,
-    /// Grows with each report of one start.
+    /// Increases with each report within one epoch.
     pub sequence: u64,
     /// Service of the target.
     pub service: ServiceKey,
-    /// Its incarnation, when a heartbeat has told it.
+    /// Incarnation of the target, once a heartbeat has stated it.
     pub incarnation: Option<Incarnation>,
-    /// When the incarnation began by what it says, in milliseconds of Unix time.
+    /// When the incarnation started according to its own clock, in milliseconds of Unix
+    /// time.
     pub started_at_ms: Option<u64>,
-    /// Time since the last heartbeat of the incarnation before, in milliseconds:
-    /// flows that were opened later may be open at the present one.
+    /// Time since the last heartbeat of the previous incarnation, in milliseconds. Flows
+    /// that were opened later may be open at the current incarnation.
     pub previous_heartbeat_age_ms: u32,
-    /// Whether the agent knows every open flow of the target: it has run since the
-    /// target began, or for longer than a flow lives.
+    /// Whether the agent knows every open flow of the target: it has run since the target
+    /// started, or for longer than the lifetime of a flow.
     pub knows_all_flows: bool,
     /// Zone of the machine.
     pub zone: ZoneKey,
-    /// Whether it takes flows.
+    /// Whether the target accepts flows.
     pub state: TargetState,
-    /// Requests that it works on at the same time.
+    /// Requests that the target processes concurrently.
     pub slots: u16,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Rest of the target's warm-up time after its start, in milliseconds.
     pub warm_up_ms: u32,
-    /// Its load.
+    /// Load of the target.
     pub load: TargetLoad,
-    /// Configuration that the agent knows.
+    /// Version of the configuration that the agent uses.
     pub version: u64,
-    /// Time to its next report, in milliseconds.
+    /// Time until the agent's next report, in milliseconds.
     pub interval_ms: u32,
 }
 
-/// What a balancer says of itself.
+/// State of a balancer, which it announces regularly to agents and other balancers.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct BalancerHello {
-    /// Configuration that it knows.
+    /// Version of the configuration that the balancer uses.
     pub version: u64,
-    /// Time between reports that it asks for, in milliseconds.
+    /// Interval at which it asks for reports, in milliseconds.
     pub report_interval_ms: u32,
-    /// Whether it does not know this agent yet and waits for its report: it has
-    /// started again, and the agent may still count on its earlier life.
+    /// Whether it does not know the receiving agent yet and waits for its report. It has
+    /// restarted then, while the agent may still rely on what it knew before.
     pub requests_report: bool,
-    /// Longest time until it greets this receiver again, in milliseconds. Silence
-    /// is judged by it.
+    /// Longest time until its next hello to this receiver, in milliseconds. The
+    /// receiver's liveness timeouts are multiples of it.
     pub next_hello_within_ms: u32,
-    /// Time since the store confirmed that this configuration is the newest,
-    /// in milliseconds; `None` when its sender has not heard of that.
+    /// Time since the store confirmed that this configuration is the newest, in
+    /// milliseconds; `None` if the balancer has heard of no confirmation.
     pub confirmed_ago_ms: Option<u32>,
-    /// Zones whose targets take no new flows.
+    /// Zones whose targets accept no new flows.
     pub excluded_zones: ExcludedZones,
-    /// Whether it is about to stop.
+    /// Whether the balancer is about to stop.
     pub is_leaving: bool,
-    /// Whether it has heard an agent lately.
+    /// Whether it has heard an agent recently.
     pub has_agent_contact: bool,
     /// Zone of its machine.
     pub zone: ZoneKey,
     /// Processor that it may use, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Rate of its machine's link, in kilobits a second; `None` when it is not known.
+    /// Rate of its machine's link, in kilobits per second; `None` if unknown.
     pub link_rate_kbps: Option<u32>,
     /// Whether it could serve callers: it knows routes and hears agents.
     pub can_serve: bool,
@@ -212,105 +214,95 @@
 /// A message between nodes.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub enum PeerMessage {
-    /// Balancer to agent; the packet follows.
+    /// Balancer to agent: deliver this packet to the target. The packet follows.
     Forward(ForwardHeader),
-    /// Agent to balancer: a packet was not delivered; the packet follows.
+    /// Agent to balancer: a packet was not delivered. The packet follows.
     Returned {
-        /// Why.
+        /// Why the packet was not delivered.
         reason: ReturnReason,
         /// Load of the agent's target.
         load: TargetLoad,
-        /// Configuration that the agent knows.
+        /// Version of the configuration that the agent uses.
         version: u64,
-        /// Excluded zones that it knows.
+        /// Excluded zones that the agent knows.
         excluded_zones: ExcludedZones,
     },
-    /// Balancer to agent: does the target hold these flows? No packet is
-    /// delivered.
+    /// Balancer to agent: does the target hold these flows? Carries no packet to deliver.
     Locate {
         /// The flows, at most [`MAXIMUM_KEYS`].
         keys: Vec<FlowKey>,
     },
-    /// Balancer to agent: report at once.
+    /// Balancer to agent: send a report at once.
     Probe,
-    /// Agent to balancer: the target does not hold flows searched for.
-    NotHeld {
-        /// The flows.
-        keys: Vec<FlowKey>,
-    },
-    /// Agent to balancer: the target answered an opening.
+    /// Agent to balancer: the target does not hold these flows, which the balancer
+    /// searched for.
+    NotHeld { keys: Vec<FlowKey> },
+    /// Agent to balancer: the target has accepted an opening.
     Accepted {
-        /// The flow.
         key: FlowKey,
-        /// Number that the caller acknowledges when it chooses this target.
+        /// Sequence number that the caller acknowledges if it chooses this target.
         sequence: u32,
         /// Incarnation of the target.
         incarnation: Option<Incarnation>,
-        /// Its load.
+        /// Load of the target.
         load: TargetLoad,
     },
     /// Agent to balancer: an opening waits in the agent's queue.
     Queued {
-        /// The flow.
         key: FlowKey,
-        /// Load of the agent's target, this opening included.
+        /// Load of the agent's target, including this opening.
         load: TargetLoad,
     },
-    /// Agent to balancer: the target holds a flow searched for.
+    /// Agent to balancer: the target holds a flow that the balancer searched for.
     Located {
-        /// The flow.
         key: FlowKey,
         /// Incarnation of the target.
         incarnation: Option<Incarnation>,
-        /// Number of its last heartbeat, zero before the first.
+        /// Number of the target's last heartbeat, zero before the first.
         heartbeat: u64,
     },
-    /// Agent to balancer: whether the target holds these flows can only be
-    /// told by the target itself, from a packet.
-    MayBeHeld {
-        /// The flows.
-        keys: Vec<FlowKey>,
-    },
+    /// Agent to balancer: only the target itself can tell whether it holds these flows,
+    /// when it receives a packet of them.
+    MayBeHeld { keys: Vec<FlowKey> },
     /// Agent to balancer: state and load of its target.
     Report(TargetReport),
-    /// Agent to balancer: the agent stops, and its target has ended with all of
+    /// Agent to balancer: the agent stops, and its target has ended together with all of
     /// its flows.
     TargetEnded,
-    /// Small balancer to a larger one: decide about a caller's packet; the
-    /// packet follows.
+    /// Small balancer to a larger one: decide about a caller's packet. The packet
+    /// follows.
     Relay,
-    /// Balancer to agents and balancers.
+    /// Balancer to agents and balancers: the balancer's state.
     Hello(BalancerHello),
-    /// Balancer to agent: does the target hold these flows, which this incarnation of it
-    /// held? Answered as [`PeerMessage::Locate`] is, but for denials.
+    /// Balancer to agent: does the target still hold these flows, which this incarnation
+    /// of it held? Answered like [`PeerMessage::Locate`], except that a denial is
+    /// [`PeerMessage::RecordedNotHeld`].
     LocateRecorded {
-        /// The incarnation, of which the agent had a heartbeat after each flow was open.
+        /// The incarnation. Each of these flows was open at some heartbeat that the agent
+        /// received from it.
         incarnation: Incarnation,
         /// The flows, at most [`MAXIMUM_KEYS`].
         keys: Vec<FlowKey>,
     },
-    /// Agent to balancer: the target does not hold the flows that this incarnation of it
-    /// held. Later flows between the same ends may be there.
+    /// Agent to balancer: the target does not hold these flows, which this incarnation of
+    /// it held. It may hold later flows between the same ends.
     RecordedNotHeld {
-        /// The incarnation.
         incarnation: Incarnation,
-        /// The flows.
         keys: Vec<FlowKey>,
     },
-    /// Agent to balancer: a report, and what flows the target holds.
+    /// Agent to balancer: a report, with an announcement of the flows that the target
+    /// holds.
     ReportWithFlows {
-        /// The report.
         report: TargetReport,
-        /// The flows.
         flows: FlowAnnouncement,
     },
-    /// Balancer to agent: send the list of all flows.
+    /// Balancer to agent: send the complete list of flows.
     ListFlows,
-    /// Agent to balancer: a part of that list.
+    /// Agent to balancer: a part of the complete list.
     FlowList(FlowListPart),
 }
 
-/// Kinds of messages, for counts.
+/// Names of the message kinds in metrics; independent of the names of the variants.
 pub const MESSAGE_KINDS: [&str; 18] = [
     "forward",
     "returned",
@@ -332,43 +324,43 @@
     "flow_list",
 ];
 
-/// Asks a node for what it knows; sent over a stream.
+/// Requests a node's knowledge; sent over a stream.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotRequest {
-    /// Version that the asking node knows; the configuration is left out when
-    /// there is no greater one.
+    /// Version that the requesting node uses. The response omits the configuration unless
+    /// it is newer.
     pub known_version: u64,
-    /// Whether it wants to know balancers and agents too, which are a third of a
+    /// Whether the balancers and agents are requested too. They make up a third of a
     /// snapshot of 986 nodes and 256 routes.
     pub wants_nodes: bool,
 }
 
-/// What a node knows.
+/// A node's knowledge, for a node that starts or is out of date.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
-    /// Its configuration, when greater than the one that the other knows.
+    /// The configuration, if it is newer than the requesting node's.
     pub configuration: Option<Configuration>,
-    /// Excluded zones that it knows.
+    /// Excluded zones that the node knows.
     pub excluded_zones: ExcludedZones,
-    /// Balancers that it knows.
+    /// Balancers that the node knows.
     pub balancers: Vec<NodeAddress>,
-    /// Agents that it knows.
+    /// Agents that the node knows.
     pub agents: Vec<NodeAddress>,
-    /// Whether these are all that there are, as far as it can tell.
+    /// Whether `agents` lists all existing agents, as far as the node can tell.
     pub knows_all_agents: bool,
 }
 
-/// Why a datagram is not a message.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MessageError {
-    /// It is empty or of another version of the protocol.
+    /// The datagram is empty or has another protocol version.
     UnknownProtocol,
-    /// It does not decode.
+    /// The bytes are not a valid message.
     Malformed,
 }
 
 impl PeerMessage {
-    /// Place of the message's kind in [`MESSAGE_KINDS`].
+    /// Index of the message's kind in [`MESSAGE_KINDS`].
     #[must_use]
     pub fn kind_index(&self) -> usize {
         match self {
@@ -393,7 +385,7 @@
         }
     }
 
-    /// The datagram of a message, followed by a packet or by nothing.
+    /// Encodes a message and the packet that follows it, if any, as a datagram.
     #[must_use]
     pub fn encode(&self, packet: &[u8]) -> Vec<u8> {
         let mut datagram = Vec::with_capacity(64 + packet.len());
@@ -403,10 +395,10 @@
         datagram
     }
 
-    /// The message of a datagram and the packet behind it.
+    /// Decodes a datagram into the message and the packet that follows it.
     ///
     /// # Errors
-    /// [`MessageError`] when the datagram is not a message; nothing was done.
+    /// [`MessageError`] if the datagram is not a valid message.
     pub fn decode(datagram: &[u8]) -> Result<(Self, &[u8]), MessageError> {
         let (protocol, mut rest) = datagram
             .split_first()
@@ -420,7 +412,7 @@
 }
 
 impl Snapshot {
-    /// A snapshot for a node that knows a version.
+    /// The snapshot that answers a request.
     #[must_use]
     pub fn for_request(
         request: &SnapshotRequest,
--- a/crates/woodladder-core/src/flow/mod.rs
+++ b/crates/woodladder-core/src/flow/mod.rs
@@ -1,11 +1,10 @@
-//! The carrier without tokens: flows of which only the two ends know their
-//! content, and whose packets name no target.
+//! Load balancing of opaque flows: only the two ends of a flow understand its payload,
+//! and its packets name no target.
 //!
-//! [`balancer`] chooses targets for new flows and finds those of open ones;
-//! [`agent`] stands beside a target, has the last word on what reaches it and
-//! tells the balancers of its load. Both are state machines without I/O; a
-//! shell translates a platform's packets, heartbeats and store into their
-//! events.
+//! A [`balancer`] chooses targets for new flows and finds the targets of open ones. An
+//! [`agent`] runs beside each target, decides which packets reach it, and reports its
+//! load to the balancers. Both are state machines without I/O; the surrounding program
+//! translates packets, heartbeats and store replies into their events.
 
 pub mod activation;
 pub mod agent;
--- a/crates/woodladder-core/src/flow/packet.rs
+++ b/crates/woodladder-core/src/flow/packet.rs
@@ -1,23 +1,24 @@
-//! What the decisions need of one packet; its layout belongs to the shell.
+//! The fields of a packet that decisions depend on. The surrounding program parses and
+//! writes the packets themselves.
 
 use std::time::Duration;
 
 use super::identity::FlowKey;
 use crate::clock::Instant;
 
-/// Time between an opening and its copies, as callers send them.
+/// Time from the opening to each of its retransmissions, as callers send them.
 const COPY_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
 ];
 
-/// What a packet does to its flow.
+/// Effect of a packet on its flow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PacketKind {
-    /// Asks to open the flow.
+    /// Opens the flow.
     Open,
-    /// Accepts an opening; only targets send it.
+    /// Accepts an opening; sent only by targets.
     Accept,
     /// Ends the flow at once.
     Reset,
@@ -30,22 +31,21 @@
 /// One packet of a flow, in either direction.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FlowPacket {
-    /// The flow.
     pub key: FlowKey,
-    /// What the packet does.
+    /// Effect of the packet on its flow.
     pub kind: PacketKind,
-    /// Number of its first byte.
+    /// Sequence number of the first byte.
     pub sequence: u32,
-    /// Next byte that the sender awaits. For [`PacketKind::Open`]: how many
-    /// copies were sent before.
+    /// Next byte that the sender expects. For [`PacketKind::Open`]: number of
+    /// retransmissions of the opening before this packet.
     pub acknowledgement: u32,
-    /// Bytes of data.
+    /// Payload length in bytes.
     pub payload_length: u16,
 }
 
 impl FlowPacket {
-    /// When the caller sent this opening, which has come now, for the first time, from
-    /// the copies that it says it has sent since.
+    /// When the caller first sent this opening, which arrives now: computed from the
+    /// number of retransmissions that it states.
     #[must_use]
     pub fn first_sent(&self, now: Instant) -> Instant {
         let index = usize::try_from(self.acknowledgement).unwrap_or(usize::MAX);
@@ -70,21 +70,21 @@
 /// Why a flow is reset.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ResetReason {
-    /// No route names the address, so nothing has run.
+    /// The address has no route, so no request has run.
     NoRoute,
-    /// The service has no target that takes the flow, so nothing has run.
+    /// No target of the service accepts the flow, so no request has run.
     NoTarget,
     /// The incarnation that held the flow is known to have ended.
     TargetEnded,
-    /// Every target of the route said that it does not hold the flow.
+    /// Every target of the route has denied holding the flow.
     HeldNowhere,
-    /// The target that held the flow before the balancer's start, as was recorded, does
-    /// not hold it.
+    /// The target that held the flow before the balancer's start, according to the flow
+    /// record, has denied holding it.
     HolderDenied,
 }
 
 impl ResetReason {
-    /// The reason's name in logs and metrics.
+    /// Name of the reason in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Whether the request has certainly not run, so that a caller may send
-    /// any request again.
+    /// Whether the request has certainly not run, so that a caller may safely send it
+    /// again.
     #[must_use]
     pub fn retry_is_safe(self) -> bool {
         matches!(self, Self::NoRoute | Self::NoTarget)
--- a/crates/woodladder-core/src/flow/peers.rs
+++ b/crates/woodladder-core/src/flow/peers.rs
@@ -1,4 +1,4 @@
-//! The other balancers that a node knows, by greetings, lists and snapshots.
+//! The other balancers that a node knows from hellos, lists and snapshots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,56 +8,57 @@
 use super::zone_members::{MAXIMUM_BALANCERS, ZoneMember};
 use crate::clock::Instant;
 
-/// Least silence after which a balancer that has greeted is forgotten.
+/// Shortest silence after which a balancer that has sent a hello is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// The same in times between its greetings.
+/// The same limit as a multiple of the balancer's hello interval.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
-/// Least silence after which a balancer is no longer counted among those that
-/// live, for instance where balancers take turns at the store.
-const COUNTED_FOR: Duration = Duration::from_secs(12);
-/// The same in times between its greetings.
-const COUNTED_FOR_PERIODS: f64 = 2.0;
-/// Time that a balancer which was only named by others has for a greeting.
-const UNCONFIRMED_FOR: Duration = Duration::from_secs(4);
-/// Silence after which a balancer of any zone no longer counts as serving. It does
-/// not grow with the time between greetings: as many of them come in it at any
-/// size, and a few serving balancers are enough.
+/// Shortest silence after which a balancer no longer counts as live, for instance where
+/// balancers take turns at the store.
+const LIVE_FOR: Duration = Duration::from_secs(12);
+/// The same limit as a multiple of the balancer's hello interval.
+const LIVE_FOR_PERIODS: f64 = 2.0;
+/// Time within which a balancer that only others have named must send a hello, or it is
+/// forgotten.
+const FIRST_HELLO_WITHIN: Duration = Duration::from_secs(4);
+/// Silence after which a balancer of any zone no longer counts as serving. This limit
+/// does not grow with the hello interval: the number of hellos that arrive within it is
+/// the same at any fleet size, and a few serving balancers are enough.
 const SERVING_FOR: Duration = Duration::from_secs(3);
 
-/// A balancer as another node knows it.
+/// One node's view of another balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerRecord {
-    /// When it last greeted, if it did.
+    /// When its last hello arrived; `None` if it has sent none.
     pub heard_at: Option<Instant>,
-    /// Configuration that it knew then.
+    /// Version of the configuration in its last hello.
     pub version: u64,
-    /// What it said of its own part in its zone.
+    /// Its last announced capacity and readiness.
     pub member: Option<ZoneMember>,
-    /// Time within which it greets again, as it last said.
-    greets_within: Duration,
-    named_at: Instant,
+    /// Longest time until its next hello, as stated in the last one.
+    next_hello_within: Duration,
+    learned_at: Instant,
 }
 
 impl PeerRecord {
-    fn forgotten_after(&self) -> Duration {
-        liveness_timeout(self.greets_within, FORGET_AFTER_PERIODS, FORGET_AFTER)
+    fn forget_after(&self) -> Duration {
+        liveness_timeout(self.next_hello_within, FORGET_AFTER_PERIODS, FORGET_AFTER)
     }
 
-    fn is_counted(&self, now: Instant) -> bool {
-        let limit = liveness_timeout(self.greets_within, COUNTED_FOR_PERIODS, COUNTED_FOR);
+    fn is_live(&self, now: Instant) -> bool {
+        let limit = liveness_timeout(self.next_hello_within, LIVE_FOR_PERIODS, LIVE_FOR);
         self.heard_at.is_some_and(|at| now.since(at) < limit)
     }
 }
 
-/// Balancers by address.
+/// Known balancers by address.
 #[derive(Clone, Debug, Default)]
 pub struct BalancerPeers {
     records: BTreeMap<NodeAddress, PeerRecord>,
 }
 
 impl BalancerPeers {
-    /// Remembers a balancer that something else than itself has named; says
-    /// whether it was new.
+    /// Adds a balancer that was named by others or by the settings; returns whether it
+    /// was new.
     pub fn learn_address(&mut self, address: NodeAddress, now: Instant) -> bool {
         if self.records.contains_key(&address) || self.records.len() >= MAXIMUM_BALANCERS {
             return false;
@@ -66,20 +67,20 @@
             heard_at: None,
             version: 0,
             member: None,
-            greets_within: Duration::ZERO,
-            named_at: now,
+            next_hello_within: Duration::ZERO,
+            learned_at: now,
         };
         self.records.insert(address, record);
         true
     }
 
-    /// Takes a greeting in, whose sender greets again within a time; says whether
-    /// the balancer had not greeted before.
+    /// Records a hello, whose sender sends the next one within `next_hello_within`;
+    /// returns whether it was the first hello of this balancer.
     pub fn record_hello(
         &mut self,
         address: NodeAddress,
         version: u64,
-        greets_within: Duration,
+        next_hello_within: Duration,
         now: Instant,
     ) -> bool {
         self.learn_address(address, now);
@@ -89,28 +90,28 @@
         let is_new = record.heard_at.is_none();
         record.heard_at = Some(now);
         record.version = version;
-        record.greets_within = greets_within;
+        record.next_hello_within = next_hello_within;
         is_new
     }
 
-    /// Takes in what a balancer that has greeted says of its part.
+    /// Records the capacity and readiness that a balancer has announced with its hello.
     pub fn set_member(&mut self, address: NodeAddress, member: ZoneMember) {
         if let Some(record) = self.records.get_mut(&address) {
             record.member = Some(member);
         }
     }
 
-    /// Balancers that were heard lately, could serve, and can use at least this
-    /// capacity.
+    /// Balancers that were heard recently, are able to serve, and have at least the
+    /// usable capacity `minimum`, in thousandths of a core.
     #[must_use]
-    pub fn serving_with_at_least(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
+    pub fn serving_with_at_least(&self, minimum: u32, now: Instant) -> Vec<NodeAddress> {
         let is_able = |record: &PeerRecord| {
             let is_heard = record
                 .heard_at
                 .is_some_and(|at| now.since(at) < SERVING_FOR);
             let is_large = record
                 .member
-                .is_some_and(|member| member.can_serve && member.usable_capacity() >= least);
+                .is_some_and(|member| member.can_serve && member.usable_capacity() >= minimum);
             is_heard && is_large
         };
         self.records
@@ -120,26 +121,26 @@
             .collect()
     }
 
-    /// Processors, in thousandths of a core, of the balancers that live.
+    /// Processors of the live balancers, in thousandths of a core.
     pub fn capacities(&self, now: Instant) -> impl Iterator<Item = u32> + '_ {
         self.records
             .values()
-            .filter(move |record| record.is_counted(now))
+            .filter(move |record| record.is_live(now))
             .filter_map(|record| record.member.map(|member| member.cpu_millicores))
     }
 
-    /// Forgets a balancer.
+    /// Removes a balancer; returns whether it was known.
     pub fn remove(&mut self, address: NodeAddress) -> bool {
         self.records.remove(&address).is_some()
     }
 
-    /// Forgets the silent ones and returns those that had greeted.
+    /// Removes silent balancers and returns those of them that had sent a hello.
     pub fn tick(&mut self, now: Instant) -> Vec<NodeAddress> {
         let mut lost = Vec::new();
         self.records.retain(|address, record| {
             let keep = match record.heard_at {
-                Some(heard_at) => now.since(heard_at) < record.forgotten_after(),
-                None => now.since(record.named_at) < UNCONFIRMED_FOR,
+                Some(heard_at) => now.since(heard_at) < record.forget_after(),
+                None => now.since(record.learned_at) < FIRST_HELLO_WITHIN,
             };
             if !keep && record.heard_at.is_some() {
                 lost.push(*address);
@@ -149,19 +150,19 @@
         lost
     }
 
-    /// All addresses, in order.
+    /// All addresses, in ascending order.
     pub fn addresses(&self) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records.keys().copied()
     }
 
-    /// At most `count` addresses, beginning at the one numbered `start`, so
-    /// that calls with growing starts go round all of them.
+    /// At most `count` addresses, starting at index `start` and wrapping around, so that
+    /// calls with increasing starts cover all of them.
     #[must_use]
     pub fn take_cyclic(&self, start: usize, count: usize) -> Vec<NodeAddress> {
         take_cyclic(self.addresses(), start, count)
     }
 
-    /// Balancers that knew a lesser configuration when they last greeted.
+    /// Balancers whose last known configuration is older than `version`.
     pub fn with_older_configuration(&self, version: u64) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
@@ -169,28 +170,32 @@
             .map(|(address, _)| *address)
     }
 
-    /// Balancers that have greeted and have not missed more than a greeting since.
+    /// Live balancers: those that have sent a hello and missed at most one since.
     pub fn heard_recently(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
-            .filter(move |(_, record)| record.is_counted(now))
+            .filter(move |(_, record)| record.is_live(now))
             .map(|(address, _)| *address)
     }
 
-    /// Whether any balancer was heard lately: within some greetings of the one that
-    /// greets most often.
+    /// Whether any balancer was heard recently, measured by the shortest hello interval
+    /// among them.
     #[must_use]
     pub fn hears_any(&self, now: Instant) -> bool {
-        let heard = || self.records.values().filter(|it| it.heard_at.is_some());
-        let Some(period) = heard().map(|record| record.greets_within).min() else {
+        let heard = || {
+            self.records
+                .values()
+                .filter(|record| record.heard_at.is_some())
+        };
+        let Some(period) = heard().map(|record| record.next_hello_within).min() else {
             return false;
         };
-        let limit = liveness_timeout(period, COUNTED_FOR_PERIODS, COUNTED_FOR);
+        let limit = liveness_timeout(period, LIVE_FOR_PERIODS, LIVE_FOR);
         let latest = heard().filter_map(|record| record.heard_at).max();
         latest.is_some_and(|at| now.since(at) < limit)
     }
 
-    /// Balancers that have greeted.
+    /// Balancers that have sent a hello.
     pub fn confirmed_by_hello(&self) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
@@ -198,10 +203,10 @@
             .map(|(address, _)| *address)
     }
 
-    /// Counts the silence of all from now on.
+    /// Restarts the silence timers of all balancers.
     pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.records.values_mut() {
-            record.named_at = now;
+            record.learned_at = now;
             record.heard_at = record.heard_at.map(|_| now);
         }
     }
@@ -212,13 +217,13 @@
         self.records.contains_key(&address)
     }
 
-    /// Balancers known.
+    /// Number of known balancers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is known.
+    /// Whether no balancer is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
--- a/crates/woodladder-core/src/flow/promises.rs
+++ b/crates/woodladder-core/src/flow/promises.rs
@@ -1,20 +1,20 @@
-//! Promises that a node has broken, counted by itself.
+//! Service guarantees (promises) that a node has broken, counted by the node itself.
 //!
-//! | promise | who counts | when |
+//! | promise | counted by | a violation is |
 //! | --- | --- | --- |
-//! | more urgent first | agent | an opening is handed over while a more urgent one waits that can still be in time |
-//! | no work for a caller that has left | agent | an opening is handed over after its route's timeout |
-//! | not held past the timeout | both | an opening that waited is given back after it |
-//! | not held to the end untried | balancer | an opening has waited for as long as it may, then is refused |
-//! | no refusal beside a free target | balancer | an opening is refused while a live target has a free slot |
-//! | a refusal has not run | balancer | an opening is refused that a target has accepted |
-//! | no flow ended midway | balancer | a flow that was reset turns out to be held |
-//! | a leaving target is acknowledged | agent | time from its first heartbeat that was not taken |
+//! | urgent openings first | agent | an opening is delivered while a more urgent one waits that can still be in time |
+//! | no work for a caller that has left | agent | an opening is delivered after its route's timeout |
+//! | not held past the timeout | both | a waiting opening is returned or refused after its timeout |
+//! | not held until the end untried | balancer | an opening waits for the maximum time and is then refused |
+//! | no refusal while a target is free | balancer | an opening is refused while a live target has a free slot |
+//! | a refused opening has not run | balancer | an opening is refused that a target has accepted |
+//! | no open flow is reset | balancer | a flow that was reset turns out to be held |
+//! | a target that shuts down is acknowledged | agent | time since its first heartbeat that was rejected |
 //!
-//! Not known to any node: requests on open flows that overtake, since an agent does not
-//! know their route; work of a target whose caller has left without a packet; how long a
-//! heartbeat that was never read has waited; a caller that is refused again, since a
-//! reset does not say when to come back.
+//! Some violations cannot be observed by any node: requests on open flows that overtake
+//! others, since an agent does not know their route; work of a target for a caller that
+//! has left without sending a packet; the age of a heartbeat that was never read; and
+//! repeated refusals of one caller, since a reset does not say when to come back.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,51 +22,51 @@
 use super::identity::{FlowKey, Incarnation};
 use crate::clock::Instant;
 
-/// Resets that are remembered to notice one of a living flow.
+/// Resets that are remembered, to notice when a target still holds the flow.
 const REMEMBERED_RESETS: usize = 256;
-/// How long a reset is remembered.
-const REMEMBERED_FOR: Duration = Duration::from_secs(5);
+/// Time for which a reset is remembered.
+const RESET_REMEMBERED_FOR: Duration = Duration::from_secs(5);
 
-/// How often each promise was broken, in the order of [`BrokenPromises::by_name`].
+/// Violations of each promise, in the order of [`BrokenPromises::by_name`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct BrokenPromises {
-    /// Openings that were handed over before a more urgent one that could still be in
-    /// time, also those that had their share where requests wait, too.
+    /// Openings delivered before a more urgent one that could still be in time. Includes
+    /// openings that took their reserved share while requests of open flows waited too.
     pub put_behind: u64,
-    /// Openings that were handed over after their callers had left.
+    /// Openings delivered after their callers had given up.
     pub worked_for_nobody: u64,
     /// Openings that waited for longer than their route's timeout.
     pub held_past_timeout: u64,
-    /// Openings that waited for as long as they may and were then refused.
+    /// Openings that waited for the maximum time and were then refused.
     pub held_untried: u64,
-    /// Openings that were refused while a target had a free slot.
+    /// Openings refused while a target had a free slot.
     pub refused_beside_free: u64,
-    /// Openings that were refused although a target had accepted them.
+    /// Openings refused although a target had accepted them.
     pub refused_though_accepted: u64,
-    /// Flows that were reset although a target held them.
+    /// Flows reset although a target held them.
     pub broken_off: u64,
-    /// Milliseconds that leaving targets have waited since a heartbeat that was not
-    /// taken.
+    /// Milliseconds that targets that shut down have waited since their first rejected
+    /// heartbeat.
     pub unacknowledged_ms: u64,
 }
 
-/// An opening that a node decides about.
+/// An opening that a node delivers, returns or refuses.
 #[derive(Clone, Copy, Debug)]
 pub struct DecidedOpening {
-    /// Time since the caller first sent it.
+    /// Time since the caller first sent the opening.
     pub age: Duration,
-    /// Time from then after which an answer is of no use any more.
+    /// Time from then after which an answer is useless to the caller.
     pub timeout: Duration,
-    /// Whether its route matters more than another of the same service.
+    /// Whether another route of the same service has a lower priority.
     pub is_urgent: bool,
 }
 
-/// Counts a node's broken promises.
+/// Counts the promises that a node breaks.
 #[derive(Clone, Debug, Default)]
 pub struct PromiseWatch {
     broken: BrokenPromises,
     resets: VecDeque<(FlowKey, Instant)>,
-    /// A leaving target whose heartbeat was not taken, and since when.
+    /// A target that shuts down and whose heartbeat was rejected, and since when.
     unacknowledged: Option<(Incarnation, Instant)>,
 }
 
@@ -88,36 +88,36 @@
 }
 
 impl PromiseWatch {
-    /// How often each promise was broken.
+    /// Number of violations of each promise.
     #[must_use]
     pub fn broken(&self) -> &BrokenPromises {
         &self.broken
     }
 
-    /// An opening is handed to the target; `urgent_waits` says whether one of a more
-    /// urgent route stays behind that can still be in time.
+    /// Records that an opening is delivered to the target. `urgent_waits` states whether
+    /// an opening of a more urgent route that can still be in time remains in the queue.
     pub fn record_handover(&mut self, opening: &DecidedOpening, urgent_waits: bool) {
         self.broken.put_behind += u64::from(urgent_waits && !opening.is_urgent);
         self.broken.worked_for_nobody += u64::from(opening.age >= opening.timeout);
     }
 
-    /// An opening that has waited is given back or refused.
+    /// Records that a waiting opening is returned or refused.
     pub fn record_given_up(&mut self, opening: &DecidedOpening) {
         self.broken.held_past_timeout += u64::from(opening.age > opening.timeout);
     }
 
-    /// An opening has waited for as long as it may and is refused untried.
+    /// Records that an opening has waited for the maximum time and is refused untried.
     pub fn record_held_untried(&mut self) {
         self.broken.held_untried += 1;
     }
 
-    /// An opening is refused.
+    /// Records that an opening is refused.
     pub fn record_refusal(&mut self, was_accepted: bool, has_free_target: bool) {
         self.broken.refused_though_accepted += u64::from(was_accepted);
         self.broken.refused_beside_free += u64::from(has_free_target);
     }
 
-    /// A flow is reset because no target holds it any more.
+    /// Records that a flow is reset because no target holds it any more.
     pub fn record_reset(&mut self, key: FlowKey, now: Instant) {
         if self.resets.len() == REMEMBERED_RESETS {
             self.resets.pop_front();
@@ -125,22 +125,25 @@
         self.resets.push_back((key, now));
     }
 
-    /// A target says that it holds a flow.
+    /// Records that a target states that it holds a flow: if the flow was reset recently,
+    /// that broke a promise.
     pub fn record_held(&mut self, key: &FlowKey, now: Instant) {
-        let is_known =
-            |(reset, at): &(FlowKey, Instant)| reset == key && now.since(*at) < REMEMBERED_FOR;
+        let is_known = |(reset, at): &(FlowKey, Instant)| {
+            reset == key && now.since(*at) < RESET_REMEMBERED_FOR
+        };
         if let Some(index) = self.resets.iter().position(is_known) {
             self.resets.remove(index);
             self.broken.broken_off += 1;
         }
     }
 
-    /// A flow is opened anew: what is said of it later is not about the one before.
+    /// Records that a flow is opened anew: later statements do not refer to the flow that
+    /// was reset.
     pub fn record_opening(&mut self, key: &FlowKey) {
         self.resets.retain(|(reset, _)| reset != key);
     }
 
-    /// A heartbeat that says that its target leaves was not taken.
+    /// Records that a heartbeat which announces the shutdown of its target was rejected.
     pub fn record_leaving_rejected(&mut self, incarnation: Incarnation, now: Instant) {
         let is_known = self
             .unacknowledged
@@ -150,7 +153,7 @@
         }
     }
 
-    /// A heartbeat of that target was taken.
+    /// Records that a heartbeat of this target was accepted.
     pub fn record_leaving_accepted(&mut self, incarnation: Incarnation, now: Instant) {
         let waited = self
             .unacknowledged
--- a/crates/woodladder-core/src/flow/route_traffic.rs
+++ b/crates/woodladder-core/src/flow/route_traffic.rs
@@ -1,14 +1,13 @@
-//! Bytes that the flows of each route bring, as a balancer observes them.
+//! Bytes per flow of each route, as a balancer observes them.
 //!
-//! A flow that brings many bytes is worth more to keep in its zone than one
-//! that brings few. Older flows count for less: the totals of a route are
-//! halved whenever enough new flows have come.
+//! Keeping a flow in its zone pays more the more bytes it carries. Older flows count for
+//! less: the totals of a route are halved after every [`WINDOW_FLOWS`] new flows.
 
 use std::net::SocketAddrV4;
 
 use rustc_hash::FxHashMap;
 
-/// Flows after which the totals of a route are halved.
+/// Number of counted flows at which the totals of a route are halved.
 const WINDOW_FLOWS: u64 = 128;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,14 +33,14 @@
         totals.flows += 1;
     }
 
-    /// Counts bytes of a route that has flows.
+    /// Counts bytes of a route; ignored until the route has a flow.
     pub fn count_bytes(&mut self, route: SocketAddrV4, length: usize) {
         if let Some(totals) = self.routes.get_mut(&route) {
             totals.bytes += u64::try_from(length).unwrap_or(0);
         }
     }
 
-    /// Mean bytes of a flow; zero before any is known.
+    /// Mean bytes per flow; zero before any flow is known.
     #[must_use]
     pub fn bytes_per_flow(&self, route: SocketAddrV4) -> u64 {
         self.routes
@@ -49,7 +48,7 @@
             .map_or(0, |totals| totals.bytes / totals.flows.max(1))
     }
 
-    /// Forgets routes that no longer exist.
+    /// Drops the totals of routes that no longer exist.
     pub fn retain(&mut self, mut exists: impl FnMut(SocketAddrV4) -> bool) {
         self.routes.retain(|address, _| exists(*address));
     }
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -1,9 +1,9 @@
-//! Which target a new flow goes to.
+//! Selects the target for a new flow.
 //!
-//! The least loaded of a bounded number of candidates, by load that is at most
-//! one report old and counts the flows sent since. Candidates come from
-//! rendezvous hashing where a service has more targets than are compared, so
-//! that a later search for the flow begins among the same few.
+//! The selected target is the least loaded of a bounded number of candidates. Its load is
+//! at most one report old and includes the flows sent since. If a service has more
+//! targets than are compared, rendezvous hashing chooses the candidates, so that a later
+//! search for the flow starts at the same few targets.
 
 use super::agent_record::AgentRecord;
 use super::directory::AgentDirectory;
@@ -12,97 +12,94 @@
 use super::message::TargetState;
 use crate::clock::Instant;
 
-/// Targets whose load is compared for one flow.
+/// Most targets whose load is compared for one flow.
 pub const COMPARED_TARGETS: usize = 24;
-/// Part of a slot that an open flow at rest is expected to take where its target does
-/// not state it.
-const SLOT_PER_FLOW: f64 = 0.05;
-/// How many times the median's work a flow at rest takes at the slower targets for
-/// targets to count as uneven: beyond what a few hundred requests differ by chance.
-const UNEVEN_FROM: f64 = 1.5;
-/// The same up to which they count as uneven: beyond it the slower ones are in
-/// trouble, and are avoided by their service time.
-const UNEVEN_UP_TO: f64 = 4.0;
-/// Fewest targets whose work is compared.
-const LEAST_COMPARED: usize = 5;
-/// Fewest flows at rest by which a target's work of one is told.
-const LEAST_FLOWS: u32 = 8;
-/// Utilization from which the expected wait grows in proportion only.
+/// Load of one idle flow, in slots, where its target does not report it.
+const SLOTS_PER_IDLE_FLOW: f64 = 0.05;
+/// Targets count as uneven if the work per idle flow at the slower ones is at least this
+/// many times the median: more than differs by chance among a few hundred requests.
+const UNEVEN_MINIMUM_RATIO: f64 = 1.5;
+/// Targets do not count as uneven beyond this multiple of the median: the slower ones
+/// have a fault then, and are avoided by their service time.
+const UNEVEN_MAXIMUM_RATIO: f64 = 4.0;
+/// Fewest targets for which the work per idle flow is compared.
+const MINIMUM_COMPARED_TARGETS: usize = 5;
+/// Fewest open flows from which a target's work per idle flow is computed.
+const MINIMUM_FLOWS: u32 = 8;
+/// Utilization above which the expected wait grows only linearly.
 const MAXIMUM_UTILIZATION: f64 = 0.9;
-/// Thousandths in a whole.
-const THOUSANDTHS: f64 = 1000.0;
-/// Work of a target that has just started takes this much longer.
+const MILLISLOTS_PER_SLOT: f64 = 1000.0;
+/// Factor by which requests take longer at a target that has just started.
 const WARM_UP_FACTOR: f64 = 1.8;
-/// Part of its slots by which a target in another zone counts as more loaded
-/// for a flow without bytes.
-const DISTANCE: f64 = 0.05;
-/// The same for each byte that the flow is expected to bring.
-const DISTANCE_PER_BYTE: f64 = 1.0 / 40_000.0;
-/// Most that distance counts for: no zone is given more than its targets can
-/// begin with while others have slots free.
-const MAXIMUM_DISTANCE: f64 = 1.0;
-/// Most that slow answers raise the load of a target.
+/// Load added to a target in another zone, as a share of its slots, for a flow without
+/// bytes.
+const OTHER_ZONE_PENALTY: f64 = 0.05;
+/// Load added further for each byte that the flow is expected to carry.
+const OTHER_ZONE_PENALTY_PER_BYTE: f64 = 1.0 / 40_000.0;
+/// Upper limit of the load added for another zone. Without it, a zone would get more
+/// flows than its targets can start on while others have free slots.
+const MAXIMUM_OTHER_ZONE_PENALTY: f64 = 1.0;
+/// Upper limit of the factor by which slow answers raise the load of a target.
 const MAXIMUM_SLOWNESS: f64 = 8.0;
-/// Part of its slots by which a cold target counts as more loaded once it may be
-/// handed nothing more: more than a full queue at any other.
-const EXHAUSTED: f64 = 100.0;
-/// Failures beyond those of the service's other targets, in percent, that do
-/// not count against a target.
-const TOLERATED_FAILURES: f64 = 15.0;
-/// Part of its slots by which a target counts as more loaded for each further
-/// percent of failures.
-const LOAD_PER_FAILURE: f64 = 0.08;
-/// Most that failures count for: a target that fails all is still given flows
-/// once the others have as many requests again as slots waiting.
-const MAXIMUM_UNRELIABILITY: f64 = 2.0;
+/// Load added to a cold target that accepts no more openings for now, as a share of its
+/// slots: more than a full queue at any other target.
+const EXHAUSTED_PENALTY: f64 = 100.0;
+/// Failures that do not count against a target, in percent above the median of the
+/// service's targets.
+const TOLERATED_FAILURE_PERCENT: f64 = 15.0;
+/// Load added to a target for each further percent of failures, as a share of its slots.
+const PENALTY_PER_FAILURE_PERCENT: f64 = 0.08;
+/// Upper limit of the load added for failures. A target that fails all requests still
+/// gets flows once each of the others has as many additional waiting requests as slots.
+const MAXIMUM_FAILURE_PENALTY: f64 = 2.0;
 
-/// What a choice is made from.
+/// Inputs to the selection of a target.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetSelector<'a> {
     /// All known agents.
     pub directory: &'a AgentDirectory,
-    /// Zones whose targets take no new flows.
+    /// Zones whose targets accept no new flows.
     pub excluded_zones: &'a ExcludedZones,
     /// Zone of the balancer.
     pub zone: ZoneKey,
     /// The new flow.
     pub key: FlowKey,
-    /// Service that it is for.
+    /// Service of the new flow.
     pub service: ServiceKey,
-    /// Agents that were asked before.
+    /// Agents that were tried before.
     pub tried: &'a [NodeAddress],
-    /// Bytes that flows of the route bring, on average.
+    /// Mean bytes per flow of the route.
     pub bytes_per_flow: u64,
 }
 
-/// The target chosen.
+/// The selected target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelectedTarget {
-    /// Its agent.
+    /// Agent of the target.
     pub agent: NodeAddress,
-    /// The score that it won with, in slots; less is better.
+    /// Score of the target, in slots; the lowest one wins.
     pub score: f64,
-    /// Requests that its target is believed to hold or to have queued.
+    /// Requests that the balancer believes the target to hold or to have queued.
     pub estimated_load: u16,
-    /// Further targets that could have been chosen.
+    /// Number of other targets that could have been selected.
     pub other_candidates: usize,
 }
 
-/// Agents of a service that come first for a flow, at most `count`, without
-/// those that are left out.
+/// At most `count` agents of a service, those with the highest rank for a flow, without
+/// those that `is_skipped` rejects.
 #[must_use]
 pub fn first_candidates(
     directory: &AgentDirectory,
     service: ServiceKey,
     key: &FlowKey,
-    is_left_out: impl Fn(NodeAddress) -> bool,
+    is_skipped: impl Fn(NodeAddress) -> bool,
     count: usize,
 ) -> Vec<NodeAddress> {
     let mut agents: Vec<NodeAddress> = directory
         .agents_of(service)
         .iter()
         .copied()
-        .filter(|agent| !is_left_out(*agent))
+        .filter(|agent| !is_skipped(*agent))
         .collect();
     if agents.len() > count {
         agents.sort_by_cached_key(|agent| std::cmp::Reverse(key.rank(*agent)));
@@ -112,8 +109,8 @@
 }
 
 impl TargetSelector<'_> {
-    /// The best target for the flow, or `None` when the service has none that
-    /// takes flows and was not asked before.
+    /// The best target for the flow; `None` if every target of the service was tried
+    /// before or accepts no flows.
     #[must_use]
     pub fn select(&self, now: Instant) -> Option<SelectedTarget> {
         let candidates = first_candidates(
@@ -135,11 +132,11 @@
             .filter(|record| record.state == TargetState::Ready && record.is_live(now))
             .filter(|record| !self.excluded_zones.excludes(record.zone))
             .collect();
-        let usual = Usual::of(&usable);
+        let typical = TypicalValues::of(&usable);
         let other_candidates = usable.len().saturating_sub(1);
         usable
             .into_iter()
-            .map(|record| (self.score(record, &usual, now), record))
+            .map(|record| (self.score(record, &typical, now), record))
             .min_by(|(one, _), (other, _)| one.total_cmp(other))
             .map(|(score, record)| SelectedTarget {
                 agent: record.address,
@@ -155,51 +152,52 @@
             .is_some_and(|record| self.excluded_zones.excludes(record.zone))
     }
 
-    fn score(&self, record: &AgentRecord, usual: &Usual, now: Instant) -> f64 {
+    fn score(&self, record: &AgentRecord, typical: &TypicalValues, now: Instant) -> f64 {
         let waiting = f64::from(record.estimated_load());
         let slots = f64::from(record.slots.max(1));
-        let slowdown = slowdown(record, usual, now);
-        let occupied = match usual.work_per_flow {
-            Some(usual) => {
-                // The request that comes with the flow counts alike everywhere: most
-                // of what the flow will ask comes later.
-                let at_rest = resting_work(record, usual) / slots;
-                (waiting * slowdown + 1.0) / slots + expected_wait(at_rest)
+        let slowdown = slowdown(record, typical, now);
+        let occupancy = match typical.work_per_idle_flow {
+            Some(typical_work) => {
+                // The request that comes with the new flow counts the same at every
+                // target, because most of the flow's work comes later.
+                let idle_work = idle_flow_work(record, typical_work) / slots;
+                (waiting * slowdown + 1.0) / slots + expected_wait(idle_work)
             }
             None => {
-                let at_rest = f64::from(record.load.flows) * SLOT_PER_FLOW;
-                (waiting + at_rest + 1.0) / slots * slowdown
+                let idle_work = f64::from(record.load.flows) * SLOTS_PER_IDLE_FLOW;
+                (waiting + idle_work + 1.0) / slots * slowdown
             }
         };
-        occupied
-            + exhaustion(record, now)
-            + unreliability(record, usual)
-            + self.distance(record)
+        occupancy
+            + exhaustion_penalty(record, now)
+            + failure_penalty(record, typical)
+            + self.other_zone_penalty(record)
             + tie_break(self.key, record.address)
     }
 
-    fn distance(&self, record: &AgentRecord) -> f64 {
+    fn other_zone_penalty(&self, record: &AgentRecord) -> f64 {
         if record.zone == self.zone {
             return 0.0;
         }
         let bytes = u32::try_from(self.bytes_per_flow).unwrap_or(u32::MAX);
-        (DISTANCE + f64::from(bytes) * DISTANCE_PER_BYTE).min(MAXIMUM_DISTANCE)
+        (OTHER_ZONE_PENALTY + f64::from(bytes) * OTHER_ZONE_PENALTY_PER_BYTE)
+            .min(MAXIMUM_OTHER_ZONE_PENALTY)
     }
 }
 
-/// What is usual among the targets that are compared: a fault that all of them
-/// share speaks against none.
-struct Usual {
-    /// Median service time, in microseconds; zero when none is known.
+/// Typical values among the compared targets, so that a fault that all of them share
+/// counts against none of them.
+struct TypicalValues {
+    /// Median service time, in microseconds; zero if none is known.
     service_time: f64,
     /// Median share of failures, in percent.
     failed_percent: f64,
-    /// Median work of a flow at rest, in slots, where targets differ in it: elsewhere
-    /// the number of flows says the same.
-    work_per_flow: Option<f64>,
+    /// Median work per idle flow, in slots, if the targets differ much in it. Otherwise
+    /// the number of flows is an equally good measure.
+    work_per_idle_flow: Option<f64>,
 }
 
-impl Usual {
+impl TypicalValues {
     fn of(records: &[&AgentRecord]) -> Self {
         let times = records.iter().map(|record| record.load.service_time_us);
         let failures = records
@@ -208,78 +206,78 @@
         Self {
             service_time: median(times.filter(|time| *time > 0).collect()),
             failed_percent: median(failures.collect()),
-            work_per_flow: uneven_work_per_flow(records),
+            work_per_idle_flow: uneven_work_per_idle_flow(records),
         }
     }
 }
 
-/// The median work of a flow at rest, in slots, when a fifth of the targets at least
-/// takes much longer over it than the median.
-fn uneven_work_per_flow(records: &[&AgentRecord]) -> Option<f64> {
+/// The median work per idle flow, in slots, if it is much higher than the median at a
+/// fifth or more of the targets.
+fn uneven_work_per_idle_flow(records: &[&AgentRecord]) -> Option<f64> {
     let mut known: Vec<f64> = records
         .iter()
-        .filter_map(|record| work_per_flow(record))
+        .filter_map(|record| work_per_idle_flow(record))
         .collect();
-    if known.len() < LEAST_COMPARED || known.len() * 2 < records.len() {
+    if known.len() < MINIMUM_COMPARED_TARGETS || known.len() * 2 < records.len() {
         return None;
     }
     known.sort_unstable_by(f64::total_cmp);
     let median = known[known.len() / 2];
     let slow = known[known.len() * 4 / 5];
-    let is_uneven = (median * UNEVEN_FROM..=median * UNEVEN_UP_TO).contains(&slow);
+    let is_uneven = (median * UNEVEN_MINIMUM_RATIO..=median * UNEVEN_MAXIMUM_RATIO).contains(&slow);
     is_uneven.then_some(median)
 }
 
-/// Work of one flow at rest, in slots; `None` when the target does not state it or has
-/// too few flows to tell.
-fn work_per_flow(record: &AgentRecord) -> Option<f64> {
-    let work = f64::from(record.load.idle_flow_work_millislots?) / THOUSANDTHS;
-    (record.load.flows >= LEAST_FLOWS).then(|| work / f64::from(record.load.flows))
+/// Work per idle flow at a target, in slots; `None` if the target does not report it or
+/// has too few flows.
+fn work_per_idle_flow(record: &AgentRecord) -> Option<f64> {
+    let work = f64::from(record.load.idle_flow_work_millislots?) / MILLISLOTS_PER_SLOT;
+    (record.load.flows >= MINIMUM_FLOWS).then(|| work / f64::from(record.load.flows))
 }
 
-/// Work of a target's flows at rest, in slots: as stated, or what as many flows take
-/// elsewhere.
-fn resting_work(record: &AgentRecord, usual_per_flow: f64) -> f64 {
+/// Work of a target's idle flows, in slots: as reported, or else estimated from the
+/// median work per idle flow.
+fn idle_flow_work(record: &AgentRecord, typical_per_flow: f64) -> f64 {
     record.load.idle_flow_work_millislots.map_or_else(
-        || f64::from(record.load.flows) * usual_per_flow,
-        |stated| f64::from(stated) / THOUSANDTHS,
+        || f64::from(record.load.flows) * typical_per_flow,
+        |stated| f64::from(stated) / MILLISLOTS_PER_SLOT,
     )
 }
 
-/// Requests that wait on average, for each slot, where flows at rest will take this
-/// part of all slots: the queue grows without bound as they take all.
+/// Mean number of waiting requests per slot when idle flows will use this share of all
+/// slots. In theory the queue grows without bound as the share approaches one.
 fn expected_wait(utilization: f64) -> f64 {
     utilization / (1.0 - utilization.min(MAXIMUM_UTILIZATION))
 }
 
-/// How much longer requests take at a target than usual.
-fn slowdown(record: &AgentRecord, usual: &Usual, now: Instant) -> f64 {
+/// Factor by which requests take longer at a target than is typical.
+fn slowdown(record: &AgentRecord, typical: &TypicalValues, now: Instant) -> f64 {
     let warm_up = if now < record.warm_at {
         WARM_UP_FACTOR
     } else {
         1.0
     };
-    warm_up * slowness(record, usual.service_time)
+    warm_up * slowness(record, typical.service_time)
 }
 
-/// What it counts for that a cold target may be handed nothing more for now: it
-/// comes after all others, and is asked only when all are so.
-fn exhaustion(record: &AgentRecord, now: Instant) -> f64 {
+/// Load added to a cold target that accepts no more openings for now, so that it is
+/// selected only if every other target is in the same state.
+fn exhaustion_penalty(record: &AgentRecord, now: Instant) -> f64 {
     if record.openings_left(now) == Some(0) {
-        EXHAUSTED
+        EXHAUSTED_PENALTY
     } else {
         0.0
     }
 }
 
-/// How much more of its requests a target fails than is usual.
-fn unreliability(record: &AgentRecord, usual: &Usual) -> f64 {
-    let excess = f64::from(record.load.failed_percent) - usual.failed_percent;
-    let counted = (excess - TOLERATED_FAILURES).max(0.0);
-    (counted * LOAD_PER_FAILURE).min(MAXIMUM_UNRELIABILITY)
+/// Load added to a target that fails a larger share of its requests than is typical.
+fn failure_penalty(record: &AgentRecord, typical: &TypicalValues) -> f64 {
+    let excess = f64::from(record.load.failed_percent) - typical.failed_percent;
+    let counted = (excess - TOLERATED_FAILURE_PERCENT).max(0.0);
+    (counted * PENALTY_PER_FAILURE_PERCENT).min(MAXIMUM_FAILURE_PENALTY)
 }
 
-/// The median of some values; zero when there are none.
+/// The median of some values; zero if there are none.
 fn median(mut values: Vec<u32>) -> f64 {
     values.sort_unstable();
     values
@@ -287,15 +285,15 @@
         .map_or(0.0, |value| f64::from(*value))
 }
 
-fn slowness(record: &AgentRecord, usual: f64) -> f64 {
-    if usual == 0.0 || record.load.service_time_us == 0 {
+fn slowness(record: &AgentRecord, typical: f64) -> f64 {
+    if typical == 0.0 || record.load.service_time_us == 0 {
         return 1.0;
     }
-    (f64::from(record.load.service_time_us) / usual).clamp(1.0, MAXIMUM_SLOWNESS)
+    (f64::from(record.load.service_time_us) / typical).clamp(1.0, MAXIMUM_SLOWNESS)
 }
 
-/// A small amount that differs by flow and target, so that balancers with the
-/// same view do not choose the same one of equals.
+/// A small offset that differs by flow and target, so that balancers with the same
+/// information do not all select the same one of equal targets.
 fn tie_break(key: FlowKey, agent: NodeAddress) -> f64 {
     const SPAN: f64 = 0.02;
     let rank = u32::try_from(key.rank(agent) >> 32).unwrap_or(u32::MAX);
--- a/crates/woodladder-core/src/flow/target_restart.rs
+++ b/crates/woodladder-core/src/flow/target_restart.rs
@@ -1,19 +1,20 @@
-//! Whether a start of a target takes the place of the one that is known.
+//! Decides whether one incarnation of a target supersedes the known one.
 //!
-//! Starts state when they began by their machine's time of day. One that began later
-//! follows at once. The time of day may jump back, and a node that itself has restarted
-//! does not know which starts were replaced before, so an earlier beginning proves
-//! nothing: it may be a late message of a former start or a new start after a jump. Then
-//! the living one is told by time: the known start is heard again, or the other one
-//! goes on while the known one stays silent.
+//! Incarnations state when they started, by the wall clock of their machine. One that
+//! started later supersedes the known one at once. An earlier start time proves nothing,
+//! because the wall clock may jump back, and because a node that has restarted itself
+//! does not know which incarnations were replaced before. The message may be a late one
+//! of a previous incarnation, or come from a new one after a clock jump. Time tells them
+//! apart: either the known incarnation is heard again, or the other one continues to send
+//! while the known one stays silent.
 
 use std::time::Duration;
 
 use super::identity::Incarnation;
 use crate::clock::Instant;
 
-/// How long the known start must stay silent before one that may be older follows:
-/// two heartbeats.
+/// Time for which the known incarnation must stay silent before one that may be older
+/// supersedes it: two heartbeat intervals.
 pub const SILENCE_BEFORE_SUPERSEDED: Duration = Duration::from_millis(2500);
 
 /// One start of a target.
@@ -21,13 +22,14 @@
 pub struct TargetStart {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When it began, in milliseconds of Unix time; `None` when it does not state it.
+    /// When the incarnation started, in milliseconds of Unix time; `None` if it does not
+    /// state it.
     pub started_at_ms: Option<u64>,
 }
 
 impl TargetStart {
-    /// Whether it surely began after another one: where nothing is known of the other
-    /// one's beginning, the order of messages decides.
+    /// Whether this start is certainly later than another one. If the other start time is
+    /// unknown, the order of messages decides.
     fn is_later_than(&self, other: &Self) -> bool {
         match (self.started_at_ms, other.started_at_ms) {
             (_, None) => true,
@@ -38,21 +40,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct Candidate {
     incarnation: Incarnation,
     sequence: u64,
     since: Instant,
 }
 
-/// What is known of a start that may follow the known one.
+/// Tracks an incarnation that may supersede the known one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RestartDetector {
-    claim: Option<Claim>,
+    candidate: Option<Candidate>,
 }
 
 impl RestartDetector {
-    /// Whether a start that is not the known one follows it. `sequence` is the number
-    /// of its message.
+    /// Whether `next` supersedes `known`. `sequence` is the number of the message that
+    /// states `next`.
     pub fn supersedes(
         &mut self,
         known: &TargetStart,
@@ -61,33 +63,35 @@
         now: Instant,
     ) -> bool {
         if next.is_later_than(known) {
-            self.claim = None;
+            self.candidate = None;
             return true;
         }
-        let claim = self
-            .claim
-            .filter(|claim| claim.incarnation == next.incarnation);
-        let claim = *self.claim.insert(claim.unwrap_or(Claim {
+        let candidate = self
+            .candidate
+            .filter(|candidate| candidate.incarnation == next.incarnation);
+        let candidate = *self.candidate.insert(candidate.unwrap_or(Candidate {
             incarnation: next.incarnation,
             sequence,
             since: now,
         }));
-        let goes_on = sequence > claim.sequence;
-        let is_proven = goes_on && now.since(claim.since) >= SILENCE_BEFORE_SUPERSEDED;
+        let is_still_sending = sequence > candidate.sequence;
+        let is_proven = is_still_sending && now.since(candidate.since) >= SILENCE_BEFORE_SUPERSEDED;
         if is_proven {
-            self.claim = None;
+            self.candidate = None;
         }
         is_proven
     }
 
-    /// The known start was heard again: no other one has followed it.
+    /// Records that the known incarnation was heard again, so that no other one has
+    /// superseded it.
     pub fn confirm_known(&mut self) {
-        self.claim = None;
+        self.candidate = None;
     }
 
-    /// Whether some start may follow and has not proven it yet.
+    /// Whether an incarnation is tracked that has not proven yet that it supersedes the
+    /// known one.
     #[must_use]
     pub fn is_undecided(&self) -> bool {
-        self.claim.is_some()
+        self.candidate.is_some()
     }
 }
--- a/crates/woodladder-core/src/flow/weighted_round_robin.rs
+++ b/crates/woodladder-core/src/flow/weighted_round_robin.rs
@@ -1,6 +1,5 @@
-//! Shares of a route's new flows among its parts, by smooth weighted round
-//! robin: after any number of flows each part is less than one flow off its
-//! weight.
+//! Distributes a route's new flows over its parts by smooth weighted round robin: after
+//! any number of flows, each part is less than one flow away from its exact share.
 
 use std::net::SocketAddrV4;
 
@@ -10,45 +9,44 @@
 use super::identity::ServiceKey;
 
 #[derive(Clone, Debug)]
-struct Credits {
+struct CurrentWeights {
     parts: Vec<RoutePart>,
-    credit: Vec<i64>,
+    current: Vec<i64>,
 }
 
-/// Credits of all routes that have several parts.
+/// The round-robin state of all routes that have several parts.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
-    routes: FxHashMap<SocketAddrV4, Credits>,
+    routes: FxHashMap<SocketAddrV4, CurrentWeights>,
 }
 
 impl WeightedRoundRobin {
-    /// The service of the route's next new flow; `None` when no part has any
-    /// weight.
+    /// The service for the route's next new flow; `None` if all weights are zero.
     pub fn next_service(&mut self, route: &Route) -> Option<ServiceKey> {
         if let [only] = route.parts.as_slice() {
             return Some(only.service);
         }
-        let credits = self
+        let state = self
             .routes
             .entry(route.address)
-            .or_insert_with(|| Credits::new(route));
-        if credits.parts != route.parts {
-            *credits = Credits::new(route);
+            .or_insert_with(|| CurrentWeights::new(route));
+        if state.parts != route.parts {
+            *state = CurrentWeights::new(route);
         }
-        credits.next()
+        state.next()
     }
 
-    /// Forgets routes that no longer exist.
+    /// Drops the state of routes that no longer exist.
     pub fn retain(&mut self, mut exists: impl FnMut(SocketAddrV4) -> bool) {
         self.routes.retain(|address, _| exists(*address));
     }
 }
 
-impl Credits {
+impl CurrentWeights {
     fn new(route: &Route) -> Self {
         Self {
             parts: route.parts.clone(),
-            credit: vec![0; route.parts.len()],
+            current: vec![0; route.parts.len()],
         }
     }
 
@@ -57,15 +55,15 @@
         if total == 0 {
             return None;
         }
-        for (credit, part) in self.credit.iter_mut().zip(&self.parts) {
-            *credit += i64::from(part.weight);
+        for (current, part) in self.current.iter_mut().zip(&self.parts) {
+            *current += i64::from(part.weight);
         }
-        let (index, credit) = self
-            .credit
+        let (index, current) = self
+            .current
             .iter_mut()
             .enumerate()
-            .max_by_key(|(_, credit)| **credit)?;
-        *credit -= total;
+            .max_by_key(|(_, current)| **current)?;
+        *current -= total;
         self.parts.get(index).map(|part| part.service)
     }
 }
--- a/crates/woodladder-core/src/flow/zone_members.rs
+++ b/crates/woodladder-core/src/flow/zone_members.rs
@@ -1,13 +1,12 @@
-//! The balancers of one zone, and which of them should be given packets.
+//! The balancers of one zone, and which of them should receive packets.
 //!
-//! Routers spread a zone's packets evenly over those of its balancers that say
-//! they are ready, whatever each can bear; a zone with fewer than half of its
-//! balancers ready uses all of them. Among unequal machines an even spread
-//! overloads the small ones, so the smallest stand by: of all allowed sizes of
-//! the set of ready balancers, the one is taken whose balancers together bear
-//! most when each gets the same share. What a balancer bears follows from its
-//! processor and its link, whichever binds. Every balancer decides this for itself
-//! from the greetings of the others.
+//! Routers spread a zone's packets evenly over those of its balancers that report ready,
+//! whatever their capacity. If fewer than half of a zone's balancers are ready, routers
+//! use all of them. An even spread overloads the small machines, so the smallest ones
+//! stand by: of all allowed sizes of the ready set, the one is chosen whose balancers can
+//! handle most in total when each gets the same share. The capacity of a balancer is
+//! limited by its processor or by its link, whichever saturates first. Each balancer
+//! decides for itself, from the hellos of the others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,38 +16,38 @@
 use super::message_timing::{liveness_timeout, take_cyclic};
 use crate::clock::Instant;
 
-/// Most balancers remembered, which bounds memory only: six times the size that
-/// the deployment is designed for.
+/// Most balancers that are remembered. Only bounds memory: six times the deployment size
+/// that the system is designed for.
 pub const MAXIMUM_BALANCERS: usize = 4096;
-/// Least silence after which a larger balancer is handed no packets any more: two
-/// greetings in a row must be lost for a living one to be passed over, which costs
-/// searches for its flows and no request. What is handed to a dead one is lost until
-/// then.
-const RECEIVER_SILENT_AFTER: Duration = Duration::from_millis(450);
-/// The same in times between its greetings.
-const RECEIVER_SILENT_AFTER_PERIODS: f64 = 3.0;
-/// Least silence after which a member no longer counts as serving.
+/// Shortest silence after which a larger balancer no longer receives relayed packets.
+/// Packets relayed to a dead balancer are lost until then. A live balancer is skipped
+/// only after two hellos in a row were lost, which costs searches for its flows but no
+/// request.
+const RELAY_SILENT_AFTER: Duration = Duration::from_millis(450);
+/// The same limit as a multiple of the balancer's hello interval.
+const RELAY_SILENT_AFTER_PERIODS: f64 = 3.0;
+/// Shortest silence after which a member no longer counts as serving.
 const SILENT_AFTER: Duration = Duration::from_millis(900);
-/// The same in times between its greetings.
+/// The same limit as a multiple of the member's hello interval.
 const SILENT_AFTER_PERIODS: f64 = 1.8;
-/// Least silence after which a member no longer counts as one of the zone's.
+/// Shortest silence after which a member no longer belongs to the zone.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// The same in times between its greetings.
+/// The same limit as a multiple of the member's hello interval.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
 
-/// What a balancer says of its own part in its zone.
+/// Capacity and readiness that a balancer announces to the others of its zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ZoneMember {
-    /// Processor that it may use, in thousandths of a core.
+    /// Processor that the balancer may use, in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Rate of its machine's link, in kilobits a second; `None` when it is not known.
+    /// Rate of its machine's link, in kilobits per second; `None` if unknown.
     pub link_rate_kbps: Option<u32>,
-    /// Whether it could serve: it knows routes and agents and does not leave.
+    /// Whether it could serve: it knows routes and agents and is not shutting down.
     pub can_serve: bool,
 }
 
 impl ZoneMember {
-    /// Processor that it can use for forwarding, in thousandths of a core.
+    /// Processor that the balancer can use for forwarding, in thousandths of a core.
     #[must_use]
     pub fn usable_capacity(&self) -> u32 {
         usable_capacity(self.cpu_millicores, self.link_rate_kbps)
@@ -56,71 +55,72 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct MemberRecord {
     member: ZoneMember,
-    /// Time within which it greets again, as it last said.
-    greets_within: Duration,
+    /// Longest time until its next hello, as stated in the last one.
+    next_hello_within: Duration,
     heard_at: Instant,
 }
 
-impl Record {
-    /// Whether it has been silent for less than a time, or for less than so many
-    /// times between its greetings.
-    fn is_heard(&self, least: Duration, periods: f64, now: Instant) -> bool {
-        now.since(self.heard_at) < liveness_timeout(self.greets_within, periods, least)
+impl MemberRecord {
+    /// Whether the balancer was heard within `minimum`, or within `periods` of its hello
+    /// intervals.
+    fn is_heard(&self, minimum: Duration, periods: f64, now: Instant) -> bool {
+        now.since(self.heard_at) < liveness_timeout(self.next_hello_within, periods, minimum)
     }
 }
 
-/// The other balancers of the own zone.
+/// The other balancers of the node's own zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMembers {
-    records: BTreeMap<NodeAddress, Record>,
+    records: BTreeMap<NodeAddress, MemberRecord>,
 }
 
 impl ZoneMembers {
-    /// Takes in what a balancer of the zone says of itself; it greets again within
-    /// a time.
+    /// Records a hello of a balancer of the zone, which sends the next one within
+    /// `next_hello_within`.
     pub fn record_hello(
         &mut self,
         address: NodeAddress,
         member: ZoneMember,
-        greets_within: Duration,
+        next_hello_within: Duration,
         now: Instant,
     ) {
         if self.records.len() >= MAXIMUM_BALANCERS && !self.records.contains_key(&address) {
             return;
         }
-        let record = Record {
+        let record = MemberRecord {
             member,
-            greets_within,
+            next_hello_within,
             heard_at: now,
         };
         self.records.insert(address, record);
     }
 
-    /// Forgets members that have been silent for long.
+    /// Removes members that have been silent for long.
     pub fn tick(&mut self, now: Instant) {
         self.records
             .retain(|_, record| record.is_heard(FORGET_AFTER, FORGET_AFTER_PERIODS, now));
     }
 
-    /// Counts the silence of all from now on.
+    /// Restarts the silence timers of all members.
     pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.records.values_mut() {
             record.heard_at = now;
         }
     }
 
-    /// Members that serve and can use at least this capacity.
+    /// Members that serve and have at least the usable capacity `minimum`, in thousandths
+    /// of a core.
     #[must_use]
-    pub fn serving_with_at_least(&self, least: u32, now: Instant) -> Vec<NodeAddress> {
+    pub fn serving_with_at_least(&self, minimum: u32, now: Instant) -> Vec<NodeAddress> {
         self.records
             .iter()
             .filter(|(_, record)| {
-                record.member.can_serve && record.member.usable_capacity() >= least
+                record.member.can_serve && record.member.usable_capacity() >= minimum
             })
             .filter(|(_, record)| {
-                record.is_heard(RECEIVER_SILENT_AFTER, RECEIVER_SILENT_AFTER_PERIODS, now)
+                record.is_heard(RELAY_SILENT_AFTER, RELAY_SILENT_AFTER_PERIODS, now)
             })
             .map(|(address, _)| *address)
             .collect()
@@ -134,7 +134,7 @@
             .map(|(address, record)| (record.member.usable_capacity(), *address))
     }
 
-    /// Members that were heard lately, whether they serve or not.
+    /// Members that were heard recently, whether they serve or not.
     pub fn heard_recently(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
@@ -142,18 +142,18 @@
             .map(|(address, _)| *address)
     }
 
-    /// Members that can use at most this capacity.
+    /// Members whose usable capacity is at most `maximum`, in thousandths of a core.
     #[must_use]
-    pub fn with_capacity_at_most(&self, most: u32) -> Vec<NodeAddress> {
+    pub fn with_capacity_at_most(&self, maximum: u32) -> Vec<NodeAddress> {
         self.records
             .iter()
-            .filter(|(_, record)| record.member.usable_capacity() <= most)
+            .filter(|(_, record)| record.member.usable_capacity() <= maximum)
             .map(|(address, _)| *address)
             .collect()
     }
 
-    /// Processor that a balancer of the zone can use, in thousandths of a core, when
-    /// it is known.
+    /// Usable capacity of a balancer of the zone, in thousandths of a core; `None` if it
+    /// is not known.
     #[must_use]
     pub fn capacity_of(&self, address: NodeAddress) -> Option<u32> {
         self.records
@@ -161,27 +161,27 @@
             .map(|record| record.member.usable_capacity())
     }
 
-    /// Members known besides the own balancer.
+    /// Number of known members, not counting this balancer.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is known.
+    /// Whether no member is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// At most `count` addresses, beginning at the one numbered `start`, so
-    /// that calls with growing starts go round all of them.
+    /// At most `count` addresses, starting at index `start` and wrapping around, so that
+    /// calls with increasing starts cover all of them.
     #[must_use]
     pub fn take_cyclic(&self, start: usize, count: usize) -> Vec<NodeAddress> {
         take_cyclic(self.records.keys().copied(), start, count)
     }
 
     /// Whether the balancer with this address and usable capacity should stand by,
-    /// because the zone bears more without it.
+    /// because the zone can handle more without it.
     #[must_use]
     pub fn should_stand_by(&self, address: NodeAddress, capacity: u32, now: Instant) -> bool {
         let mut able: Vec<(u32, NodeAddress)> = self.serving(now).collect();
@@ -194,20 +194,21 @@
     }
 }
 
-/// How many of the balancers, whose capacities are given in falling order,
-/// should be ready in a zone of `members`: at least half of the members, and as
-/// many as together bear most with equal shares. Of equals the larger set.
+/// How many balancers should be ready in a zone of `members`, given the balancers'
+/// capacities in descending order: at least half of the members, and as many as can
+/// handle most in total when each gets the same share. Among equally good sizes the
+/// largest is chosen.
 #[must_use]
 pub fn ready_set_size(capacities: &[u32], members: usize) -> usize {
-    let least = members.div_ceil(2).max(1);
-    (least..=capacities.len())
-        .max_by_key(|size| borne_by(capacities, *size))
+    let minimum = members.div_ceil(2).max(1);
+    (minimum..=capacities.len())
+        .max_by_key(|size| total_capacity(capacities, *size))
         .unwrap_or(capacities.len())
 }
 
-/// What the first `size` balancers bear together when each gets an equal
-/// share: the smallest of them sets the limit.
-fn borne_by(capacities: &[u32], size: usize) -> u64 {
+/// What the first `size` balancers can handle in total when each gets the same share; the
+/// smallest of them sets the limit.
+fn total_capacity(capacities: &[u32], size: usize) -> u64 {
     let smallest = capacities[size - 1];
     u64::from(smallest) * u64::try_from(size).unwrap_or(u64::MAX)
 }
