--- a/crates/woodladder-core/src/flow/store_session/backoff.rs
+++ b/crates/woodladder-core/src/flow/store_session/backoff.rs
@@ -1,5 +1,5 @@
-//! Pauses between failed calls: doubling, with jitter, so that a whole fleet
-//! that lost the store does not come back at one moment.
+//! Pauses between failed store calls. They double and are randomized, so that the nodes
+//! of a fleet that lost the store do not all return at the same moment.
 
 use std::time::Duration;
 
@@ -25,19 +25,20 @@
         }
     }
 
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause after one more failure: from half to the whole of its bound.
-    pub(crate) fn failed(&mut self) -> Duration {
+    /// The pause after another failure, at random between half of its upper bound and the
+    /// whole of it.
+    pub(crate) fn next_pause(&mut self) -> Duration {
         let doubled = FIRST_PAUSE.saturating_mul(1 << self.failures.min(6));
         self.failures = self.failures.saturating_add(1);
-        self.spread(doubled.min(LONGEST_PAUSE))
+        self.randomize(doubled.min(LONGEST_PAUSE))
     }
 
-    /// A random time from half of a duration to the whole of it.
-    pub(crate) fn spread(&mut self, duration: Duration) -> Duration {
+    /// A random time between half of a duration and the whole of it.
+    pub(crate) fn randomize(&mut self, duration: Duration) -> Duration {
         duration.mul_f64(self.random.random_range(0.5..=1.0))
     }
 }
--- a/crates/woodladder-core/src/flow/store_session/mod.rs
+++ b/crates/woodladder-core/src/flow/store_session/mod.rs
@@ -1,12 +1,13 @@
-//! What a node asks of the store on this carrier, and when.
+//! Which calls a node makes to the store, and when.
 //!
-//! Three small machines, each with at most one call under way: the watch of
-//! the configuration, the registration of a balancer under a lease, and the
-//! list of balancers. A fourth is [`super::flow_record::session`]. A store that is slow, down or that refuses this node
-//! costs retries with growing pauses; what the node holds stays in use.
+//! Three state machines have at most one call in flight each: the watch of the
+//! configuration, the registration of a balancer under a lease, and the list of
+//! balancers. A fourth is [`super::flow_record::session`]. If the store is slow, down or
+//! refuses this node, calls are retried with growing pauses, and the node continues with
+//! what it knows.
 
 mod backoff;
-mod list;
+mod discovery;
 mod registration;
 mod watch;
 
@@ -18,60 +19,55 @@
 use super::identity::{NodeAddress, ZoneKey};
 
 pub(super) use backoff::Backoff;
-pub use list::{BalancerDiscovery, ListNeed};
+pub use discovery::{BalancerDiscovery, ListNeed};
 pub use registration::BalancerRegistration;
 pub use watch::{ConfigurationWatch, OperatorState};
 
 /// A call to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreCall {
-    /// Read the configuration and the excluded zones as they are now.
+    /// Read the current configuration and excluded zones.
     ReadConfiguration,
-    /// Wait until one of them changes after a revision.
+    /// Wait until the configuration or the excluded zones change after a revision.
     AwaitConfiguration {
-        /// Revision of the store that is known.
+        /// Last known revision of the store.
         after: u64,
-        /// Longest wait.
+        /// Longest time to wait.
         wait: Duration,
     },
-    /// Ask for a lease.
+    /// Request a new lease.
     GrantLease {
-        /// Time that it runs after each renewal.
+        /// Time for which the lease is valid after each renewal.
         lifetime: Duration,
     },
-    /// Renew a lease.
     RenewLease {
-        /// The lease.
         lease: u64,
     },
-    /// End a lease and the entries under it.
+    /// Revoke a lease, which deletes the entries under it.
     EndLease {
-        /// The lease.
         lease: u64,
     },
-    /// Enter this balancer under a lease.
+    /// Write the entry of this balancer under a lease.
     Register {
-        /// The lease.
         lease: u64,
     },
     /// Read the entries of all balancers.
     ListBalancers {
-        /// Whether an answer may be some seconds old, which costs the store
-        /// less.
+        /// Whether the answer may be some seconds old, which costs the store less.
         stale: bool,
     },
-    /// Read this balancer's record of flows.
+    /// Read the flow record of this balancer.
     ReadFlowRecord,
-    /// Write this balancer's record of flows.
+    /// Write the flow record of this balancer.
     WriteFlowRecord {
-        /// Revision that the entry must have; zero when there must be none.
+        /// Revision that the entry must have; zero if there must be no entry.
         revision: u64,
-        /// The record.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
 }
 
-/// Kinds of calls, for counts.
+/// Names of the call kinds in metrics.
 pub const CALL_KINDS: [&str; 9] = [
     "read_configuration",
     "await_configuration",
@@ -85,7 +81,7 @@
 ];
 
 impl StoreCall {
-    /// Place of the call's kind in [`CALL_KINDS`].
+    /// Index of the call's kind in [`CALL_KINDS`].
     #[must_use]
     pub fn kind_index(&self) -> usize {
         match self {
@@ -102,71 +98,70 @@
     }
 }
 
-/// What an answer of the store says of the excluded zones.
+/// What an answer of the store states about the excluded zones.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ZoneUpdate {
-    /// These are all.
+    /// All excluded zones.
     All(BTreeSet<ZoneKey>),
-    /// These have changed since the revision asked for, the latest last.
+    /// The changes since the requested revision, in order.
     Changes(Vec<ZoneChange>),
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// What the operators have written.
+    /// The state that the operators have written.
     OperatorState {
-        /// The configuration; `None` when it has not changed, is missing or cannot
-        /// be read.
+        /// The configuration; `None` if it has not changed, does not exist or cannot be
+        /// read.
         configuration: Option<Configuration>,
-        /// What is known of the excluded zones.
+        /// All excluded zones, or their changes.
         zones: ZoneUpdate,
         /// Revision of the store.
         revision: u64,
     },
-    /// The store no longer knows what happened after the revision asked for.
+    /// The store no longer has the history since the requested revision.
     HistoryGone,
-    /// A lease, granted or renewed.
+    /// A lease was granted or renewed.
     Lease {
-        /// The lease.
         lease: u64,
-        /// Time that it runs.
+        /// Time for which the lease is valid.
         lifetime: Duration,
     },
-    /// There is no such lease any more.
+    /// The lease no longer exists.
     LeaseGone,
     /// The write took effect.
     Done,
-    /// The balancers entered.
+    /// The registered balancers.
     Balancers(Vec<NodeAddress>),
-    /// This balancer's record of flows.
+    /// The flow record of this balancer.
     FlowRecord {
-        /// Its bytes; `None` when there is none.
+        /// The encoded record; `None` if there is none.
         value: Option<Vec<u8>>,
-        /// Revision of its last change; zero when there is none.
+        /// Revision of its last change; zero if there is no record.
         revision: u64,
     },
-    /// The record of flows was written.
+    /// The flow record was written.
     FlowRecordWritten {
-        /// Its revision now.
+        /// New revision of the record.
         revision: u64,
     },
-    /// The record of flows has another revision than was expected; nothing was done.
+    /// The flow record does not have the expected revision; nothing was written.
     FlowRecordChanged {
-        /// Its revision; zero when there is none.
+        /// Current revision of the record; zero if there is none.
         revision: u64,
     },
-    /// The store refuses for now; nothing was done.
+    /// The store refused the call for now; it had no effect.
     Refused,
-    /// No answer came; a write may have taken effect, or may yet.
+    /// No answer arrived. A write may have taken effect, or may still do so.
     NoAnswer,
 }
 
-/// A call that is due, or when to ask again.
+/// A call that is due, or the time at which to ask again.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NextCall {
     /// Make this call now.
     Now(StoreCall),
-    /// Nothing before this time.
+    /// Make no call before this time.
     At(crate::clock::Instant),
 }
--- a/crates/woodladder-core/src/flow/store_session/registration.rs
+++ b/crates/woodladder-core/src/flow/store_session/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps a balancer's entry in the store alive.
+//! Keeps the store entry of a balancer alive.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use super::{NextCall, StoreCall, StoreReply};
 use crate::clock::Instant;
 
-/// Time that an entry outlives its last renewal.
-const LIFETIME: Duration = Duration::from_secs(20);
-/// Renewals within one lifetime.
-const RENEWALS: u32 = 4;
-/// Time between two looks whether the balancer is to be entered.
-const STAND_BY: Duration = Duration::from_millis(500);
+/// Time for which an entry outlives its last renewal.
+const LEASE_LIFETIME: Duration = Duration::from_secs(20);
+/// Renewals per lifetime.
+const RENEWALS_PER_LIFETIME: u32 = 4;
+/// Polling interval while the balancer need not be registered.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
@@ -22,36 +22,36 @@
     Ended,
 }
 
-/// The registration of one balancer.
+/// Schedules the calls that register one balancer.
 #[derive(Clone, Debug)]
 pub struct BalancerRegistration {
     stage: Stage,
     lifetime: Duration,
     due_at: Instant,
-    in_flight: bool,
+    is_in_flight: bool,
     backoff: Backoff,
 }
 
 impl BalancerRegistration {
-    /// A registration that begins at once.
+    /// A session that starts at once.
     #[must_use]
     pub fn new(seed: u64, now: Instant) -> Self {
         Self {
             stage: Stage::WithoutLease,
-            lifetime: LIFETIME,
+            lifetime: LEASE_LIFETIME,
             due_at: now,
-            in_flight: false,
+            is_in_flight: false,
             backoff: Backoff::new(seed),
         }
     }
 
-    /// Whether the entry is believed to be there.
+    /// Whether the entry is believed to exist.
     #[must_use]
     pub fn is_registered(&self) -> bool {
         matches!(self.stage, Stage::Registered { .. })
     }
 
-    /// Ends the entry as part of a planned stop.
+    /// Revokes the lease as part of a planned stop.
     pub fn leave(&mut self, now: Instant) {
         self.stage = match self.stage {
             Stage::Unregistered { lease } | Stage::Registered { lease } => Stage::Ending { lease },
@@ -61,55 +61,57 @@
         self.due_at = now;
     }
 
-    /// The next call; the caller passes its reply to [`Self::reply`]. A balancer
-    /// that need not be entered (`wanted`) lets its lease run out.
-    pub fn next(&mut self, wanted: bool, now: Instant) -> NextCall {
-        if self.in_flight || self.stage == Stage::Ended {
-            return NextCall::At(now + LIFETIME);
+    /// The next call; the caller passes its reply to [`Self::reply`]. While `is_wanted` is
+    /// false, the balancer need not be registered and lets its lease expire.
+    pub fn next(&mut self, is_wanted: bool, now: Instant) -> NextCall {
+        if self.is_in_flight || self.stage == Stage::Ended {
+            return NextCall::At(now + LEASE_LIFETIME);
         }
         if now < self.due_at {
             return NextCall::At(self.due_at);
         }
         let is_ending = matches!(self.stage, Stage::Ending { .. });
-        if !wanted && !is_ending {
-            return NextCall::At(now + STAND_BY);
+        if !is_wanted && !is_ending {
+            return NextCall::At(now + POLL_INTERVAL);
         }
-        self.in_flight = true;
+        self.is_in_flight = true;
         NextCall::Now(match self.stage {
-            Stage::WithoutLease | Stage::Ended => StoreCall::GrantLease { lifetime: LIFETIME },
+            Stage::WithoutLease | Stage::Ended => StoreCall::GrantLease {
+                lifetime: LEASE_LIFETIME,
+            },
             Stage::Unregistered { lease } => StoreCall::Register { lease },
             Stage::Registered { lease } => StoreCall::RenewLease { lease },
             Stage::Ending { lease } => StoreCall::EndLease { lease },
         })
     }
 
-    /// Takes a reply in.
+    /// Handles a reply.
     pub fn reply(&mut self, reply: &StoreReply, now: Instant) {
-        self.in_flight = false;
+        self.is_in_flight = false;
         match (reply, self.stage) {
             (_, Stage::Ending { .. } | Stage::Ended) => self.stage = Stage::Ended,
             (StoreReply::Refused | StoreReply::NoAnswer, _) => {
-                self.due_at = now + self.backoff.failed();
+                self.due_at = now + self.backoff.next_pause();
             }
             (StoreReply::LeaseGone, _) => {
                 self.stage = Stage::WithoutLease;
-                self.due_at = now + self.backoff.failed();
+                self.due_at = now + self.backoff.next_pause();
             }
             (StoreReply::Lease { lease, lifetime }, Stage::WithoutLease) => {
                 self.stage = Stage::Unregistered { lease: *lease };
                 self.lifetime = *lifetime;
-                self.succeeded(now, Duration::ZERO);
+                self.schedule_after_success(now, Duration::ZERO);
             }
             (StoreReply::Done, Stage::Unregistered { lease }) => {
                 self.stage = Stage::Registered { lease };
-                self.succeeded(now, self.lifetime / RENEWALS);
+                self.schedule_after_success(now, self.lifetime / RENEWALS_PER_LIFETIME);
             }
-            _ => self.succeeded(now, self.lifetime / RENEWALS),
+            _ => self.schedule_after_success(now, self.lifetime / RENEWALS_PER_LIFETIME),
         }
     }
 
-    fn succeeded(&mut self, now: Instant, pause: Duration) {
-        self.backoff.succeeded();
-        self.due_at = now + self.backoff.spread(pause);
+    fn schedule_after_success(&mut self, now: Instant, pause: Duration) {
+        self.backoff.reset();
+        self.due_at = now + self.backoff.randomize(pause);
     }
 }
--- a/crates/woodladder-core/src/flow/store_session/watch.rs
+++ b/crates/woodladder-core/src/flow/store_session/watch.rs
@@ -8,52 +8,51 @@
 use super::{NextCall, StoreCall, StoreReply, ZoneUpdate};
 use crate::clock::Instant;
 
-/// Time after which a caller that asks while a call is under way asks again.
-const ASK_AGAIN: Duration = Duration::from_millis(5000);
-/// Time between two looks whether the node has to watch.
-const STAND_BY: Duration = Duration::from_millis(100);
-/// The same for [`STARTING_FOR`] after the node's start: one that has just started can
-/// do nothing for its callers without a configuration.
-const STAND_BY_AT_START: Duration = Duration::from_millis(10);
-/// Time in which every node has heard a configuration from others, or has had its
-/// turn to read it.
-const STARTING_FOR: Duration = Duration::from_secs(2);
+/// Time after which to ask again while a call is in flight.
+const POLL_INTERVAL_IN_FLIGHT: Duration = Duration::from_millis(5000);
+/// Polling interval while the node need not watch.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Polling interval during [`START_PHASE`] after the node's start: a node without a
+/// configuration cannot do anything for its callers yet.
+const POLL_INTERVAL_AT_START: Duration = Duration::from_millis(10);
+/// Time within which every node has received a configuration from others, or has had its
+/// turn to read one.
+const START_PHASE: Duration = Duration::from_secs(2);
 
-/// Time after a change in which no other is asked for, so that changes in quick
-/// succession cost one call. Far shorter than the time that a change has to
-/// come into force.
+/// Pause after a change, so that changes in quick succession cost one call. Far shorter
+/// than the time that a change may take to become active.
 const PAUSE_AFTER_CHANGE: Duration = Duration::from_millis(400);
 
-/// What the store has confirmed with one answer.
+/// The state that the store has confirmed with one answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorState {
-    /// The configuration, when the answer brought one.
+    /// The configuration, if the answer contained one.
     pub configuration: Option<Configuration>,
     /// All excluded zones.
     pub excluded_zones: ExcludedZones,
 }
 
-/// The watch of what the operators have written.
+/// Watches the state that the operators have written.
 #[derive(Clone, Debug)]
 pub struct ConfigurationWatch {
     revision: Option<u64>,
     excluded_zones: ExcludedZones,
     due_at: Instant,
-    in_flight: bool,
+    is_in_flight: bool,
     backoff: Backoff,
     heard_at: Option<Instant>,
     started_at: Instant,
 }
 
 impl ConfigurationWatch {
-    /// A watch that begins with a read at once.
+    /// A watch that starts with a read at once.
     #[must_use]
     pub fn new(seed: u64, now: Instant) -> Self {
         Self {
             revision: None,
             excluded_zones: ExcludedZones::default(),
             due_at: now,
-            in_flight: false,
+            is_in_flight: false,
             backoff: Backoff::new(seed),
             heard_at: None,
             started_at: now,
@@ -66,36 +65,36 @@
         self.heard_at
     }
 
-    /// The next call; the caller passes its reply to [`Self::reply`]. `wait` is
-    /// how long a watch may wait, and `None` while the node need not watch.
+    /// The next call; the caller passes its reply to [`Self::reply`]. `wait` limits how
+    /// long the store may hold the call; `None` while the node need not watch.
     pub fn next(&mut self, wait: Option<Duration>, now: Instant) -> NextCall {
-        if self.in_flight {
-            return NextCall::At(now + ASK_AGAIN);
+        if self.is_in_flight {
+            return NextCall::At(now + POLL_INTERVAL_IN_FLIGHT);
         }
         if now < self.due_at {
             return NextCall::At(self.due_at);
         }
         let Some(wait) = wait else {
-            // Changes meanwhile are not heard here, so the next call is a read.
+            // Changes in the meantime are not seen here, so the next call is a read.
             self.revision = None;
-            let is_starting = now.since(self.started_at) < STARTING_FOR;
+            let is_starting = now.since(self.started_at) < START_PHASE;
             let pause = if is_starting {
-                STAND_BY_AT_START
+                POLL_INTERVAL_AT_START
             } else {
-                STAND_BY
+                POLL_INTERVAL
             };
             return NextCall::At(now + pause);
         };
-        self.in_flight = true;
+        self.is_in_flight = true;
         NextCall::Now(match self.revision {
             None => StoreCall::ReadConfiguration,
             Some(after) => StoreCall::AwaitConfiguration { after, wait },
         })
     }
 
-    /// Takes a reply in; when the store has answered, returns what holds now.
+    /// Handles a reply; returns the current state if the store has answered.
     pub fn reply(&mut self, reply: StoreReply, now: Instant) -> Option<OperatorState> {
-        self.in_flight = false;
+        self.is_in_flight = false;
         match reply {
             StoreReply::OperatorState {
                 configuration,
@@ -104,7 +103,7 @@
             } => {
                 let is_first = self.revision.is_none();
                 self.heard_at = Some(now);
-                self.backoff.succeeded();
+                self.backoff.reset();
                 self.due_at = now;
                 let excluded_zones = match zones {
                     ZoneUpdate::All(zones) => ExcludedZones { revision, zones },
@@ -113,11 +112,11 @@
                 let zones_differ = excluded_zones.zones != self.excluded_zones.zones;
                 self.excluded_zones.clone_from(&excluded_zones);
                 if !is_first && (configuration.is_some() || zones_differ) {
-                    self.due_at = now + self.backoff.spread(PAUSE_AFTER_CHANGE);
+                    self.due_at = now + self.backoff.randomize(PAUSE_AFTER_CHANGE);
                 }
                 if is_first && configuration.is_none() {
-                    // Nothing is there yet; the watch tells when it is.
-                    self.due_at = now + self.backoff.spread(Duration::from_millis(100));
+                    // There is no configuration yet; the watch reports when there is one.
+                    self.due_at = now + self.backoff.randomize(Duration::from_millis(100));
                 }
                 self.revision = Some(revision);
                 Some(OperatorState {
@@ -128,14 +127,14 @@
             StoreReply::HistoryGone => {
                 self.heard_at = Some(now);
                 self.revision = None;
-                self.due_at = now + self.backoff.spread(Duration::from_millis(40));
+                self.due_at = now + self.backoff.randomize(Duration::from_millis(40));
                 None
             }
             _ => {
-                // What happened meanwhile is not known: read before the next
-                // wait.
+                // Changes in the meantime may have been missed: read again before the
+                // next wait.
                 self.revision = None;
-                self.due_at = now + self.backoff.failed();
+                self.due_at = now + self.backoff.next_pause();
                 None
             }
         }
--- a/crates/woodladder-core/tests/flow_store_session.rs
+++ b/crates/woodladder-core/tests/flow_store_session.rs
@@ -1,4 +1,4 @@
-//! What a node asks of the store, and when.
+//! Which calls a node makes to the store, and when.
 
 mod flow_support;
 
@@ -11,10 +11,10 @@
     StoreReply, ZoneUpdate,
 };
 
-/// The longest wait of one watch.
+/// The longest wait of one watch call.
 const WAIT: Option<Duration> = Some(Duration::from_secs(5));
 
-/// An answer of the store at a revision, without a change.
+/// An answer of the store at a revision, without any change.
 fn configuration_reply(revision: u64) -> StoreReply {
     StoreReply::OperatorState {
         configuration: None,
@@ -26,14 +26,14 @@
 fn call(next: NextCall) -> StoreCall {
     match next {
         NextCall::Now(call) => call,
-        NextCall::At(at) => panic!("nothing before {at:?}"),
+        NextCall::At(at) => panic!("no call is due before {at:?}"),
     }
 }
 
 fn waits_until(next: NextCall) -> Duration {
     match next {
         NextCall::At(at) => at.since_origin(),
-        NextCall::Now(call) => panic!("{call:?}"),
+        NextCall::Now(call) => panic!("a call is due: {call:?}"),
     }
 }
 
@@ -49,14 +49,14 @@
     let state = watch.reply(read, at(5)).expect("the store has answered");
     assert_eq!(state.configuration.map(|it| it.version), Some(3));
     let StoreCall::AwaitConfiguration { after, .. } = call(watch.next(WAIT, at(5))) else {
-        panic!("a watch follows");
+        panic!("no watch call follows the read");
     };
     assert_eq!(after, 40);
 }
 
-/// Each waiting watch is answered at each change, and each answer costs.
+/// Every change answers every waiting watch, and each answer costs the store.
 #[test]
-fn changes_in_quick_succession_are_fetched_by_one_call() {
+fn changes_in_quick_succession_cost_one_call() {
     let mut watch = ConfigurationWatch::new(1, at(0));
     watch.next(WAIT, at(0));
     let changed = |version, revision| StoreReply::OperatorState {
@@ -160,9 +160,9 @@
     ));
 }
 
-/// The answer of a write was lost: writing the same entry again is safe.
+/// After a lost answer, writing the same entry again is safe.
 #[test]
-fn a_lost_answer_of_the_registration_is_settled_by_writing_again() {
+fn a_registration_without_an_answer_is_written_again() {
     let mut registration = BalancerRegistration::new(1, at(0));
     registration.next(true, at(0));
     let lifetime = Duration::from_secs(20);
@@ -177,93 +177,93 @@
 
 #[test]
 fn a_list_is_read_often_only_while_no_balancer_is_heard() {
-    let mut list = BalancerDiscovery::new(1, true, at(0));
+    let mut discovery = BalancerDiscovery::new(1, true, at(0));
     assert_eq!(
-        call(list.next(at(0))),
+        call(discovery.next(at(0))),
         StoreCall::ListBalancers { stale: true }
     );
     assert_eq!(
-        list.reply(StoreReply::Balancers(vec![node(2)]), at(5)),
+        discovery.reply(StoreReply::Balancers(vec![node(2)]), at(5)),
         vec![node(2)]
     );
-    assert!(waits_until(list.next(at(5))) <= Duration::from_millis(700));
-    list.set_need(ListNeed::Safeguard, at(5));
-    list.next(at(700));
-    list.reply(StoreReply::Balancers(vec![node(2)]), at(705));
-    assert!(waits_until(list.next(at(705))) >= Duration::from_secs(15));
+    assert!(waits_until(discovery.next(at(5))) <= Duration::from_millis(700));
+    discovery.set_need(ListNeed::Safeguard, at(5));
+    discovery.next(at(700));
+    discovery.reply(StoreReply::Balancers(vec![node(2)]), at(705));
+    assert!(waits_until(discovery.next(at(705))) >= Duration::from_secs(15));
 }
 
-/// A list that only makes sure of what is heard anyway may be old, which costs
-/// a tenth.
+/// A list that is only a safeguard may be stale, which costs the store a tenth.
 #[test]
-fn lists_may_be_old_once_balancers_are_listed_and_heard() {
-    let mut list = BalancerDiscovery::new(1, false, at(0));
-    list.set_need(ListNeed::Safeguard, at(0));
+fn lists_may_be_stale_once_balancers_are_listed_and_heard() {
+    let mut discovery = BalancerDiscovery::new(1, false, at(0));
+    discovery.set_need(ListNeed::Safeguard, at(0));
     assert_eq!(
-        call(list.next(at(0))),
+        call(discovery.next(at(0))),
         StoreCall::ListBalancers { stale: false }
     );
-    list.reply(StoreReply::Balancers(vec![node(2)]), at(5));
-    let due = u64::try_from(waits_until(list.next(at(5))).as_millis()).expect("milliseconds");
+    discovery.reply(StoreReply::Balancers(vec![node(2)]), at(5));
+    let due = u64::try_from(waits_until(discovery.next(at(5))).as_millis()).expect("milliseconds");
     assert_eq!(
-        call(list.next(at(due + 1))),
+        call(discovery.next(at(due + 1))),
         StoreCall::ListBalancers { stale: true }
     );
-    list.reply(StoreReply::NoAnswer, at(due + 2));
-    list.set_need(ListNeed::Urgent, at(due + 3));
+    discovery.reply(StoreReply::NoAnswer, at(due + 2));
+    discovery.set_need(ListNeed::Urgent, at(due + 3));
     assert_eq!(
-        call(list.next(at(due + 800))),
+        call(discovery.next(at(due + 800))),
         StoreCall::ListBalancers { stale: false }
     );
 }
 
-/// At a start the list is empty, and balancers are heard before it is read again.
+/// The first list after a start is empty, and balancers are heard before the next one is
+/// read.
 #[test]
-fn a_balancer_that_is_heard_puts_the_next_list_off() {
-    let mut list = BalancerDiscovery::new(1, true, at(0));
-    list.next(at(0));
-    list.reply(StoreReply::Balancers(vec![]), at(5));
-    list.set_need(ListNeed::Safeguard, at(100));
-    assert!(waits_until(list.next(at(700))) >= Duration::from_secs(15));
-    list.set_need(ListNeed::Urgent, at(800));
-    assert!(matches!(list.next(at(1500)), NextCall::Now(_)));
+fn a_balancer_that_is_heard_postpones_the_next_list() {
+    let mut discovery = BalancerDiscovery::new(1, true, at(0));
+    discovery.next(at(0));
+    discovery.reply(StoreReply::Balancers(vec![]), at(5));
+    discovery.set_need(ListNeed::Safeguard, at(100));
+    assert!(waits_until(discovery.next(at(700))) >= Duration::from_secs(15));
+    discovery.set_need(ListNeed::Urgent, at(800));
+    assert!(matches!(discovery.next(at(1500)), NextCall::Now(_)));
 }
 
 #[test]
 fn a_list_that_the_store_refuses_is_not_repeated_while_balancers_are_heard() {
-    let mut list = BalancerDiscovery::new(1, true, at(0));
-    list.next(at(0));
-    list.set_need(ListNeed::Safeguard, at(3));
-    list.reply(StoreReply::Refused, at(5));
-    assert!(waits_until(list.next(at(5))) >= Duration::from_secs(15));
-    let mut alone = BalancerDiscovery::new(1, true, at(0));
-    alone.next(at(0));
-    alone.reply(StoreReply::Refused, at(5));
-    assert!(waits_until(alone.next(at(5))) <= Duration::from_millis(100));
+    let mut discovery = BalancerDiscovery::new(1, true, at(0));
+    discovery.next(at(0));
+    discovery.set_need(ListNeed::Safeguard, at(3));
+    discovery.reply(StoreReply::Refused, at(5));
+    assert!(waits_until(discovery.next(at(5))) >= Duration::from_secs(15));
+    let mut isolated = BalancerDiscovery::new(1, true, at(0));
+    isolated.next(at(0));
+    isolated.reply(StoreReply::Refused, at(5));
+    assert!(waits_until(isolated.next(at(5))) <= Duration::from_millis(100));
 }
 
-/// A few balancers make sure for all nodes; the others call the store again only
-/// when they hear nobody.
+/// A few balancers check the list for all nodes; the other nodes call the store again
+/// only when they hear no balancer.
 #[test]
 fn a_node_that_hears_balancers_leaves_the_list_to_a_few() {
-    let mut list = BalancerDiscovery::new(1, true, at(0));
-    list.next(at(0));
-    list.reply(StoreReply::Balancers(vec![node(2)]), at(5));
-    list.set_need(ListNeed::Nothing, at(10));
-    assert!(waits_until(list.next(at(600_000))) > Duration::from_secs(600));
-    list.set_need(ListNeed::Urgent, at(600_000));
-    assert!(matches!(list.next(at(600_700)), NextCall::Now(_)));
+    let mut discovery = BalancerDiscovery::new(1, true, at(0));
+    discovery.next(at(0));
+    discovery.reply(StoreReply::Balancers(vec![node(2)]), at(5));
+    discovery.set_need(ListNeed::Nothing, at(10));
+    assert!(waits_until(discovery.next(at(600_000))) > Duration::from_secs(600));
+    discovery.set_need(ListNeed::Urgent, at(600_000));
+    assert!(matches!(discovery.next(at(600_700)), NextCall::Now(_)));
 }
 
 #[test]
-fn an_agent_that_is_greeted_soon_after_its_start_reads_no_list() {
-    let mut list = BalancerDiscovery::with_initial_delay(1, at(0));
-    assert!(waits_until(list.next(at(0))) >= Duration::from_millis(300));
-    list.set_need(ListNeed::Nothing, at(50));
-    assert!(waits_until(list.next(at(2000))) >= Duration::from_secs(15));
-    let mut alone = BalancerDiscovery::with_initial_delay(1, at(0));
-    alone.set_need(ListNeed::Urgent, at(50));
-    assert!(matches!(alone.next(at(600)), NextCall::Now(_)));
+fn an_agent_that_gets_a_hello_soon_after_its_start_reads_no_list() {
+    let mut discovery = BalancerDiscovery::with_initial_delay(1, at(0));
+    assert!(waits_until(discovery.next(at(0))) >= Duration::from_millis(300));
+    discovery.set_need(ListNeed::Nothing, at(50));
+    assert!(waits_until(discovery.next(at(2000))) >= Duration::from_secs(15));
+    let mut isolated = BalancerDiscovery::with_initial_delay(1, at(0));
+    isolated.set_need(ListNeed::Urgent, at(50));
+    assert!(matches!(isolated.next(at(600)), NextCall::Now(_)));
 }
 
 #[test]
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_balancer_that_is_no_longer_to_be_entered_lets_its_lease_run_out() {
+fn a_balancer_that_need_not_be_registered_lets_its_lease_expire() {
     let mut registration = BalancerRegistration::new(1, at(0));
     assert!(waits_until(registration.next(false, at(0))) > Duration::ZERO);
     registration.next(true, at(0));
@@ -295,10 +295,10 @@
     );
 }
 
-/// A node that has just started has nothing for its callers; one that others keep
-/// informed must not wake up for nothing.
+/// A node that has just started cannot do anything for its callers yet, so it polls
+/// often. Later, a node that others keep informed must not wake up needlessly.
 #[test]
-fn a_node_that_need_not_watch_looks_often_only_after_its_start() {
+fn a_node_that_need_not_watch_polls_often_only_after_its_start() {
     let mut watch = ConfigurationWatch::new(1, at(0));
     assert_eq!(watch.next(None, at(0)), NextCall::At(at(10)));
     assert_eq!(watch.next(None, at(1990)), NextCall::At(at(2000)));
