--- a/crates/woodladder-core/tests/flow_activation.rs
+++ b/crates/woodladder-core/tests/flow_activation.rs
@@ -1,4 +1,4 @@
-//! Under which configurations and settings the optional mechanisms act.
+//! Which configurations and settings activate the optional mechanisms.
 
 mod flow_support;
 
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn nothing_acts_for_patient_routes_of_one_priority_on_wide_links() {
-    let even = configuration(vec![route(1, 2, 10_000), route(2, 2, 10_000)]);
-    let active = ActiveMechanisms::at_balancer(&even, 250, Some(1_000_000));
+fn no_mechanism_is_active_with_long_timeouts_one_priority_and_fast_links() {
+    let uniform = configuration(vec![route(1, 2, 10_000), route(2, 2, 10_000)]);
+    let active = ActiveMechanisms::at_balancer(&uniform, 250, Some(1_000_000));
     assert_eq!(active, ActiveMechanisms::default());
 }
 
 #[test]
-fn flows_are_located_when_a_timeout_leaves_one_repetition_at_most() {
-    let patient = configuration(vec![route(1, 2, 3001)]);
-    let impatient = configuration(vec![route(1, 2, 3001), route(2, 2, 3000)]);
-    assert!(!ActiveMechanisms::at_balancer(&patient, 250, None).locates_flows);
-    assert!(ActiveMechanisms::at_balancer(&impatient, 250, None).locates_flows);
+fn flows_are_located_when_a_timeout_leaves_at_most_one_retransmission() {
+    let long_timeout = configuration(vec![route(1, 2, 3001)]);
+    let short_timeout = configuration(vec![route(1, 2, 3001), route(2, 2, 3000)]);
+    assert!(!ActiveMechanisms::at_balancer(&long_timeout, 250, None).locates_flows);
+    assert!(ActiveMechanisms::at_balancer(&short_timeout, 250, None).locates_flows);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     assert!(ActiveMechanisms::at_balancer(&shared, 250, None).orders_requests);
 }
 
-/// What routes share at other services is no matter of an agent's.
+/// An agent is not concerned by routes that share other services.
 #[test]
 fn an_agent_orders_requests_only_when_routes_share_its_own_service() {
     let elsewhere = |number, priority| Route {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_link_is_paced_when_it_is_full_before_the_processor_is() {
+fn a_link_is_paced_when_it_saturates_before_the_processor() {
     let any = configuration(vec![route(1, 2, 10_000)]);
     assert!(ActiveMechanisms::at_balancer(&any, 120, Some(10_000)).paces_link);
     assert!(!ActiveMechanisms::at_balancer(&any, 120, Some(200_000)).paces_link);
--- a/crates/woodladder-core/tests/flow_configuration.rs
+++ b/crates/woodladder-core/tests/flow_configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration moves forward only, from the store or from any node.
+//! The configuration version of a node never decreases, whether configurations come from
+//! the store or from other nodes.
 
 mod flow_support;
 
@@ -9,7 +10,7 @@
 };
 
 #[test]
-fn a_lesser_version_is_never_adopted() {
+fn an_older_version_is_never_adopted() {
     let mut balancer = empty_balancer();
     balancer.adopt_store_configuration(configuration(7));
     balancer.adopt_store_configuration(configuration(5));
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_balancer_cut_off_from_the_store_learns_a_version_from_an_agent() {
+fn a_balancer_without_the_store_learns_of_a_version_from_an_agent() {
     let mut balancer = balancer(&[2]);
     let mut ahead = report(2, 2);
     ahead.version = 4;
@@ -40,14 +41,14 @@
 }
 
 #[test]
-fn a_balancer_that_starts_without_the_store_learns_all_from_a_peer() {
+fn a_balancer_that_starts_without_the_store_gets_a_snapshot_from_a_peer() {
     let mut known = balancer(&[2]);
-    let greeting = peer_greeting();
+    let hello = peer_greeting();
     let mut starting = empty_balancer();
     let mut actions = Vec::new();
     starting.handle_message(
         node(5),
-        PeerMessage::Hello(greeting),
+        PeerMessage::Hello(hello),
         None,
         at(10),
         &mut actions,
@@ -56,14 +57,14 @@
         BalancerAction::FetchSnapshot { request, .. } => Some(*request),
         _ => None,
     });
-    let snapshot = known.answer_snapshot_request(&request.expect("a snapshot is asked for"));
+    let snapshot = known.answer_snapshot_request(&request.expect("a snapshot is requested"));
     actions.clear();
     starting.handle_snapshot(node(5), snapshot, at(20), &mut actions);
     assert_eq!(starting.routes().version(), 1);
-    let greets_agent = actions.iter().any(|action| {
+    let sends_hello_to_agent = actions.iter().any(|action| {
         matches!(action, BalancerAction::Send { to, message: PeerMessage::Hello(_) } if *to == node(2))
     });
-    assert!(greets_agent, "{actions:?}");
+    assert!(sends_hello_to_agent, "{actions:?}");
     assert_eq!(starting.check_ready(at(30)), Err(NotReadyReason::NoAgent));
     deliver_report(&mut starting, 2, &report(2, 1), at(40));
     assert_eq!(starting.check_ready(at(50)), Ok(()));
@@ -81,19 +82,19 @@
     );
 }
 
-fn greeting(has_agent_contact: bool) -> PeerMessage {
+fn hello(has_agent_contact: bool) -> PeerMessage {
     PeerMessage::Hello(BalancerHello {
         has_agent_contact,
         ..peer_greeting()
     })
 }
 
-/// Routers go on sending to a balancer that is ready, so one that hears no
-/// agent while others do must say so soon.
+/// Routers keep sending packets to a balancer that is ready. If it hears no agent while
+/// other balancers do, it must soon report that it is not ready.
 #[test]
 fn a_balancer_that_alone_hears_no_agent_is_soon_not_ready() {
     let mut balancer = balancer(&[2]);
-    deliver_message(&mut balancer, 5, greeting(true), at(10_250));
+    deliver_message(&mut balancer, 5, hello(true), at(10_250));
     assert_eq!(balancer.check_ready(at(10_299)), Ok(()));
     assert_eq!(
         balancer.check_ready(at(10_300)),
@@ -101,20 +102,21 @@
     );
 }
 
-/// The targets may be gone for all, and balancers may be cut off together.
+/// If no balancer hears an agent, either all targets are gone or the balancers are
+/// disconnected together.
 #[test]
 fn balancers_that_hear_no_agent_together_stay_ready_for_longer() {
     let mut balancer = balancer(&[2]);
     let mut readiness = Vec::new();
     for time in (10_000..11_600).step_by(250) {
-        deliver_message(&mut balancer, 5, greeting(false), at(time));
+        deliver_message(&mut balancer, 5, hello(false), at(time));
         readiness.push(balancer.check_ready(at(time)).is_ok());
     }
     assert_eq!(readiness, [true, true, true, true, false, false, false]);
 }
 
 #[test]
-fn open_flows_stay_where_they_are_when_their_route_leads_elsewhere() {
+fn open_flows_keep_their_target_when_their_route_changes() {
     let mut balancer = balancer(&[2]);
     let mut other = report(3, 1);
     other.service = other_service();
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn datagrams_that_are_no_messages_are_told_apart() {
+fn datagrams_that_are_not_messages_are_rejected_with_a_reason() {
     assert_eq!(
         PeerMessage::decode(&[]).err(),
         Some(MessageError::UnknownProtocol)
@@ -145,7 +147,7 @@
         assert_eq!(
             PeerMessage::decode(&whole[..length]).err(),
             Some(MessageError::Malformed),
-            "cut to {length}"
+            "truncated to {length} bytes"
         );
     }
     let (message, rest) = PeerMessage::decode(&whole).expect("whole");
@@ -155,20 +157,24 @@
     );
 }
 
-/// Both wait for the first configuration: an answer to each greeting would be
-/// a greeting again, without an end.
+/// Both balancers wait for their first configuration. If each answered a hello with a
+/// hello, they would do so without end.
 #[test]
-fn balancers_that_know_nothing_do_not_answer_each_others_greetings() {
+fn balancers_without_a_configuration_do_not_answer_each_others_hellos() {
     let mut balancer = empty_balancer();
-    let nothing = PeerMessage::Hello(BalancerHello {
+    let empty_hello = PeerMessage::Hello(BalancerHello {
         version: 0,
         has_agent_contact: false,
         ..peer_greeting()
     });
-    deliver_message(&mut balancer, 5, nothing.clone(), at(10));
-    let again = deliver_message(&mut balancer, 5, nothing.clone(), at(11));
+    deliver_message(&mut balancer, 5, empty_hello.clone(), at(10));
+    let again = deliver_message(&mut balancer, 5, empty_hello.clone(), at(11));
     assert!(again.is_empty(), "{again:?}");
     balancer.adopt_store_configuration(configuration(1));
-    let answer = deliver_message(&mut balancer, 5, nothing, at(12));
-    assert_eq!(answer.len(), 1, "it can tell something now: {answer:?}");
+    let answer = deliver_message(&mut balancer, 5, empty_hello, at(12));
+    assert_eq!(
+        answer.len(),
+        1,
+        "the balancer has a configuration to offer now: {answer:?}"
+    );
 }
--- a/crates/woodladder-core/tests/flow_dissemination.rs
+++ b/crates/woodladder-core/tests/flow_dissemination.rs
@@ -1,4 +1,4 @@
-//! How a configuration crosses between zones few times and still reaches all.
+//! How a configuration reaches all nodes with few transfers between zones.
 
 mod flow_support;
 
@@ -11,12 +11,12 @@
 use woodladder_core::flow::identity::{NodeAddress, ZoneKey};
 use woodladder_core::flow::message::{BalancerHello, PeerMessage, TargetReport};
 
-/// Balancers of the tests' zone.
+/// Number of balancers in the tested zone.
 const ZONE_SIZE: u8 = 20;
 /// Balancers of another zone.
 const FAR: [u8; 2] = [100, 101];
 
-fn greeting_of(zone: &str, version: u64) -> BalancerHello {
+fn hello_of(zone: &str, version: u64) -> BalancerHello {
     BalancerHello {
         zone: ZoneKey::named(zone),
         version,
@@ -41,24 +41,24 @@
     let mut balancer = Balancer::new(options, at(0));
     balancer.adopt_store_configuration(configuration(1));
     for other in (1..=ZONE_SIZE).filter(|other| *other != number) {
-        hear(&mut balancer, other, greeting_of("a", 1), 10_000);
-        // What it asked of those that it has just found.
+        deliver_hello(&mut balancer, other, hello_of("a", 1), 10_000);
+        // Ends the snapshot fetch that it started when it found this balancer.
         balancer.handle_snapshot_failure(node(other));
     }
     for far in FAR {
-        hear(&mut balancer, far, greeting_of("b", 1), 10_000);
+        deliver_hello(&mut balancer, far, hello_of("b", 1), 10_000);
         balancer.handle_snapshot_failure(node(far));
     }
     balancer
 }
 
-fn hear(
+fn deliver_hello(
     balancer: &mut Balancer,
     from: u8,
-    greeting: BalancerHello,
+    hello: BalancerHello,
     now: u64,
 ) -> Vec<BalancerAction> {
-    deliver_message(balancer, from, PeerMessage::Hello(greeting), at(now))
+    deliver_message(balancer, from, PeerMessage::Hello(hello), at(now))
 }
 
 fn fetches_from(actions: &[BalancerAction], node: NodeAddress) -> bool {
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn only_the_first_of_a_zone_fetch_from_another_at_once() {
+fn only_three_balancers_of_a_zone_fetch_from_another_zone_at_once() {
     let fetching = zone()
-        .map(|mut balancer| hear(&mut balancer, 100, greeting_of("b", 2), 10_100))
+        .map(|mut balancer| deliver_hello(&mut balancer, 100, hello_of("b", 2), 10_100))
         .filter(|actions| fetches_from(actions, node(100)))
         .count();
     assert_eq!(fetching, 3);
 }
 
 #[test]
-fn the_others_fetch_from_their_own_zone_or_after_a_moment_from_anywhere() {
+fn the_others_fetch_from_their_own_zone_at_once_or_from_any_zone_after_a_delay() {
     let waits = |(_, balancer): &mut (u8, Balancer)| {
-        let actions = hear(balancer, 100, greeting_of("b", 2), 10_100);
+        let actions = deliver_hello(balancer, 100, hello_of("b", 2), 10_100);
         !fetches_from(&actions, node(100))
     };
     let mut others: Vec<(u8, Balancer)> = (1..=ZONE_SIZE).zip(zone()).collect();
@@ -88,21 +88,21 @@
     let later = 10_100 + u64::try_from(OTHER_ZONE_FETCH_DELAY.as_millis()).expect("time");
     for (number, mut balancer) in others {
         let mut asks_near = balancer.clone();
-        let neighbour = number % ZONE_SIZE + 1;
-        let actions = hear(&mut asks_near, neighbour, greeting_of("a", 2), 10_150);
-        assert!(fetches_from(&actions, node(neighbour)));
-        let actions = hear(&mut balancer, 101, greeting_of("b", 2), later - 1);
+        let neighbor = number % ZONE_SIZE + 1;
+        let actions = deliver_hello(&mut asks_near, neighbor, hello_of("a", 2), 10_150);
+        assert!(fetches_from(&actions, node(neighbor)));
+        let actions = deliver_hello(&mut balancer, 101, hello_of("b", 2), later - 1);
         assert!(!fetches_from(&actions, node(101)));
-        let actions = hear(&mut balancer, 101, greeting_of("b", 2), later);
+        let actions = deliver_hello(&mut balancer, 101, hello_of("b", 2), later);
         assert!(fetches_from(&actions, node(101)));
     }
 }
 
-/// Agents are greeted rarely in a large fleet, so each of a zone is told by one of
-/// its balancers as soon as that one knows.
+/// Agents rarely get a hello in a large fleet, so one balancer of the zone informs each
+/// of them as soon as it knows the new version.
 #[test]
-fn each_agent_of_a_zone_is_told_by_one_of_its_balancers() {
-    let mut told = vec![0; 10];
+fn each_agent_of_a_zone_is_informed_by_one_of_its_balancers() {
+    let mut hellos_received = vec![0; 10];
     for mut balancer in zone() {
         for agent in 0..10 {
             let report = TargetReport {
@@ -118,16 +118,16 @@
         for action in actions {
             if let BalancerAction::Send {
                 to,
-                message: PeerMessage::Hello(greeting),
+                message: PeerMessage::Hello(hello),
             } = action
             {
                 let number = to.ip().octets()[3];
                 if (150..160).contains(&number) {
-                    assert_eq!(greeting.version, 2);
-                    told[usize::from(number - 150)] += 1;
+                    assert_eq!(hello.version, 2);
+                    hellos_received[usize::from(number - 150)] += 1;
                 }
             }
         }
     }
-    assert_eq!(told, vec![1; 10]);
+    assert_eq!(hellos_received, vec![1; 10]);
 }
--- a/crates/woodladder-core/tests/flow_distance.rs
+++ b/crates/woodladder-core/tests/flow_distance.rs
@@ -1,4 +1,4 @@
-//! Distance: flows that bring many bytes stay in their zone for longer.
+//! Flows that carry many bytes stay in their zone up to a higher load.
 
 mod flow_support;
 
@@ -13,9 +13,9 @@
 /// Machine of the target in another zone.
 const FAR: u8 = 3;
 
-/// A balancer whose near target of seven slots has `busy` requests at work,
-/// while the far one is idle.
-fn balancer_with_busy_neighbour(busy: u16) -> Balancer {
+/// A balancer whose near target of seven slots has `busy` requests in progress, while the
+/// far one is idle.
+fn balancer_with_busy_near_target(busy: u16) -> Balancer {
     let mut balancer = balancer(&[NEAR]);
     let mut near = report(NEAR, 2);
     near.load.busy = busy;
@@ -28,8 +28,8 @@
     balancer
 }
 
-/// Lets the route's flows bring this many packets of 1,200 bytes each.
-fn bring(balancer: &mut Balancer, packets: u16) {
+/// Makes the route's flows carry this many packets of 1,200 bytes each.
+fn carry_bytes(balancer: &mut Balancer, packets: u16) {
     const BYTES: [u8; 1200] = [0; 1200];
     let first = opening(flow(1), 0);
     balancer.route_caller_packet(&first, &BYTES, at(10_001));
@@ -38,7 +38,7 @@
     }
 }
 
-fn chosen(balancer: &mut Balancer, port: u16) -> NodeAddress {
+fn select_target(balancer: &mut Balancer, port: u16) -> NodeAddress {
     receivers(&deliver_caller_packet(
         balancer,
         &opening(flow(port), 0),
@@ -48,23 +48,23 @@
 
 #[test]
 fn a_flow_of_few_bytes_goes_to_the_less_loaded_target_of_another_zone() {
-    let mut balancer = balancer_with_busy_neighbour(3);
-    bring(&mut balancer, 1);
-    assert_eq!(chosen(&mut balancer, 2), node(FAR));
+    let mut balancer = balancer_with_busy_near_target(3);
+    carry_bytes(&mut balancer, 1);
+    assert_eq!(select_target(&mut balancer, 2), node(FAR));
 }
 
 #[test]
 fn a_flow_of_many_bytes_stays_in_its_zone_while_a_slot_is_free() {
-    let mut balancer = balancer_with_busy_neighbour(3);
-    bring(&mut balancer, 30);
-    assert_eq!(chosen(&mut balancer, 2), node(NEAR));
+    let mut balancer = balancer_with_busy_near_target(3);
+    carry_bytes(&mut balancer, 30);
+    assert_eq!(select_target(&mut balancer, 2), node(NEAR));
 }
 
 #[test]
-fn a_full_target_is_left_alone_however_many_bytes_a_flow_brings() {
-    let mut balancer = balancer_with_busy_neighbour(14);
-    bring(&mut balancer, 2000);
-    assert_eq!(chosen(&mut balancer, 2), node(FAR));
+fn a_full_target_gets_no_flow_however_many_bytes_the_flow_carries() {
+    let mut balancer = balancer_with_busy_near_target(14);
+    carry_bytes(&mut balancer, 2000);
+    assert_eq!(select_target(&mut balancer, 2), node(FAR));
 }
 
 #[test]
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_route_that_is_gone_is_forgotten() {
+fn a_removed_route_is_forgotten() {
     let mut traffic = RouteTraffic::default();
     traffic.count_flow(route_address(1));
     traffic.count_bytes(route_address(1), 900);
--- a/crates/woodladder-core/tests/flow_exploration_world/mod.rs
+++ b/crates/woodladder-core/tests/flow_exploration_world/mod.rs
@@ -1,4 +1,4 @@
-//! The small world that `flow_gone_exploration` explores.
+//! The small world whose states `flow_gone_exploration` explores.
 #![allow(dead_code)]
 
 use super::flow_support::*;
@@ -12,29 +12,29 @@
 use woodladder_core::flow::message::{ForwardHeader, PeerMessage, Snapshot};
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 
-/// Machines of the agents.
+/// Machines of the two agents.
 const AGENTS: [u8; 2] = [2, 3];
 /// Machine of the agent whose target may hold the flow.
 pub const HOLDER: u8 = 2;
 /// Machine of the other agent.
 pub const OTHER: u8 = 3;
 /// Time between two ticks, in milliseconds.
-const TICK: u64 = 130;
-/// Ticks in a course.
+const TICK_MS: u64 = 130;
+/// Ticks in one explored sequence.
 pub const TICKS: u32 = 2;
 
-/// A message under way.
+/// A message in transit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A packet of the flow, from the balancer to an agent.
+    /// A packet of the flow from the balancer to an agent.
     Packet(u8, ForwardHeader),
-    /// Another message of the balancer to an agent.
+    /// Any other message from the balancer to an agent.
     ToAgent(u8, PeerMessage),
-    /// A message of an agent to the balancer, and whether the packet follows.
+    /// A message from an agent to the balancer, and whether the packet follows.
     ToBalancer(u8, PeerMessage, bool),
 }
 
-/// The machines and what is under way between them.
+/// The nodes and the messages in transit between them.
 #[derive(Clone, Debug)]
 pub struct World {
     pub balancer: Balancer,
@@ -45,25 +45,25 @@
     pub repetitions_left: u32,
     pub losses_left: u32,
     pub restarts_left: u32,
-    /// Whether the holder's target has the flow.
+    /// Whether the holder's target holds the flow.
     pub is_held: bool,
-    /// Whether the flow was reset.
+    /// Whether the balancer has reset the flow.
     pub was_reset: bool,
     pub reports: u64,
-    /// What agents tell of their flows; `None` where they tell nothing.
+    /// What agents announce about their flows; `None` if they announce nothing.
     pub announcements: Option<FlowAnnouncements>,
 }
 
-/// What agents tell of their flows, and whether they say that they know all of them.
+/// What agents announce about their flows, and whether they claim to know all of them.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowAnnouncements {
-    /// The agent that tells the flow, rightly or wrongly.
+    /// The agent that announces the flow, whether or not its target holds it.
     pub announcer: Option<u8>,
-    /// Whether reports say that the agents know all flows.
+    /// Whether the agents report that they know all flows.
     pub know_all: bool,
 }
 
-/// An agent on a machine, in one of its starts.
+/// An agent on a machine, in the given epoch.
 pub fn agent_on(number: u8, epoch: u64, now: u64) -> Agent {
     let options = AgentOptions {
         address: node(number),
@@ -84,12 +84,12 @@
 }
 
 impl World {
-    /// A world in which the holder's agent knows the flow, or nobody does.
+    /// A world in which the holder's target has the flow, or no target has it.
     pub fn new(is_held: bool) -> Self {
         Self::with_announcements(is_held, None)
     }
 
-    /// The same, where agents tell their flows.
+    /// Like [`Self::new`], with agents that announce their flows.
     pub fn with_announcements(is_held: bool, announcements: Option<FlowAnnouncements>) -> Self {
         let agents = AGENTS.map(|number| {
             let mut agent = agent_on(number, u64::from(number), 0);
@@ -140,18 +140,18 @@
         usize::from(number - AGENTS[0])
     }
 
-    /// Each agent's report arrives: both are heard throughout.
+    /// Delivers a report of each agent, so that neither ever counts as silent.
     fn report_all(&mut self) {
         self.reports += 1;
         for number in AGENTS {
-            let mut told = report(number, self.reports);
-            told.epoch = 100;
+            let mut target_report = report(number, self.reports);
+            target_report.epoch = 100;
             let message = match self.announcements {
-                None => PeerMessage::Report(told),
-                Some(telling) => {
-                    told.knows_all_flows = telling.know_all;
-                    let tells = telling.announcer == Some(number);
-                    let open = tells.then(|| FlowFingerprint::of(&flow(1)));
+                None => PeerMessage::Report(target_report),
+                Some(announcements) => {
+                    target_report.knows_all_flows = announcements.know_all;
+                    let announces = announcements.announcer == Some(number);
+                    let open = announces.then(|| FlowFingerprint::of(&flow(1)));
                     let flows = FlowAnnouncement {
                         coverage: AnnouncementCoverage::Complete,
                         base_change: 0,
@@ -160,13 +160,13 @@
                         closed: Vec::new(),
                     };
                     PeerMessage::ReportWithFlows {
-                        report: told,
+                        report: target_report,
                         flows,
                     }
                 }
             };
             let actions = deliver_message(&mut self.balancer, number, message, at(self.now));
-            self.carry_out(actions);
+            self.apply_actions(actions);
         }
     }
 
@@ -184,24 +184,25 @@
     }
 
     fn send_packet(&mut self, agent: u8, header: ForwardHeader) {
-        self.put_under_way(Message::Packet(agent, header));
+        self.send(Message::Packet(agent, header));
     }
 
-    /// A message that equals one under way adds nothing but its repetition.
-    fn put_under_way(&mut self, message: Message) {
+    /// Adds a message unless an equal one is in transit already: a duplicate leads to no
+    /// other state than a repetition of the first.
+    fn send(&mut self, message: Message) {
         if !self.under_way.contains(&message) {
             self.under_way.push(message);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<BalancerAction>) {
+    fn apply_actions(&mut self, actions: Vec<BalancerAction>) {
         for action in actions {
             match action {
                 BalancerAction::Send { to, message } => {
                     let number = to.ip().octets()[3];
-                    // Greetings and probes have no part in the proof.
+                    // Hellos and probes do not affect what is checked.
                     if AGENTS.contains(&number) && matches!(message, PeerMessage::Locate { .. }) {
-                        self.put_under_way(Message::ToAgent(number, message));
+                        self.send(Message::ToAgent(number, message));
                     }
                 }
                 BalancerAction::Forward { to, header, .. } => {
@@ -214,9 +215,8 @@
         }
     }
 
-    /// The target of an agent gets the caller's packet and answers it, or gives
-    /// it back.
-    fn target_takes(&mut self, number: u8) {
+    /// Delivers the caller's packet to an agent's target, which answers it or returns it.
+    fn deliver_to_target(&mut self, number: u8) {
         let holds = self.is_held && number == HOLDER;
         let now = at(self.now);
         let agent = &mut self.agents[Self::index(number)];
@@ -228,12 +228,12 @@
         };
         match departure {
             TargetPacketDecision::ToCaller(Some((_, message))) => {
-                self.put_under_way(Message::ToBalancer(number, message, false));
+                self.send(Message::ToBalancer(number, message, false));
             }
             TargetPacketDecision::ToCaller(None) => {}
             TargetPacketDecision::Returned { message, body, .. } => {
                 let follows = body == ReplyBody::Packet;
-                self.put_under_way(Message::ToBalancer(number, message, follows));
+                self.send(Message::ToBalancer(number, message, follows));
             }
         }
     }
@@ -246,13 +246,13 @@
                 match forward_to(agent, &header, &request(), now) {
                     ForwardDecision::Deliver { reply, .. } => {
                         if let Some(message) = reply {
-                            self.put_under_way(Message::ToBalancer(number, message, false));
+                            self.send(Message::ToBalancer(number, message, false));
                         }
-                        self.target_takes(number);
+                        self.deliver_to_target(number);
                     }
                     ForwardDecision::Reply(message, body) => {
                         let follows = body == ReplyBody::Packet;
-                        self.put_under_way(Message::ToBalancer(number, message, follows));
+                        self.send(Message::ToBalancer(number, message, follows));
                     }
                     ForwardDecision::Queued(_) | ForwardDecision::Drop => {}
                 }
@@ -267,7 +267,7 @@
                 );
                 for action in actions {
                     if let AgentAction::Send { message, .. } = action {
-                        self.put_under_way(Message::ToBalancer(number, message, false));
+                        self.send(Message::ToBalancer(number, message, false));
                     }
                 }
             }
@@ -283,21 +283,21 @@
                 } else {
                     deliver_message(&mut self.balancer, number, message, now)
                 };
-                self.carry_out(actions);
+                self.apply_actions(actions);
             }
         }
     }
 
     pub fn tick(&mut self) {
         self.ticks_left -= 1;
-        self.now += TICK;
+        self.now += TICK_MS;
         self.report_all();
         let mut actions = Vec::new();
         self.balancer.tick(at(self.now), &mut actions);
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
-    /// The holder's agent restarts; its target runs on and sends a heartbeat.
+    /// Restarts the holder's agent. Its target continues to run and sends a heartbeat.
     pub fn restart_agent(&mut self) {
         self.restarts_left -= 1;
         let mut agent = agent_on(HOLDER, 50, self.now);
@@ -307,7 +307,7 @@
         self.agents[Self::index(HOLDER)] = agent;
     }
 
-    /// Every world that can come next.
+    /// All worlds that can follow this one in one step.
     pub fn next(&self) -> Vec<Self> {
         let mut worlds = Vec::new();
         for index in 0..self.under_way.len() {
@@ -337,7 +337,7 @@
         worlds
     }
 
-    /// What tells states apart: the machines, and the messages in any order.
+    /// A hash that identifies the state: the nodes, and the messages in any order.
     pub fn fingerprint(&self) -> u64 {
         let mut under_way: Vec<String> = self
             .under_way
@@ -364,7 +364,7 @@
     }
 }
 
-/// A machine's text without its running totals, by which nothing is decided.
+/// The debug text of a node without its counters, which influence no decision.
 fn without_counters(text: &str) -> String {
     let mut parts = text.split("Counters {");
     let mut kept = parts.next().unwrap_or_default().to_owned();
--- a/crates/woodladder-core/tests/flow_foreign_bytes.rs
+++ b/crates/woodladder-core/tests/flow_foreign_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes that no node of this version has written: datagrams and snapshots are read
-//! whole or refused, and what a damaged one says by chance breaks nothing.
+//! Damaged or foreign input: datagrams and snapshots are decoded as a whole or rejected,
+//! and one that decodes to wrong content by chance does no harm.
 
 mod flow_support;
 
@@ -22,12 +22,12 @@
     borsh::to_vec(&snapshot).expect("a value")
 }
 
-/// Bytes of which one is changed, or of which the end is missing.
+/// A byte string in which one byte is changed, or whose end is cut off.
 fn damaged(whole: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
     let length = whole.len();
-    (0..length, any::<u8>(), any::<bool>()).prop_map(move |(at, value, cuts)| {
+    (0..length, any::<u8>(), any::<bool>()).prop_map(move |(at, value, is_truncated)| {
         let mut bytes = whole.clone();
-        if cuts {
+        if is_truncated {
             bytes.truncate(at);
         } else {
             bytes[at] = value;
@@ -38,14 +38,14 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _read = PeerMessage::decode(&bytes).is_ok();
         let _read = borsh::from_slice::<Snapshot>(&bytes).is_ok();
         let _read = borsh::from_slice::<SnapshotRequest>(&bytes).is_ok();
     }
 
     #[test]
-    fn a_snapshot_that_was_cut_off_is_refused(end in 0..whole_snapshot().len()) {
+    fn a_truncated_snapshot_is_rejected(end in 0..whole_snapshot().len()) {
         let bytes = &whole_snapshot()[..end];
         prop_assert!(borsh::from_slice::<Snapshot>(bytes).is_err());
     }
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn a_damaged_snapshot_does_not_take_an_earlier_configurations_place(
+    fn a_damaged_snapshot_does_not_replace_a_newer_configuration(
         bytes in damaged(whole_snapshot()),
     ) {
         let mut agent = agent();
--- a/crates/woodladder-core/tests/flow_route_terms.rs
+++ b/crates/woodladder-core/tests/flow_route_terms.rs
@@ -1,4 +1,4 @@
-//! What balancers say of openings by the routes that they are for.
+//! The terms that balancers send with openings, derived from their routes.
 
 mod flow_support;
 
@@ -10,10 +10,10 @@
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::message::{ForwardPurpose, OpeningTerms, TargetReport, TargetState};
 
-/// Route whose requests matter more than those of route 1.
+/// Route with a higher priority than route 1.
 const URGENT_ROUTE: u8 = 2;
 /// Route whose requests may take longer than those of route 1.
-const PATIENT_ROUTE: u8 = 3;
+const RELAXED_ROUTE: u8 = 3;
 
 fn route(number: u8, priority: u8, aim_ms: u32) -> Route {
     Route {
@@ -56,43 +56,43 @@
 }
 
 #[test]
-fn an_opening_matters_more_when_another_route_of_its_service_matters_less() {
+fn an_opening_is_urgent_when_another_route_of_its_service_has_a_lower_priority() {
     let routes = vec![
         route(1, 2, 300),
         route(URGENT_ROUTE, 1, 300),
-        route(PATIENT_ROUTE, 2, 800),
+        route(RELAXED_ROUTE, 2, 800),
     ];
     let mut balancer = balancer_of(routes);
     assert!(!terms_on(&mut balancer, 1, 1).is_urgent);
     assert!(terms_on(&mut balancer, URGENT_ROUTE, 2).is_urgent);
-    assert!(!terms_on(&mut balancer, PATIENT_ROUTE, 3).is_urgent);
+    assert!(!terms_on(&mut balancer, RELAXED_ROUTE, 3).is_urgent);
 }
 
 #[test]
-fn an_opening_is_late_by_the_time_that_its_own_route_allows() {
-    let mut balancer = balancer_of(vec![route(1, 2, 300), route(PATIENT_ROUTE, 2, 800)]);
+fn an_opening_states_the_response_time_goal_of_its_own_route() {
+    let mut balancer = balancer_of(vec![route(1, 2, 300), route(RELAXED_ROUTE, 2, 800)]);
     assert_eq!(terms_on(&mut balancer, 1, 1).aim_ms, 300);
-    assert_eq!(terms_on(&mut balancer, PATIENT_ROUTE, 2).aim_ms, 800);
+    assert_eq!(terms_on(&mut balancer, RELAXED_ROUTE, 2).aim_ms, 800);
 }
 
 #[test]
-fn routes_of_one_importance_are_all_alike() {
-    let mut balancer = balancer_of(vec![route(1, 2, 300), route(PATIENT_ROUTE, 2, 800)]);
+fn no_opening_is_urgent_when_all_routes_have_one_priority() {
+    let mut balancer = balancer_of(vec![route(1, 2, 300), route(RELAXED_ROUTE, 2, 800)]);
     assert!(!terms_on(&mut balancer, 1, 1).is_urgent);
-    assert!(!terms_on(&mut balancer, PATIENT_ROUTE, 2).is_urgent);
+    assert!(!terms_on(&mut balancer, RELAXED_ROUTE, 2).is_urgent);
 }
 
 #[test]
 fn an_opening_without_a_target_is_refused_when_its_answer_would_be_too_late() {
-    let mut hurried = route(1, 2, 300);
-    hurried.terms.timeout_ms = 500;
-    let mut balancer = balancer_of(vec![hurried, route(PATIENT_ROUTE, 2, 300)]);
+    let mut short_timeout_route = route(1, 2, 300);
+    short_timeout_route.terms.timeout_ms = 500;
+    let mut balancer = balancer_of(vec![short_timeout_route, route(RELAXED_ROUTE, 2, 300)]);
     let leaving = TargetReport {
         state: TargetState::Leaving,
         ..report(2, 2)
     };
     deliver_report(&mut balancer, 2, &leaving, at(10_000));
-    for number in [1, PATIENT_ROUTE] {
+    for number in [1, RELAXED_ROUTE] {
         let key = FlowKey {
             service: route_address(number),
             ..flow(9)
--- a/crates/woodladder-core/tests/flow_support/mod.rs
+++ b/crates/woodladder-core/tests/flow_support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests of the carrier without tokens.
+//! Builders and helpers that the tests of flow load balancing share.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -19,37 +19,37 @@
 };
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
 
-/// Processor of the tests' balancers, in thousandths of a core.
+/// Processor of the balancers in these tests, in thousandths of a core.
 pub const CAPACITY: u32 = 500;
-/// Port of nodes towards each other.
+/// Port for messages between nodes.
 const PEER_PORT: u16 = 7000;
 
-/// Milliseconds after the clock's origin.
+/// The instant this many milliseconds after the clock's origin.
 pub fn at(milliseconds: u64) -> Instant {
     Instant::from_origin(Duration::from_millis(milliseconds))
 }
 
-/// The node on the machine with this number.
+/// Address of the node on the machine with this number.
 pub fn node(number: u8) -> NodeAddress {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), PEER_PORT)
 }
 
-/// The address of the route with this number.
+/// Address of the route with this number.
 pub fn route_address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, number), 443)
 }
 
-/// The service that the tests use.
+/// The service that most tests use.
 pub fn main_service() -> ServiceKey {
     ServiceKey::named("kitchen")
 }
 
-/// A service whose packets must not reach [`main_service`].
+/// Another service, whose packets must not reach [`main_service`].
 pub fn other_service() -> ServiceKey {
     ServiceKey::named("print")
 }
 
-/// A flow from the caller's port to the first route.
+/// A flow from this port of the caller to the first route.
 pub fn flow(port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), port),
@@ -57,17 +57,16 @@
     }
 }
 
-/// An opening, with the number of copies before it.
+/// An opening that was retransmitted `copy` times before.
 pub fn opening(key: FlowKey, copy: u32) -> FlowPacket {
     packet(key, PacketKind::Open, 1000, copy, 0)
 }
 
-/// Data of the caller.
+/// A data packet from the caller.
 pub fn data(key: FlowKey, sequence: u32, acknowledgement: u32) -> FlowPacket {
     packet(key, PacketKind::Data, sequence, acknowledgement, 100)
 }
 
-/// A packet.
 pub fn packet(
     key: FlowKey,
     kind: PacketKind,
@@ -110,7 +109,7 @@
     })
 }
 
-/// A balancer on machine 1 that knows nothing.
+/// A balancer on machine 1 without a configuration.
 pub fn empty_balancer() -> Balancer {
     let options = BalancerOptions {
         address: node(1),
@@ -123,7 +122,7 @@
     Balancer::new(options, at(0))
 }
 
-/// A balancer with room for many flows and a configuration.
+/// A balancer with a configuration and a large flow table.
 pub fn large_table_balancer() -> Balancer {
     let options = BalancerOptions {
         address: node(1),
@@ -138,8 +137,8 @@
     balancer
 }
 
-/// A balancer on machine 1 with a configuration and agents that are ready, as
-/// it is ten seconds after its start.
+/// A balancer on machine 1 with a configuration and ready agents, ten seconds after its
+/// start.
 pub fn balancer(agents: &[u8]) -> Balancer {
     let mut balancer = empty_balancer();
     balancer.adopt_store_configuration(configuration(1));
@@ -169,7 +168,7 @@
     }
 }
 
-/// Gives a report to a balancer.
+/// Delivers an agent's report to a balancer.
 pub fn deliver_report(
     balancer: &mut Balancer,
     agent: u8,
@@ -179,7 +178,7 @@
     deliver_message(balancer, agent, PeerMessage::Report(*report), now)
 }
 
-/// Gives a message without a packet to a balancer.
+/// Delivers a message without a packet to a balancer.
 pub fn deliver_message(
     balancer: &mut Balancer,
     agent: u8,
@@ -191,7 +190,7 @@
     actions
 }
 
-/// Gives a message with a packet to a balancer.
+/// Delivers a message that carries a packet to a balancer.
 pub fn deliver_message_with_packet(
     balancer: &mut Balancer,
     agent: u8,
@@ -210,7 +209,7 @@
     actions
 }
 
-/// Agents that a packet goes to.
+/// Agents that a packet is sent to.
 pub fn receivers(routing: &Routing) -> Vec<NodeAddress> {
     match routing {
         Routing::One { to, .. } => vec![*to],
@@ -220,7 +219,7 @@
     }
 }
 
-/// An agent of [`main_service`] on machine 9 that knows nothing.
+/// An agent of [`main_service`] on machine 9 that has heard nothing yet.
 pub fn empty_agent() -> Agent {
     let options = AgentOptions {
         address: node(9),
@@ -235,7 +234,7 @@
     Agent::new(options, at(0))
 }
 
-/// An agent whose target began with it.
+/// An agent whose target started together with it.
 pub fn agent() -> Agent {
     let mut agent = empty_agent();
     agent
@@ -258,7 +257,7 @@
     }
 }
 
-/// A header of a balancer with a version.
+/// A header for a packet that a balancer with this configuration version forwards.
 pub fn header(version: u64, purpose: ForwardPurpose) -> ForwardHeader {
     ForwardHeader {
         service: main_service(),
@@ -267,8 +266,7 @@
     }
 }
 
-/// What a balancer says of an opening that has just come, while it knows no
-/// load.
+/// An opening that has just arrived, at a balancer that does not know the target's load.
 pub fn opening_terms() -> OpeningTerms {
     OpeningTerms {
         age_ms: 0,
@@ -279,7 +277,7 @@
     }
 }
 
-/// Gives an agent a packet that balancer 1 forwards.
+/// Delivers to an agent a packet that balancer 1 forwards.
 pub fn forward_to(
     agent: &mut Agent,
     header: &ForwardHeader,
@@ -289,7 +287,7 @@
     forward_from(agent, 1, header, packet, now)
 }
 
-/// Gives an agent a packet that a balancer forwards.
+/// Delivers to an agent a packet that a balancer forwards.
 pub fn forward_from(
     agent: &mut Agent,
     balancer: u8,
@@ -300,12 +298,12 @@
     agent.handle_forwarded_packet(node(balancer), header, packet, b"packet", now)
 }
 
-/// A header of an opening.
+/// A header for an opening.
 pub fn open_header(version: u64) -> ForwardHeader {
     header(version, ForwardPurpose::Open(opening_terms()))
 }
 
-/// Whether a packet reaches the target.
+/// Whether a packet is delivered to the target.
 pub fn is_delivered(delivery: &ForwardDecision) -> bool {
     matches!(delivery, ForwardDecision::Deliver { .. })
 }
@@ -322,7 +320,7 @@
     assert!(is_delivered(&delivery), "{delivery:?}");
 }
 
-/// Gives a caller's packet to a balancer.
+/// Delivers a caller's packet to a balancer.
 pub fn deliver_caller_packet(
     balancer: &mut Balancer,
     packet: &FlowPacket,
@@ -331,8 +329,7 @@
     balancer.route_caller_packet(packet, b"packet", now)
 }
 
-/// A greeting of another balancer of the same zone and size, which knows the
-/// first version.
+/// A hello of another balancer of the same zone and size, which uses version 1.
 pub fn peer_greeting() -> BalancerHello {
     BalancerHello {
         version: 1,
--- a/crates/woodladder-core/tests/flow_tick_interval.rs
+++ b/crates/woodladder-core/tests/flow_tick_interval.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_agent_that_has_met_a_balancer_reports_with_a_tick_that_comes_soon() {
+fn an_agent_that_has_found_a_balancer_reports_with_an_early_tick() {
     let mut agent = agent();
     agent.tick(at(10_000), &mut Vec::new());
     agent.add_listed_balancers(&[node(1)], at(10_001));
