--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -59,10 +59,10 @@
         /// Why the packet was returned.
         reason: ReturnReason,
     },
-    /// All targets of the route are asked which of them holds a flow.
+    /// A search for the target that holds a flow has started.
     SearchStarted {
         key: FlowKey,
-        /// Number of agents asked.
+        /// Agents that are asked at the start of the search.
         asked: usize,
     },
     /// The target that holds a searched flow was found.
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -28,7 +28,7 @@
     Open(OpeningTerms),
     /// The balancer believes that the agent's target holds the flow.
     Established,
-    /// The balancer does not know where the flow is held and asks this agent too.
+    /// The balancer searches for the flow, which the agent's target may hold.
     Search,
 }
 
--- a/crates/woodladder-core/src/flow/route_traffic.rs
+++ b/crates/woodladder-core/src/flow/route_traffic.rs
@@ -1,7 +1,7 @@
 //! Bytes per flow of each route, as a balancer observes them.
 //!
 //! Keeping a flow in its zone pays more the more bytes it carries. Older flows count for
-//! less: the totals of a route are halved after every [`WINDOW_FLOWS`] new flows.
+//! less: the totals of a route are halved whenever its flow count reaches `WINDOW_FLOWS`.
 
 use std::net::SocketAddrV4;
 
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -211,8 +211,8 @@
     }
 }
 
-/// The median work per idle flow, in slots, if it is much higher than the median at a
-/// fifth or more of the targets.
+/// The median work per idle flow, in slots, if a fifth or more of the targets need much
+/// more work per idle flow than the median.
 fn uneven_work_per_idle_flow(records: &[&AgentRecord]) -> Option<f64> {
     let mut known: Vec<f64> = records
         .iter()
