--- a/crates/woodladder-core/src/packets/envelope.rs
+++ b/crates/woodladder-core/src/packets/envelope.rs
@@ -82,7 +82,7 @@
 impl NewFlowRoute {
     /// The hop that the envelope is sent to.
     #[must_use]
-    pub fn current(&self) -> Option<&Hop> {
+    pub fn current_hop(&self) -> Option<&Hop> {
         self.hops.get(usize::from(self.position))
     }
 }
@@ -94,7 +94,7 @@
     pub fn target(&self) -> Option<TargetId> {
         match &self.route {
             Route::Established(target) => Some(*target),
-            Route::NewFlow(first) => first.current().map(|hop| hop.target),
+            Route::NewFlow(first) => first.current_hop().map(|hop| hop.target),
             Route::Relay(_) => None,
         }
     }
@@ -144,7 +144,7 @@
         let Route::NewFlow(first) = &self.route else {
             return Ok(());
         };
-        if first.hops.len() > MAXIMUM_HOPS || first.current().is_none() {
+        if first.hops.len() > MAXIMUM_HOPS || first.current_hop().is_none() {
             return Err(EnvelopeError::Malformed);
         }
         Ok(())
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -1,186 +1,194 @@
 //! The choice among the targets on a hop list.
 //!
-//! Targets are asked in the order of the list. One with little load takes the
-//! flow; others state their load in their hop and hand on. The last to be asked
-//! takes the flow unless one before it stated less; then it sends the flow back
-//! there with the order to take or refuse it. A hop that was asked and states
-//! no load does not want the flow and never gets it back. When no target on the
-//! list can take the flow, it goes to one that the own directory names.
+//! Targets are asked in the order of the list. A target with little load
+//! accepts the flow; others state their load in their hop and hand the flow on.
+//! The last target asked accepts the flow, unless an earlier one stated less
+//! load: then the flow goes back there with the order to accept or refuse it.
+//! A target that was asked and states no load cannot accept the flow and never
+//! gets it back. When no target on the list can accept the flow, it goes to
+//! another one from this agent's routing table.
 
 use crate::packets::envelope::{Envelope, NewFlowRoute};
 use crate::packets::hop_list::{self, Hop, Load, MAXIMUM_HOPS};
 use crate::packets::routing_table::RoutingTable;
 
 use super::options::AdmissionOptions;
-use super::verdict::RefuseReason;
+use super::verdict::FlowRefusalReason;
 
 /// What a target does with a new flow.
 #[derive(Clone, Debug)]
 pub(super) enum Choice {
-    Take,
+    Accept,
     HandOn { to: Hop, route: NewFlowRoute },
-    Decline(RefuseReason),
+    Decline(FlowRefusalReason),
 }
 
-/// A target's place on a hop list.
+/// What an agent knows when it chooses: the hop list with its own place on it,
+/// its load and its routing table.
 #[derive(Clone, Debug)]
-pub(super) struct Position<'a> {
+pub(super) struct ChoiceContext<'a> {
     route: &'a NewFlowRoute,
     index: usize,
-    flow: u64,
+    flow_hash: u64,
     load: Load,
-    obstacle: Option<RefuseReason>,
-    directory: &'a RoutingTable,
+    refusal_reason: Option<FlowRefusalReason>,
+    routing_table: &'a RoutingTable,
     envelope: &'a Envelope,
 }
 
-impl<'a> Position<'a> {
+impl<'a> ChoiceContext<'a> {
     pub(super) fn new(
         route: &'a NewFlowRoute,
-        flow: u64,
+        flow_hash: u64,
         load: Load,
-        obstacle: Option<RefuseReason>,
-        directory: &'a RoutingTable,
+        refusal_reason: Option<FlowRefusalReason>,
+        routing_table: &'a RoutingTable,
         envelope: &'a Envelope,
     ) -> Self {
         Self {
             route,
             index: usize::from(route.position),
-            flow,
+            flow_hash,
             load,
-            obstacle,
-            directory,
+            refusal_reason,
+            routing_table,
             envelope,
         }
     }
 
     pub(super) fn choose(&self, options: &AdmissionOptions) -> Choice {
-        if self.is_ordered_here() {
-            return self.obstacle.map_or(Choice::Take, Choice::Decline);
+        if self.must_decide_here() {
+            return self.refusal_reason.map_or(Choice::Accept, Choice::Decline);
         }
-        if self.obstacle.is_none() && self.load < options.accept_below {
-            return Choice::Take;
+        if self.refusal_reason.is_none() && self.load < options.accept_below {
+            return Choice::Accept;
         }
         match self.next_unasked() {
             Some(next) => self.hand_on(next, false),
-            None => self.settle(options),
+            None => self.choose_least_loaded(options),
         }
     }
 
-    /// The route on which a flow handed on before goes again. `None` when it
-    /// would go back to a target that was asked meanwhile: then the choice is
-    /// made anew, or this target was told to take the flow.
-    pub(super) fn repeat(&self, to: &Hop, last: bool) -> Option<NewFlowRoute> {
+    /// Route for a repeated packet of a flow that was handed on to `to` before.
+    /// `None` when the choice must be made again, because the packet would go
+    /// back to a target that was asked meanwhile or because this target was
+    /// ordered to accept or refuse the flow.
+    pub(super) fn repeat(&self, to: &Hop, must_decide: bool) -> Option<NewFlowRoute> {
         let hops = &self.route.hops;
         let listed = hops.iter().position(|hop| hop.target == to.target);
-        let is_ordered = self.is_ordered_here();
+        let is_order = self.must_decide_here();
         match listed {
-            None if is_ordered && hops.len() >= MAXIMUM_HOPS => None,
-            None => Some(self.route_beyond(to)),
-            Some(_) if is_ordered => None,
+            None if is_order && hops.len() >= MAXIMUM_HOPS => None,
+            None => Some(self.route_beyond_list(to)),
+            Some(_) if is_order => None,
             Some(index) => {
                 let stated = hops[index].load.is_some();
                 let was_asked = stated || index <= self.index;
                 if was_asked {
-                    return (stated && last).then(|| self.route_to(index, last));
+                    return (stated && must_decide).then(|| self.route_to(index, must_decide));
                 }
-                Some(self.route_ahead(index, last))
+                Some(self.route_moving_up(index, must_decide))
             }
         }
     }
 
-    /// Whether another target has sent the flow here to be taken or refused. A
-    /// balancer that knows a single target says so too, but cannot know better.
-    fn is_ordered_here(&self) -> bool {
+    /// Whether another target has ordered this one to accept or refuse the flow.
+    /// A balancer that knows a single target sets the same flag; that is no
+    /// order, because the balancer may not know the other targets.
+    fn must_decide_here(&self) -> bool {
         let hops = &self.route.hops;
-        let is_fresh = self.index == 0 && hops.iter().all(|hop| hop.load.is_none());
-        self.route.must_decide && !is_fresh
+        let none_asked_yet = self.index == 0 && hops.iter().all(|hop| hop.load.is_none());
+        self.route.must_decide && !none_asked_yet
     }
 
-    /// All targets were asked: the least loaded takes the flow.
-    fn settle(&self, options: &AdmissionOptions) -> Choice {
-        match (self.least_loaded(), self.obstacle) {
-            (None, None) => Choice::Take,
-            (None, Some(reason)) => self.go_beyond(reason),
-            (Some((_, stated)), None) if self.load.0 <= beyond(stated, options) => Choice::Take,
+    /// Every target on the list was asked: the least loaded one gets the flow.
+    fn choose_least_loaded(&self, options: &AdmissionOptions) -> Choice {
+        match (self.least_loaded_asked(), self.refusal_reason) {
+            (None, None) => Choice::Accept,
+            (None, Some(reason)) => self.hand_on_beyond_list(reason),
+            (Some((_, stated)), None) if self.load.0 <= with_return_margin(stated, options) => {
+                Choice::Accept
+            }
             (Some((index, _)), _) => self.hand_on(index, true),
         }
     }
 
-    /// No target on the list can take the flow: another of the service does.
-    fn go_beyond(&self, reason: RefuseReason) -> Choice {
-        let entry = self.directory.service(self.envelope.service);
+    /// No target on the list can accept the flow: it goes to another target of
+    /// the service.
+    fn hand_on_beyond_list(&self, reason: FlowRefusalReason) -> Choice {
+        let entry = self.routing_table.service(self.envelope.service);
         let candidates = entry.map_or(&[][..], |entry| &entry.candidates);
-        let others = hop_list::choose(candidates, self.flow, MAXIMUM_HOPS);
+        let others = hop_list::choose(candidates, self.flow_hash, MAXIMUM_HOPS);
         let other = others
             .into_iter()
-            .find(|other| !self.lists(other) && self.may_go_to(other));
+            .find(|other| !self.is_listed(other) && self.may_hand_on_to(other));
         match other {
             None => Choice::Decline(reason),
             Some(to) => Choice::HandOn {
                 to,
-                route: self.route_beyond(&to),
+                route: self.route_beyond_list(&to),
             },
         }
     }
 
-    fn lists(&self, other: &Hop) -> bool {
+    fn is_listed(&self, other: &Hop) -> bool {
         let mut hops = self.route.hops.iter();
         hops.any(|hop| hop.target == other.target)
     }
 
-    /// The target asked before that stated the least load.
-    fn least_loaded(&self) -> Option<(usize, Load)> {
+    /// Index and load of the earlier target that stated the least load.
+    fn least_loaded_asked(&self) -> Option<(usize, Load)> {
         let asked = self.route.hops.iter().enumerate().take(self.index);
         asked
             .filter_map(|(index, hop)| hop.load.map(|load| (index, load)))
-            .filter(|(index, _)| self.may_go_to(&self.route.hops[*index]))
+            .filter(|(index, _)| self.may_hand_on_to(&self.route.hops[*index]))
             .min_by_key(|(_, load)| *load)
     }
 
     fn next_unasked(&self) -> Option<usize> {
         let hops = self.route.hops.iter().enumerate();
         hops.skip(self.index + 1)
-            .find(|(_, hop)| self.may_go_to(hop))
+            .find(|(_, hop)| self.may_hand_on_to(hop))
             .map(|(index, _)| index)
     }
 
-    /// Whether the own directory, unless the balancer has a later one, holds
-    /// nothing against a flow going to this target.
-    fn may_go_to(&self, hop: &Hop) -> bool {
+    /// Whether the routing table allows new flows to this target. A balancer with
+    /// a later table is trusted instead.
+    fn may_hand_on_to(&self, hop: &Hop) -> bool {
         if self.route.hops[self.index].target == hop.target {
             return false;
         }
-        match self.directory.target(hop.target) {
-            None => self.envelope.sequence >= self.directory.sequence(),
+        match self.routing_table.target(hop.target) {
+            None => self.envelope.sequence >= self.routing_table.sequence(),
             Some(entry) if entry.service != self.envelope.service => false,
             Some(entry) => {
-                self.envelope.sequence > self.directory.sequence() || entry.status.takes_new_flows()
+                self.envelope.sequence > self.routing_table.sequence()
+                    || entry.status.takes_new_flows()
             }
         }
     }
 
-    /// A target that does not want the flow states no load, so that the flow
-    /// does not come back.
+    /// The load to state in this target's hop. A target that cannot accept the
+    /// flow states none, so that the flow does not come back.
     fn stated_load(&self) -> Option<Load> {
-        match self.obstacle {
+        match self.refusal_reason {
             None => Some(self.load),
             Some(_) => None,
         }
     }
 
-    fn hand_on(&self, index: usize, last: bool) -> Choice {
+    fn hand_on(&self, index: usize, must_decide: bool) -> Choice {
         Choice::HandOn {
-            to: self.resolve(self.route.hops[index]),
-            route: self.route_to(index, last),
+            to: self.with_current_address(self.route.hops[index]),
+            route: self.route_to(index, must_decide),
         }
     }
 
-    /// The hop with the address by the own directory, unless the balancer has
-    /// a later one.
-    fn resolve(&self, hop: Hop) -> Hop {
-        match self.directory.target(hop.target) {
-            Some(entry) if self.directory.sequence() >= self.envelope.sequence => Hop {
+    /// The hop with the address from the routing table, unless the balancer's
+    /// table is later.
+    fn with_current_address(&self, hop: Hop) -> Hop {
+        match self.routing_table.target(hop.target) {
+            Some(entry) if self.routing_table.sequence() >= self.envelope.sequence => Hop {
                 address: entry.address,
                 ..hop
             },
@@ -198,22 +206,23 @@
         }
     }
 
-    /// The route to a target further along the list, put next on it, so that
-    /// those between are still to be asked.
-    fn route_ahead(&self, index: usize, last: bool) -> NewFlowRoute {
+    /// Route to a target further down the list, which is moved up to the next
+    /// place so that the targets in between can still be asked.
+    fn route_moving_up(&self, index: usize, must_decide: bool) -> NewFlowRoute {
         let next = self.index + 1;
-        let mut route = self.route_to(next, last);
+        let mut route = self.route_to(next, must_decide);
         route.hops[next..=index].rotate_right(1);
         route
     }
 
-    /// A list that ends with a target which is not on this one, with the order
-    /// to take the flow. A list made so grows by one target with each step, so
-    /// that steps end; one by a balancer is left behind.
-    fn route_beyond(&self, to: &Hop) -> NewFlowRoute {
+    /// Route to a target that is not on the list, with the order to accept or
+    /// refuse the flow. Each such step adds one target to the list, so the steps
+    /// end when the list is full. The first step drops the balancer's list and
+    /// keeps only this target's hop.
+    fn route_beyond_list(&self, to: &Hop) -> NewFlowRoute {
         let mut hops = self.route.hops.clone();
         hops[self.index].load = self.stated_load();
-        if !self.is_ordered_here() {
+        if !self.must_decide_here() {
             hops = vec![hops[self.index]];
         }
         hops.push(Hop { load: None, ..*to });
@@ -225,6 +234,6 @@
     }
 }
 
-fn beyond(stated: Load, options: &AdmissionOptions) -> u32 {
+fn with_return_margin(stated: Load, options: &AdmissionOptions) -> u32 {
     stated.0.saturating_add(options.return_margin.0)
 }
--- a/crates/woodladder-core/src/target/admission/fence.rs
+++ b/crates/woodladder-core/src/target/admission/fence.rs
@@ -1,8 +1,8 @@
-//! The fence: new flows by a configuration that was replaced too long ago are
-//! not admitted.
+//! The fence against outdated balancers: a new flow is not admitted when its
+//! balancer used a configuration that was replaced too long ago.
 //!
-//! A roll is in force everywhere within [`FENCE_GRACE`], so a balancer that
-//! still holds an earlier one has been frozen or cut off.
+//! A roll is in force on every node within [`FENCE_GRACE`], so a balancer that
+//! still uses an earlier one was frozen or cut off from the others.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,44 +10,52 @@
 use crate::clock::Instant;
 use crate::identifier::Sequence;
 
-/// Time that a roll has to reach every node.
+/// Time within which a roll reaches every node.
 pub const FENCE_GRACE: Duration = Duration::from_secs(11);
 
-/// Most adoptions within the grace that are told apart.
+/// Most adoptions that are kept; beyond that the second oldest is dropped.
 const MAXIMUM_ADOPTIONS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct Adoption {
     sequence: Sequence,
-    at: Instant,
+    adopted_at: Instant,
 }
 
-/// Adoptions in their order, as far as they matter.
+/// When this agent adopted which sequence, as far back as needed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fence {
-    /// The first is the latest one older than the grace, when there is one.
+    /// In order of time. The first is the latest adoption older than the grace,
+    /// if there is one.
     adoptions: VecDeque<Adoption>,
 }
 
 impl Fence {
     pub(super) fn adopt(&mut self, sequence: Sequence, now: Instant) {
-        while self.adoptions.get(1).is_some_and(|next| settled(next, now)) {
+        while self
+            .adoptions
+            .get(1)
+            .is_some_and(|next| is_past_grace(next, now))
+        {
             self.adoptions.pop_front();
         }
         if self.adoptions.len() == MAXIMUM_ADOPTIONS {
             self.adoptions.remove(1);
         }
-        self.adoptions.push_back(Adoption { sequence, at: now });
+        self.adoptions.push_back(Adoption {
+            sequence,
+            adopted_at: now,
+        });
     }
 
-    /// Whether a sequence is less than one in force for longer than the grace.
+    /// Whether a later sequence has been in force for longer than the grace.
     pub(super) fn is_stale(&self, sequence: Sequence, now: Instant) -> bool {
         self.adoptions
             .iter()
-            .any(|adoption| adoption.sequence > sequence && settled(adoption, now))
+            .any(|adoption| adoption.sequence > sequence && is_past_grace(adoption, now))
     }
 }
 
-fn settled(adoption: &Adoption, now: Instant) -> bool {
-    now.since(adoption.at) > FENCE_GRACE
+fn is_past_grace(adoption: &Adoption, now: Instant) -> bool {
+    now.since(adoption.adopted_at) > FENCE_GRACE
 }
--- a/crates/woodladder-core/src/target/admission/mod.rs
+++ b/crates/woodladder-core/src/target/admission/mod.rs
@@ -1,16 +1,18 @@
-//! Admission: what the agent beside a back end does with an enveloped datagram.
+//! Admission: decides what an agent does with each enveloped datagram that
+//! arrives for its back end.
 //!
-//! The agent has the last word on new flows because it alone knows its load
-//! as it is now. It takes a flow, hands it on to the next target that the
-//! balancer named, or, when it is the last to be asked, declines it at once.
-//! Nothing that is meant for another service or target reaches the transport.
+//! The agent makes the final decision on a new flow because only the agent
+//! knows its current load. It accepts the flow, hands it on to the next target
+//! on the balancer's hop list, or, as the last target asked, declines it at
+//! once. A datagram for another service or target never reaches the transport.
 //!
 //! Source: Mitzenmacher, "The power of two choices in randomized load
-//! balancing", 2001; here the load is fresh and travels with the flow.
+//! balancing", 2001. Here each target states its current load, and the stated
+//! loads travel with the flow.
 
 mod choice;
+mod decision_cache;
 mod fence;
-mod flow_memory;
 mod options;
 mod pending_flows;
 mod verdict;
@@ -27,126 +29,133 @@
 use crate::packets::token::TokenKeys;
 use crate::target::load::Usage;
 
-use choice::{Choice, Position};
+use choice::{Choice, ChoiceContext};
+use decision_cache::{CachedDecision, DecisionCache};
 use fence::Fence;
-use flow_memory::{FlowMemory, Remembered};
-use pending_flows::{DeclineWindow, PendingFlows};
+use pending_flows::{DeclineLimiter, PendingFlows};
 
 pub use fence::FENCE_GRACE;
 pub use options::AdmissionOptions;
-pub use verdict::{AdmissionDropReason, Decision, RefuseReason, SequenceHint, Verdict};
+pub use verdict::{AdmissionDropReason, Decision, FlowRefusalReason, SequenceHint, Verdict};
 
-/// Who the agent's back end is.
+/// The target that an agent serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetIdentity {
-    /// The target.
+    /// Identifier of the target.
     pub target: TargetId,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: ServiceId,
 }
 
 /// State of the target when a datagram arrives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetConditions {
-    /// What is in use, without flows whose first request is still to come.
+    /// Slots and connections in use; accepted flows whose first request has not
+    /// arrived yet are not counted.
     pub usage: Usage,
-    /// Whether the target's drain lets new flows in.
+    /// Whether the target's drain state allows new flows.
     pub takes_new_flows: bool,
 }
 
-/// Admission at one target.
+/// Decides which datagrams one target accepts.
 #[derive(Clone, Debug)]
 pub struct Admission {
     identity: TargetIdentity,
     keys: TokenKeys,
     options: AdmissionOptions,
-    directory: Arc<RoutingTable>,
+    routing_table: Arc<RoutingTable>,
     fence: Fence,
-    memory: FlowMemory,
+    decisions: DecisionCache,
     pending: PendingFlows,
-    declines: DeclineWindow,
-    reluctant: bool,
+    declines: DeclineLimiter,
+    last_resort: bool,
 }
 
-/// Load added to that of a reluctant target: more than any real one.
-const RELUCTANT_LOAD: u32 = 1_000_000;
+/// Load added to that of a target of last resort; greater than any real load.
+const LAST_RESORT_LOAD: u32 = 1_000_000;
 
 impl Admission {
-    /// Admission of a target that knows no directory yet.
+    /// Admission at a target that has not received a routing table yet.
     #[must_use]
     pub fn new(identity: TargetIdentity, keys: TokenKeys, options: AdmissionOptions) -> Self {
         Self {
             identity,
             keys,
             options,
-            directory: Arc::new(RoutingTable::default()),
+            routing_table: Arc::new(RoutingTable::default()),
             fence: Fence::default(),
-            memory: FlowMemory::new(options.memory_time, options.memory_limit),
+            decisions: DecisionCache::new(
+                options.decision_retention,
+                options.maximum_cached_decisions,
+            ),
             pending: PendingFlows::new(options.pending_window),
-            declines: DeclineWindow::new(options.decline_window),
-            reluctant: false,
+            declines: DeclineLimiter::new(options.decline_window),
+            last_resort: false,
         }
     }
 
-    /// Sets whether new flows are to go to other targets as long as one takes
-    /// them. Unlike a drain it refuses nothing, so a false alarm on every
-    /// target of a service costs no flow.
-    pub fn set_last_resort(&mut self, reluctant: bool) {
-        self.reluctant = reluctant;
+    /// Sets whether this target accepts new flows only when no other target
+    /// does. Unlike a drain this refuses nothing, so a false alarm on every
+    /// target of a service loses no flow.
+    pub fn set_last_resort(&mut self, last_resort: bool) {
+        self.last_resort = last_resort;
     }
 
-    /// Takes a directory in; one that is not later than the one in force is
-    /// ignored.
-    pub fn adopt(&mut self, directory: Arc<RoutingTable>, now: Instant) {
-        if directory.sequence() > self.directory.sequence() {
-            self.fence.adopt(directory.sequence(), now);
-            self.directory = directory;
+    /// Replaces the routing table; one that is not later than the current one
+    /// is ignored.
+    pub fn adopt(&mut self, routing_table: Arc<RoutingTable>, now: Instant) {
+        if routing_table.sequence() > self.routing_table.sequence() {
+            self.fence.adopt(routing_table.sequence(), now);
+            self.routing_table = routing_table;
         }
     }
 
-    /// Takes a directory in that may be of the sequence in force, with other
-    /// targets available.
-    pub fn refresh(&mut self, directory: Arc<RoutingTable>, now: Instant) {
-        if directory.sequence() == self.directory.sequence() {
-            self.directory = directory;
+    /// Replaces the routing table by a later one, or by one of the same sequence
+    /// in which other targets are marked as unavailable.
+    pub fn refresh(&mut self, routing_table: Arc<RoutingTable>, now: Instant) {
+        if routing_table.sequence() == self.routing_table.sequence() {
+            self.routing_table = routing_table;
         } else {
-            self.adopt(directory, now);
+            self.adopt(routing_table, now);
         }
     }
 
-    /// The directory in force.
+    /// The current routing table.
     #[must_use]
     pub fn routing_table(&self) -> &Arc<RoutingTable> {
-        &self.directory
+        &self.routing_table
     }
 
-    /// Load of the target, flows whose first request is still to come included.
+    /// Load of the target, including accepted flows whose first request has not
+    /// arrived yet.
     pub fn load(&mut self, usage: &Usage, now: Instant) -> Load {
-        let pending = self.pending.waiting(now);
+        let pending = self.pending.count(now);
         let load = usage.load(pending, self.options.connection_weight);
-        if self.reluctant {
-            Load(load.0.saturating_add(RELUCTANT_LOAD))
+        if self.last_resort {
+            Load(load.0.saturating_add(LAST_RESORT_LOAD))
         } else {
             load
         }
     }
 
-    /// The transport has opened the flow's connection, and the usage counts it.
-    pub fn connection_opened(&mut self, flow: u64) {
-        self.pending.opened(flow);
+    /// Records that the transport has opened the flow's connection, which the
+    /// usage counts from now on.
+    pub fn connection_opened(&mut self, flow_hash: u64) {
+        self.pending.mark_connection_opened(flow_hash);
     }
 
-    /// The first request of a flow has arrived, and the usage counts it.
-    pub fn request_arrived(&mut self, flow: u64) {
-        self.pending.remove(flow);
+    /// Records that the first request of a flow has arrived, which the usage
+    /// counts from now on.
+    pub fn request_arrived(&mut self, flow_hash: u64) {
+        self.pending.remove(flow_hash);
     }
 
-    /// The flow has ended.
-    pub fn connection_closed(&mut self, flow: u64) {
-        self.pending.remove(flow);
+    /// Records that the flow has ended.
+    pub fn connection_closed(&mut self, flow_hash: u64) {
+        self.pending.remove(flow_hash);
     }
 
-    /// Decides on a datagram that came in an envelope.
+    /// Decides what happens to a datagram that arrived in an envelope.
     pub fn handle(
         &mut self,
         envelope: Envelope,
@@ -154,7 +163,7 @@
         conditions: &TargetConditions,
         now: Instant,
     ) -> Decision {
-        let hint = self.hint(&envelope, now);
+        let hint = self.sequence_hint(&envelope, now);
         let verdict = self
             .decide(envelope, packet, conditions, now)
             .unwrap_or_else(Verdict::Drop);
@@ -173,13 +182,13 @@
         }
         let token = self.keys.verify(packet.destination_connection_id);
         match envelope.route.clone() {
-            Route::Established(target) => self.established(target, token),
-            Route::Relay(target) => self.relay(envelope, target, token),
-            Route::NewFlow(first) => {
-                self.check_target(first.current().map(|hop| hop.target))?;
+            Route::Established(target) => self.decide_established(target, token),
+            Route::Relay(target) => self.decide_relay(envelope, target, token),
+            Route::NewFlow(new_flow) => {
+                self.check_target(new_flow.current_hop().map(|hop| hop.target))?;
                 match token {
-                    Some(target) => self.established(target, token),
-                    None => self.first(envelope, &first, packet, conditions, now),
+                    Some(target) => self.decide_established(target, token),
+                    None => self.decide_new_flow(envelope, &new_flow, packet, conditions, now),
                 }
             }
         }
@@ -201,7 +210,7 @@
         }
     }
 
-    fn established(
+    fn decide_established(
         &self,
         target: TargetId,
         token: Option<TargetId>,
@@ -211,7 +220,7 @@
         Ok(Verdict::Deliver)
     }
 
-    fn relay(
+    fn decide_relay(
         &self,
         envelope: Envelope,
         target: TargetId,
@@ -222,7 +231,7 @@
             return Ok(Verdict::Deliver);
         }
         let entry = self
-            .directory
+            .routing_table
             .target(target)
             .ok_or(AdmissionDropReason::UnknownRelayTarget)?;
         if entry.service != envelope.service {
@@ -237,10 +246,10 @@
         }))
     }
 
-    fn first(
+    fn decide_new_flow(
         &mut self,
         envelope: Envelope,
-        first: &NewFlowRoute,
+        new_flow: &NewFlowRoute,
         packet: &Packet<'_>,
         conditions: &TargetConditions,
         now: Instant,
@@ -249,133 +258,144 @@
             return Err(AdmissionDropReason::InvalidToken);
         }
         self.check_service_address(&envelope)?;
-        let flow = flow_hash(packet.destination_connection_id);
+        let flow_hash = flow_hash(packet.destination_connection_id);
         let load = self.load(&conditions.usage, now);
-        let obstacle = self.obstacle(&envelope, conditions, load);
-        let directory = Arc::clone(&self.directory);
-        let position = Position::new(first, flow, load, obstacle, &directory, &envelope);
-        if let Some(verdict) = self.remembered(flow, &position, &envelope, now) {
+        let refusal_reason = self.refusal_reason(&envelope, conditions, load);
+        let routing_table = Arc::clone(&self.routing_table);
+        let context = ChoiceContext::new(
+            new_flow,
+            flow_hash,
+            load,
+            refusal_reason,
+            &routing_table,
+            &envelope,
+        );
+        if let Some(verdict) = self.repeat_decision(flow_hash, &context, &envelope, now) {
             return Ok(verdict);
         }
         if self.fence.is_stale(envelope.sequence, now) {
             return Err(AdmissionDropReason::StaleSequence);
         }
-        let choice = position.choose(&self.options);
-        Ok(self.carry_out(choice, flow, &envelope, now))
+        let choice = context.choose(&self.options);
+        Ok(self.apply_choice(choice, flow_hash, &envelope, now))
     }
 
-    /// A service address that the directory gives to another service means
-    /// that the balancer has not heard of the move.
+    /// Rejects a service address that belongs to another service by the routing
+    /// table, unless the balancer's table is later: the balancer does not know
+    /// yet that the address has moved.
     fn check_service_address(&self, envelope: &Envelope) -> Result<(), AdmissionDropReason> {
-        let own = self.directory.service_at(&envelope.service_address);
+        let own = self.routing_table.service_at(&envelope.service_address);
         let moved = own.is_some_and(|service| service != self.identity.service);
-        if moved && self.directory.sequence() >= envelope.sequence {
+        if moved && self.routing_table.sequence() >= envelope.sequence {
             Err(AdmissionDropReason::WrongService)
         } else {
             Ok(())
         }
     }
 
-    /// What keeps the target from taking a new flow, if anything does.
-    fn obstacle(
+    /// Why the target cannot accept a new flow, or `None` when it can.
+    fn refusal_reason(
         &self,
         envelope: &Envelope,
         conditions: &TargetConditions,
         load: Load,
-    ) -> Option<RefuseReason> {
-        if !conditions.takes_new_flows || !self.stands(envelope) {
-            return Some(RefuseReason::Leaving);
+    ) -> Option<FlowRefusalReason> {
+        if !conditions.takes_new_flows || !self.is_listed_as_accepting(envelope) {
+            return Some(FlowRefusalReason::Leaving);
         }
         let usage = &conditions.usage;
         let connections = usage
             .open_connections
-            .saturating_add(self.pending.unopened());
+            .saturating_add(self.pending.unopened_connections());
         if connections >= usage.connection_limit {
-            return Some(RefuseReason::ConnectionLimit);
+            return Some(FlowRefusalReason::ConnectionLimit);
         }
         let overloaded = self.options.refuse_above.is_some_and(|limit| load > limit);
-        overloaded.then_some(RefuseReason::Overloaded)
+        overloaded.then_some(FlowRefusalReason::Overloaded)
     }
 
-    /// Whether the target takes new flows by the directory. A target that the
-    /// directory does not hold does when the balancer has a later one.
-    fn stands(&self, envelope: &Envelope) -> bool {
-        match self.directory.target(self.identity.target) {
+    /// Whether the routing table allows new flows to this target. A target that
+    /// the table does not list accepts them when the balancer's table is later.
+    fn is_listed_as_accepting(&self, envelope: &Envelope) -> bool {
+        match self.routing_table.target(self.identity.target) {
             Some(entry) if entry.service != self.identity.service => false,
             Some(entry) => entry.status.takes_new_flows(),
-            None => envelope.sequence > self.directory.sequence(),
+            None => envelope.sequence > self.routing_table.sequence(),
         }
     }
 
-    fn remembered(
+    fn repeat_decision(
         &self,
-        flow: u64,
-        position: &Position<'_>,
+        flow_hash: u64,
+        context: &ChoiceContext<'_>,
         envelope: &Envelope,
         now: Instant,
     ) -> Option<Verdict> {
-        match self.memory.recall(flow, now)? {
-            Remembered::Accepted => Some(Verdict::Accept),
-            Remembered::Declined => Some(Verdict::AcceptToDecline),
-            Remembered::Refused(reason) => Some(Verdict::Refuse(reason)),
-            Remembered::HandedOn { to, .. } if self.is_unavailable(to.target) => None,
-            Remembered::HandedOn { to, last } => {
-                let route = position.repeat(&to, last)?;
-                Some(hand_on(envelope, to.address, route))
+        match self.decisions.get(flow_hash, now)? {
+            CachedDecision::Accepted => Some(Verdict::Accept),
+            CachedDecision::Declined => Some(Verdict::AcceptToDecline),
+            CachedDecision::Refused(reason) => Some(Verdict::Refuse(reason)),
+            CachedDecision::HandedOn { to, .. } if self.is_unavailable(to.target) => None,
+            CachedDecision::HandedOn { to, must_decide } => {
+                let route = context.repeat(&to, must_decide)?;
+                Some(hand_on_verdict(envelope, to.address, route))
             }
         }
     }
 
-    /// Whether a target is known to take no new flows at the moment. A flow
-    /// that was handed on to it goes elsewhere when its packets come again.
+    /// Whether a target is marked as unavailable for new flows. A flow that was
+    /// handed on to it goes to another target when its packets are repeated.
     fn is_unavailable(&self, target: TargetId) -> bool {
-        let entry = self.directory.target(target);
+        let entry = self.routing_table.target(target);
         entry.is_some_and(|entry| matches!(entry.status, TargetStatus::Unavailable(_)))
     }
 
-    fn carry_out(
+    fn apply_choice(
         &mut self,
         choice: Choice,
-        flow: u64,
+        flow_hash: u64,
         envelope: &Envelope,
         now: Instant,
     ) -> Verdict {
         match choice {
-            Choice::Take => {
-                self.pending.add(flow, now);
-                self.memory.remember(flow, Remembered::Accepted, now);
+            Choice::Accept => {
+                self.pending.add(flow_hash, now);
+                self.decisions
+                    .insert(flow_hash, CachedDecision::Accepted, now);
                 Verdict::Accept
             }
             Choice::HandOn { to, route } => {
-                let last = route.must_decide;
-                self.memory
-                    .remember(flow, Remembered::HandedOn { to, last }, now);
-                hand_on(envelope, to.address, route)
+                let must_decide = route.must_decide;
+                self.decisions
+                    .insert(flow_hash, CachedDecision::HandedOn { to, must_decide }, now);
+                hand_on_verdict(envelope, to.address, route)
             }
-            Choice::Decline(reason) => self.decline(flow, reason, now),
+            Choice::Decline(reason) => self.decline(flow_hash, reason, now),
         }
     }
 
-    fn decline(&mut self, flow: u64, reason: RefuseReason, now: Instant) -> Verdict {
-        if self.declines.take(self.options.decline_allowance, now) {
-            self.memory.remember(flow, Remembered::Declined, now);
+    fn decline(&mut self, flow_hash: u64, reason: FlowRefusalReason, now: Instant) -> Verdict {
+        if self.declines.try_take(self.options.decline_allowance, now) {
+            self.decisions
+                .insert(flow_hash, CachedDecision::Declined, now);
             return Verdict::AcceptToDecline;
         }
-        self.memory.remember(flow, Remembered::Refused(reason), now);
+        self.decisions
+            .insert(flow_hash, CachedDecision::Refused(reason), now);
         Verdict::Refuse(reason)
     }
 
-    fn hint(&self, envelope: &Envelope, now: Instant) -> Option<SequenceHint> {
-        if envelope.sequence > self.directory.sequence() {
+    fn sequence_hint(&self, envelope: &Envelope, now: Instant) -> Option<SequenceHint> {
+        if envelope.sequence > self.routing_table.sequence() {
             return Some(SequenceHint::AgentIsBehind(envelope.sequence));
         }
         self.fence
             .is_stale(envelope.sequence, now)
-            .then_some(SequenceHint::SenderIsBehind(envelope.sequence))
+            .then_some(SequenceHint::BalancerIsBehind(envelope.sequence))
     }
 }
 
-fn hand_on(envelope: &Envelope, to: std::net::SocketAddr, route: NewFlowRoute) -> Verdict {
+fn hand_on_verdict(envelope: &Envelope, to: std::net::SocketAddr, route: NewFlowRoute) -> Verdict {
     Verdict::HandOn(Forward {
         to,
         envelope: Envelope {
--- a/crates/woodladder-core/src/target/admission/options.rs
+++ b/crates/woodladder-core/src/target/admission/options.rs
@@ -1,4 +1,5 @@
-//! Parameters of admission, kept apart so that they can be measured.
+//! Parameters of admission, in a type of their own so that measurements can vary
+//! them.
 
 use std::time::Duration;
 
@@ -8,27 +9,27 @@
 /// Parameters of admission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionOptions {
-    /// A target with a load below this takes a flow without asking another.
+    /// A target with less load than this accepts a flow without asking others.
     pub accept_below: Load,
-    /// How much less loaded another target must have been for the flow to go
-    /// back to it; covers the age of the load that it stated.
+    /// How much less load an earlier target must have stated for the flow to go
+    /// back to it; allows for the age of the stated load.
     pub return_margin: Load,
-    /// Load above which no new flow is taken; without it, requests alone are
-    /// refused when too many wait.
+    /// Load above which no new flow is accepted. When `None`, only requests are
+    /// refused, once too many are queued.
     pub refuse_above: Option<Load>,
-    /// Load of all connections in use, in thousandths.
+    /// Load of a target whose connections are all in use and whose slots are all
+    /// free, in thousandths.
     pub connection_weight: u32,
-    /// How long a flow counts as load while its first request is to come.
+    /// How long an accepted flow counts as load until its first request arrives.
     pub pending_window: Duration,
-    /// How long the decision on a flow is remembered for its further first
-    /// packets.
-    pub memory_time: Duration,
-    /// Most flows remembered; the oldest are forgotten first.
-    pub memory_limit: usize,
-    /// Flows per window that are taken only to answer their requests with a
-    /// refusal.
+    /// How long the decision on a flow is kept for repeated first packets.
+    pub decision_retention: Duration,
+    /// Most decisions kept; the oldest are dropped first.
+    pub maximum_cached_decisions: usize,
+    /// Flows per window that are accepted only so that their requests can be
+    /// answered with a refusal.
     pub decline_allowance: u32,
-    /// Window of the allowance.
+    /// Sliding window of `decline_allowance`.
     pub decline_window: Duration,
 }
 
@@ -40,8 +41,8 @@
             refuse_above: None,
             connection_weight: DEFAULT_CONNECTION_WEIGHT,
             pending_window: Duration::from_millis(500),
-            memory_time: Duration::from_secs(8),
-            memory_limit: 1 << 16,
+            decision_retention: Duration::from_secs(8),
+            maximum_cached_decisions: 1 << 16,
             decline_allowance: 100,
             decline_window: Duration::from_secs(1),
         }
--- a/crates/woodladder-core/src/target/admission/pending_flows.rs
+++ b/crates/woodladder-core/src/target/admission/pending_flows.rs
@@ -1,23 +1,23 @@
-//! Flows just admitted that the target's usage does not show yet.
+//! Accepted flows that the target's usage does not count yet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// Flows whose first request is still to come.
+/// Accepted flows whose first request has not arrived yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingFlows {
     window: Duration,
     flows: BTreeMap<u64, PendingFlow>,
     admissions: VecDeque<(Instant, u64)>,
-    unopened: u32,
+    unopened_connections: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PendingFlow {
     admitted_at: Instant,
-    opened: bool,
+    connection_opened: bool,
 }
 
 impl PendingFlows {
@@ -26,90 +26,92 @@
             window,
             flows: BTreeMap::new(),
             admissions: VecDeque::new(),
-            unopened: 0,
+            unopened_connections: 0,
         }
     }
 
-    pub(super) fn add(&mut self, flow: u64, now: Instant) {
-        self.remove(flow);
+    pub(super) fn add(&mut self, flow_hash: u64, now: Instant) {
+        self.remove(flow_hash);
         let pending = PendingFlow {
             admitted_at: now,
-            opened: false,
+            connection_opened: false,
         };
-        self.flows.insert(flow, pending);
-        self.admissions.push_back((now, flow));
-        self.unopened += 1;
+        self.flows.insert(flow_hash, pending);
+        self.admissions.push_back((now, flow_hash));
+        self.unopened_connections += 1;
     }
 
-    pub(super) fn opened(&mut self, flow: u64) {
-        if let Some(pending) = self.flows.get_mut(&flow)
-            && !pending.opened
+    pub(super) fn mark_connection_opened(&mut self, flow_hash: u64) {
+        if let Some(pending) = self.flows.get_mut(&flow_hash)
+            && !pending.connection_opened
         {
-            pending.opened = true;
-            self.unopened -= 1;
+            pending.connection_opened = true;
+            self.unopened_connections -= 1;
         }
     }
 
-    pub(super) fn remove(&mut self, flow: u64) {
-        if let Some(pending) = self.flows.remove(&flow)
-            && !pending.opened
+    pub(super) fn remove(&mut self, flow_hash: u64) {
+        if let Some(pending) = self.flows.remove(&flow_hash)
+            && !pending.connection_opened
         {
-            self.unopened -= 1;
+            self.unopened_connections -= 1;
         }
     }
 
-    /// Flows admitted within the window whose first request is to come.
-    pub(super) fn waiting(&mut self, now: Instant) -> u32 {
-        while let Some((at, flow)) = self.admissions.front().copied()
+    /// Flows admitted within the window whose first request has not arrived yet.
+    pub(super) fn count(&mut self, now: Instant) -> u32 {
+        while let Some((at, flow_hash)) = self.admissions.front().copied()
             && now.since(at) >= self.window
         {
             self.admissions.pop_front();
-            self.remove_admitted_at(flow, at);
+            self.remove_admitted_at(flow_hash, at);
         }
         u32::try_from(self.flows.len()).unwrap_or(u32::MAX)
     }
 
-    /// Flows admitted within the window whose connection is not counted yet.
-    pub(super) fn unopened(&self) -> u32 {
-        self.unopened
+    /// Flows admitted within the window whose connection the usage does not count
+    /// yet.
+    pub(super) fn unopened_connections(&self) -> u32 {
+        self.unopened_connections
     }
 
-    fn remove_admitted_at(&mut self, flow: u64, at: Instant) {
-        let known = self.flows.get(&flow);
+    fn remove_admitted_at(&mut self, flow_hash: u64, at: Instant) {
+        let known = self.flows.get(&flow_hash);
         if known.is_some_and(|pending| pending.admitted_at == at) {
-            self.remove(flow);
+            self.remove(flow_hash);
         }
     }
 }
 
-/// Flows taken only to be declined, within the window.
+/// Limits how many flows are accepted only to be declined, within a sliding
+/// window.
 #[derive(Clone, Debug)]
-pub(super) struct DeclineWindow {
+pub(super) struct DeclineLimiter {
     window: Duration,
-    taken: VecDeque<Instant>,
+    declined_at: VecDeque<Instant>,
 }
 
-impl DeclineWindow {
+impl DeclineLimiter {
     pub(super) fn new(window: Duration) -> Self {
         Self {
             window,
-            taken: VecDeque::new(),
+            declined_at: VecDeque::new(),
         }
     }
 
-    /// Takes one out of the allowance, if any is left.
-    pub(super) fn take(&mut self, allowance: u32, now: Instant) -> bool {
+    /// Whether one more flow is within the allowance; counts it if so.
+    pub(super) fn try_take(&mut self, allowance: u32, now: Instant) -> bool {
         let window = self.window;
         while self
-            .taken
+            .declined_at
             .front()
             .is_some_and(|at| now.since(*at) >= window)
         {
-            self.taken.pop_front();
+            self.declined_at.pop_front();
         }
-        let left = self.taken.len() < usize::try_from(allowance).unwrap_or(usize::MAX);
+        let left = self.declined_at.len() < usize::try_from(allowance).unwrap_or(usize::MAX);
         if left {
-            self.taken.push_back(now);
+            self.declined_at.push_back(now);
         }
         left
     }
--- a/crates/woodladder-core/src/target/admission/verdict.rs
+++ b/crates/woodladder-core/src/target/admission/verdict.rs
@@ -5,75 +5,78 @@
 use crate::identifier::Sequence;
 use crate::packets::router::Forward;
 
-/// A verdict on one datagram, and what its envelope tells of sequences.
+/// The verdict on one datagram, and whether the balancer or the agent is behind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Decision {
     /// What happens to the datagram.
     pub verdict: Verdict,
-    /// Who must catch up, if one of the two must.
+    /// Which side has an outdated configuration, if one has.
     pub hint: Option<SequenceHint>,
 }
 
 /// What happens to a datagram.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It belongs to an established flow: pass it to the transport.
+    /// The datagram belongs to an established flow: pass it to the transport.
     Deliver,
-    /// It opens a flow that this target takes: pass it to the transport.
-    Accept,
-    /// It opens a flow that is taken only so that its requests can be answered
-    /// at once as not run, with the time to come back: pass it to the
+    /// The datagram opens a flow that this target accepts: pass it to the
     /// transport.
+    Accept,
+    /// The datagram opens a flow that is accepted only so that its requests can
+    /// be answered at once as not run, with the time after which to retry: pass
+    /// it to the transport.
     AcceptToDecline,
-    /// Send it to the next target that may take the flow.
+    /// Send the datagram to the next target that may accept the flow.
     HandOn(Forward),
-    /// Send it to the target of its established flow.
+    /// Send the datagram to the target of its established flow.
     Relay(Forward),
-    /// Refuse the flow to the caller at once.
-    Refuse(RefuseReason),
-    /// Drop it.
+    /// Tell the caller at once that the flow is refused.
+    Refuse(FlowRefusalReason),
+    /// Drop the datagram.
     Drop(AdmissionDropReason),
 }
 
 /// Why a new flow is refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum RefuseReason {
+pub enum FlowRefusalReason {
     /// The target is leaving.
     Leaving,
-    /// All of its connections are in use.
+    /// All of the target's connections are in use.
     ConnectionLimit,
-    /// Its load is above the limit.
+    /// The target's load is above its limit.
     Overloaded,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum AdmissionDropReason {
-    /// It is meant for another service.
+    /// The datagram is meant for another service.
     WrongService,
-    /// Its envelope is meant for another target.
+    /// The envelope is meant for another target.
     WrongTarget,
-    /// Its token names another target.
+    /// The token names another target.
     ForeignToken,
-    /// It carries no valid token and cannot open a flow.
+    /// The datagram carries no valid token and cannot open a flow.
     InvalidToken,
-    /// It opens a flow by a configuration that was replaced too long ago.
+    /// The datagram opens a flow, and its balancer used a configuration that was
+    /// replaced too long ago.
     StaleSequence,
-    /// It is to be relayed to a target that is not known here.
+    /// The datagram is to be relayed to a target that this agent does not know.
     UnknownRelayTarget,
 }
 
-/// Which side must catch up with the other's sequence.
+/// Which side has an outdated configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SequenceHint {
-    /// The balancer holds a configuration that was replaced too long ago; this
-    /// is its sequence.
-    SenderIsBehind(Sequence),
-    /// The balancer holds a later configuration; this is its sequence.
+    /// The balancer uses a configuration that was replaced too long ago. Holds
+    /// the sequence of that configuration.
+    BalancerIsBehind(Sequence),
+    /// The balancer uses a later configuration than this agent. Holds the
+    /// sequence of that configuration.
     AgentIsBehind(Sequence),
 }
 
-impl fmt::Display for RefuseReason {
+impl fmt::Display for FlowRefusalReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Leaving => "the target is leaving",
--- a/crates/woodladder-core/src/target/drain.rs
+++ b/crates/woodladder-core/src/target/drain.rs
@@ -1,49 +1,50 @@
-//! Drain of a target: from taking all work to holding none.
+//! Drain of a target: the way from serving to having no work left.
 //!
-//! A target begins to leave for one or more reasons. It takes no new flow from
-//! that moment, and tells callers on open connections so; their requests are
-//! still taken for a short grace, because they were sent before the notice
-//! arrived. It is drained when no request and no stream is left.
+//! A target leaves while at least one reason to leave holds. From that moment
+//! it accepts no new flow and notifies callers on open connections. Their
+//! requests are still accepted for a short grace period, because a caller may
+//! have sent them before the notice arrived. The target is drained when it has
+//! no unanswered request and no stream.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// How long new requests on open connections are taken after leaving begins,
-/// unless set otherwise.
+/// Default time for which new requests on open connections are accepted after
+/// the target begins to leave.
 pub const DEFAULT_DRAIN_GRACE: Duration = Duration::from_secs(3);
-/// Longest grace that may be set.
+/// Longest grace period that may be set.
 pub const MAXIMUM_DRAIN_GRACE: Duration = Duration::from_secs(4);
 
 /// Why a target leaves.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DrainReason {
-    /// The process was told to stop; cannot be withdrawn.
+    /// The process was told to stop; this reason cannot be removed.
     Signal,
-    /// The bundle in force lists the target as leaving, or no longer at all.
+    /// The bundle in force marks the target as leaving or does not list it.
     Bundle,
-    /// The list of machines names the machine as leaving.
+    /// The machine list marks the machine as leaving.
     MachineList,
-    /// The back end reports that it is not healthy or is leaving.
+    /// The back end reports that it is unhealthy or leaving.
     BackEndHealth,
 }
 
 /// How far the drain has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainPhase {
-    /// New flows and requests are taken.
+    /// New flows and requests are accepted.
     Serving,
-    /// No new flow is taken; requests are for the grace.
+    /// No new flow is accepted; requests are, during the grace period.
     Leaving {
-        /// When leaving began.
+        /// When the target began to leave.
         since: Instant,
     },
     /// No request and no stream is left.
     Drained,
 }
 
-/// What a target holds.
+/// Work that a target holds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Activity {
     /// Requests without a final answer, streams included.
@@ -55,11 +56,11 @@
 /// What happens to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainEvent {
-    /// A reason to leave holds.
+    /// A reason to leave has come up.
     AddReason(DrainReason),
-    /// A reason to leave holds no longer.
+    /// A reason to leave no longer holds.
     RemoveReason(DrainReason),
-    /// What the target holds has changed.
+    /// The target's work has changed.
     Activity(Activity),
     /// Time has passed.
     Tick,
@@ -68,18 +69,18 @@
 /// What the caller of the state machine carries out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainAction {
-    /// Tell callers on open connections to open no more requests (GOAWAY).
+    /// Tell callers on open connections to send no more requests (GOAWAY).
     NotifyCallers,
     /// Refuse requests that arrive from now on.
     RefuseRequests,
-    /// Take flows and requests again.
+    /// Accept flows and requests again.
     Resume,
-    /// All work has ended; a process that was told to stop may end. Comes again
-    /// when a further reason to leave is added after that.
+    /// All work has ended, and a process that was told to stop may exit. Returned
+    /// again for each reason to leave that is added later.
     Finish,
 }
 
-/// The drain of one target.
+/// State of the drain of one target.
 #[derive(Clone, Debug)]
 pub struct Drain {
     grace: Duration,
@@ -90,7 +91,7 @@
 }
 
 impl Drain {
-    /// A target that serves; a grace above [`MAXIMUM_DRAIN_GRACE`] is cut to it.
+    /// A serving target; the grace period is at most [`MAXIMUM_DRAIN_GRACE`].
     #[must_use]
     pub fn new(grace: Duration) -> Self {
         Self {
@@ -108,18 +109,18 @@
         self.phase
     }
 
-    /// Reasons that hold now.
+    /// Reasons to leave that hold now.
     pub fn reasons(&self) -> impl Iterator<Item = DrainReason> + '_ {
         self.reasons.iter().copied()
     }
 
-    /// Whether new flows are taken.
+    /// Whether new flows are accepted.
     #[must_use]
     pub fn takes_new_flows(&self) -> bool {
         self.phase == DrainPhase::Serving
     }
 
-    /// Whether a request that arrives now on an open connection is taken.
+    /// Whether a request that arrives now on an open connection is accepted.
     #[must_use]
     pub fn takes_new_requests(&self, now: Instant) -> bool {
         match self.phase {
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn handle(&mut self, event: DrainEvent, now: Instant) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         match event {
-            DrainEvent::AddReason(reason) => self.begin(reason, now, &mut actions),
-            DrainEvent::RemoveReason(reason) => self.withdraw(reason, &mut actions),
+            DrainEvent::AddReason(reason) => self.add_reason(reason, now, &mut actions),
+            DrainEvent::RemoveReason(reason) => self.remove_reason(reason, &mut actions),
             DrainEvent::Activity(activity) => self.activity = activity,
             DrainEvent::Tick => {}
         }
@@ -153,7 +154,7 @@
         actions
     }
 
-    fn begin(&mut self, reason: DrainReason, now: Instant, actions: &mut Vec<DrainAction>) {
+    fn add_reason(&mut self, reason: DrainReason, now: Instant, actions: &mut Vec<DrainAction>) {
         let is_new = self.reasons.insert(reason);
         match self.phase {
             DrainPhase::Serving => {
@@ -165,12 +166,12 @@
         }
     }
 
-    fn withdraw(&mut self, reason: DrainReason, actions: &mut Vec<DrainAction>) {
+    fn remove_reason(&mut self, reason: DrainReason, actions: &mut Vec<DrainAction>) {
         if reason == DrainReason::Signal {
             return;
         }
-        let held = self.reasons.remove(&reason);
-        if held && self.reasons.is_empty() {
+        let was_held = self.reasons.remove(&reason);
+        if was_held && self.reasons.is_empty() {
             self.phase = DrainPhase::Serving;
             self.refuses_requests = false;
             actions.push(DrainAction::Resume);
@@ -181,9 +182,9 @@
         let DrainPhase::Leaving { since } = self.phase else {
             return;
         };
-        let none_may_arrive = self.activity.connections == 0;
+        let no_open_connection = self.activity.connections == 0;
         let grace_is_over = now.since(since) >= self.grace;
-        if !self.refuses_requests && (grace_is_over || none_may_arrive) {
+        if !self.refuses_requests && (grace_is_over || no_open_connection) {
             self.refuses_requests = true;
             actions.push(DrainAction::RefuseRequests);
         }
--- a/crates/woodladder-core/src/target/load.rs
+++ b/crates/woodladder-core/src/target/load.rs
@@ -1,23 +1,23 @@
-//! Load of one target, as the agent beside its back end works it out.
+//! Load of one target, as computed by the agent of its back end.
 //!
-//! The dominant term is work against slots: requests that run, requests that
-//! wait, and flows just admitted whose first request is still to come. Open
-//! connections against their limit are a lesser term, so that long-lived
-//! streams, which hold no slot, still count a little.
+//! The main term is work divided by slots; work is the running requests, the
+//! queued requests, and the accepted flows whose first request has not arrived
+//! yet. A smaller term is open connections divided by their limit, so that
+//! long-lived streams, which hold no slot, count as well.
 
 use crate::packets::hop_list::{FULL_LOAD, Load};
 use crate::target::slow_start::EffectiveSlots;
 
-/// Load of a target whose connections are all in use and whose slots are all
-/// free, unless set otherwise; in thousandths.
+/// Default load of a target whose connections are all in use and whose slots
+/// are all free, in thousandths.
 pub const DEFAULT_CONNECTION_WEIGHT: u32 = 100;
 
-/// What a target has in use and what it has room for.
+/// Slots and connections of a target: how many are in use and how many exist.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Usage {
     /// Requests that hold a slot of the back end.
     pub busy_slots: u32,
-    /// Requests that wait for a slot.
+    /// Requests queued for a slot.
     pub queued: u32,
     /// Slots that may be used now.
     pub slots: EffectiveSlots,
@@ -28,9 +28,9 @@
 }
 
 impl Usage {
-    /// Load with `pending` flows whose first request is still to come;
-    /// `connection_weight` is the load of all connections in use, in
-    /// thousandths.
+    /// Load of the target. `pending` is the number of accepted flows whose first
+    /// request has not arrived yet; `connection_weight` is the load of a target
+    /// whose connections are all in use, in thousandths.
     #[must_use]
     pub fn load(&self, pending: u32, connection_weight: u32) -> Load {
         let work = u64::from(self.busy_slots) + u64::from(self.queued) + u64::from(pending);
@@ -41,7 +41,8 @@
     }
 }
 
-/// The quotient, or the greatest number when nothing can be divided by.
+/// The quotient; zero for a zero numerator, otherwise [`u64::MAX`] when the
+/// denominator is zero.
 fn ratio(numerator: u64, denominator: u32) -> u64 {
     if numerator == 0 {
         return 0;
--- a/crates/woodladder-core/src/target/mod.rs
+++ b/crates/woodladder-core/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! The work of one target: admission, requests, drain, load and slow start.
+//! Decisions at one target: admission, requests, drain, load and slow start.
 
 pub mod admission;
 pub mod drain;
--- a/crates/woodladder-core/src/target/request/event.rs
+++ b/crates/woodladder-core/src/target/request/event.rs
@@ -1,4 +1,4 @@
-//! Events that the request table takes in, and actions that it returns.
+//! Events that the request table handles, and actions that it returns.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::request_id::RequestId;
 use super::stage::SendPermit;
 
-/// What happens to requests. Events for a request without a place in the
+/// Events for the request table. Events for a request that is not in the
 /// table, such as one already answered, are ignored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestEvent {
@@ -16,9 +16,9 @@
     Arrived {
         /// The request.
         id: RequestId,
-        /// When the caller gives up, if it said so.
+        /// Time by which the caller needs the answer, if it stated one.
         deadline: Option<Instant>,
-        /// Whether the caller may repeat it after an unknown outcome.
+        /// Whether the caller may repeat the request after an unknown outcome.
         repeatable: bool,
     },
     /// A back-end connection is open for a dispatched request; no byte of the
@@ -28,41 +28,41 @@
     AnswerHead {
         /// The request.
         id: RequestId,
-        /// Whether the answer is a stream that lasts, such as a feed.
+        /// Whether the answer is a long-lived stream, such as a feed.
         streaming: bool,
     },
     /// The answer has ended.
     AnswerEnd {
         /// The request.
         id: RequestId,
-        /// Whether all of it arrived.
+        /// Whether the whole answer arrived.
         complete: bool,
     },
     /// The back end answered that it refused the request without running it.
     BackEndRefused {
         /// The request.
         id: RequestId,
-        /// When it may be asked again, if it said so.
+        /// Time after which the caller may retry, if the back end stated one.
         retry_after: Option<Duration>,
     },
-    /// The back-end connection could not be opened, or broke.
+    /// The back-end connection could not be opened, or was lost.
     BackEndFailed(RequestId),
-    /// The caller has cancelled the request or is gone.
+    /// The caller has cancelled the request or has disconnected.
     Cancelled(RequestId),
-    /// Slots that may be used now; none means that the back end is down.
+    /// Number of slots usable now; zero means that the back end is down.
     SlotsChanged(u16),
-    /// Requests that arrive from now on are refused, because the target leaves.
+    /// The target is leaving: requests that arrive from now on are refused.
     RefuseArrivals,
-    /// Requests that arrive are taken again.
+    /// Requests that arrive from now on are accepted again.
     TakeArrivals,
     /// Time has passed.
     Tick,
 }
 
 impl RequestEvent {
-    /// Whether it tells of an answer, which counts though its deadline passes
-    /// at the same time.
-    pub(super) fn brings_answer(&self) -> bool {
+    /// Whether the event is a part of an answer. Such an event is handled before
+    /// a deadline that passes at the same time.
+    pub(super) fn is_part_of_answer(&self) -> bool {
         matches!(
             self,
             Self::AnswerHead { .. } | Self::AnswerEnd { .. } | Self::BackEndRefused { .. }
@@ -73,44 +73,44 @@
 /// What the caller of the state machine carries out, in this order.
 #[derive(Debug, Eq, PartialEq)]
 pub enum RequestAction {
-    /// Open or take a back-end connection for the request, and report
+    /// Open or reuse a back-end connection for the request, and report
     /// [`RequestEvent::BackEndConnected`] before writing to it.
     Dispatch(RequestId),
     /// Write the request to its back-end connection, and report the answer.
     Send(SendPermit),
-    /// Close the request's back-end connection; nothing read from it counts.
+    /// Close the request's back-end connection and ignore anything read from it.
     CloseBackEndConnection(RequestId),
     /// Final: answer the caller at once that the request did not run.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Why, and when to come back.
+        /// Why, and when the caller may retry.
         refusal: Refusal,
     },
-    /// Final: tell the caller at once that the outcome is not known.
+    /// Final: tell the caller at once that the outcome is unknown.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why it is not known.
+        /// Why the outcome is unknown.
         reason: UnknownReason,
         /// Whether the caller may repeat the request.
         repeatable: bool,
     },
-    /// Final: the answer broke off after its head went to the caller; reset the
-    /// caller's stream, so that it is not taken for a whole answer.
+    /// Final: reset the caller's stream, because the answer broke off after its
+    /// head was sent; otherwise the caller could take the part for a whole answer.
     ResetCaller {
         /// The request.
         id: RequestId,
         /// Why the answer broke off.
         reason: UnknownReason,
     },
-    /// Final: end the caller's stream; the answer is whole.
+    /// Final: end the caller's stream; the answer is complete.
     Complete(RequestId),
-    /// Final: forget the request; the caller has cancelled it.
+    /// Final: discard the request, which the caller has cancelled.
     Forget {
         /// The request.
         id: RequestId,
-        /// Whether the back end may have run it.
+        /// Whether the back end may have run the request.
         may_have_run: bool,
     },
 }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether nothing further follows for the request.
+    /// Whether this is the last action for the request.
     #[must_use]
     pub fn is_final(&self) -> bool {
         !matches!(
--- a/crates/woodladder-core/src/target/request/mod.rs
+++ b/crates/woodladder-core/src/target/request/mod.rs
@@ -1,22 +1,23 @@
-//! The life of requests at one target: queued, dispatched, answered or failed.
+//! The lifecycle of requests at one target: queued, dispatched, answered or
+//! failed.
 //!
-//! What the module promises:
+//! Invariants:
 //!
-//! - a request is given to the back end once at most;
-//! - *not run* is said only while no byte of the request can have reached the
-//!   back end, or when the back end itself says that it refused the request;
-//! - each request gets one final action, and a refusal comes in the same call
-//!   in which the decision falls;
-//! - no more requests run than there are slots, no more wait than the queue
-//!   holds, and no more back-end connections are open than allowed.
+//! - A request is sent to the back end at most once.
+//! - A request is reported as *not run* only while no byte of it can have
+//!   reached the back end, or when the back end states that it refused it.
+//! - Each request gets exactly one final action. A refusal is returned by the
+//!   call that decides it.
+//! - The numbers of running requests, queued requests and back-end connections
+//!   never exceed the slots, the queue limit and the connection limit.
 
-mod estimate;
 mod event;
 mod options;
 mod outcome;
 mod request_id;
+mod request_store;
+mod service_time_estimate;
 mod stage;
-mod store;
 mod table;
 
 pub use event::{RequestAction, RequestEvent};
--- a/crates/woodladder-core/src/target/request/options.rs
+++ b/crates/woodladder-core/src/target/request/options.rs
@@ -5,17 +5,17 @@
 /// Parameters of the request table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestOptions {
-    /// Most requests that wait for a slot.
+    /// Most requests that may be queued for a slot.
     pub queue_limit: usize,
     /// Most back-end connections in use, streams included.
     pub connection_limit: u32,
-    /// Longest time that a request waits for a slot.
+    /// Longest time that a request may be queued.
     pub maximum_wait: Duration,
-    /// Assumed service time until requests have been answered.
+    /// Service time that the estimate starts from, before any answer.
     pub initial_service_time: Duration,
-    /// Shortest time after which a refused caller is told to come back.
+    /// Shortest time after which a refused caller is told to retry.
     pub minimum_retry_after: Duration,
-    /// Longest time after which a refused caller is told to come back.
+    /// Longest time after which a refused caller is told to retry.
     pub maximum_retry_after: Duration,
 }
 
--- a/crates/woodladder-core/src/target/request/outcome.rs
+++ b/crates/woodladder-core/src/target/request/outcome.rs
@@ -5,7 +5,7 @@
 
 /// The statement that a request did not run.
 ///
-/// Only stages in which that is certain make one; see the `stage` module.
+/// Made only in stages in which this is certain; see the `stage` module.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     reason: RefusalReason,
@@ -17,30 +17,31 @@
 pub enum RefusalReason {
     /// The target is leaving.
     Leaving,
-    /// Too many requests wait.
+    /// The queue is full.
     QueueFull,
     /// All back-end connections are in use.
     ConnectionLimit,
-    /// It would wait past its deadline, or longer than requests may.
+    /// The request could not be answered before its deadline, or would be queued
+    /// for longer than allowed.
     WouldWaitTooLong,
-    /// It waited past its deadline, or longer than requests may.
+    /// The request was queued until its deadline, or for longer than allowed.
     WaitedTooLong,
-    /// Its deadline passed while a back-end connection was opened.
+    /// The deadline passed while a back-end connection was being opened.
     ConnectedTooLate,
     /// The back end is down.
     BackEndDown,
     /// No back-end connection could be opened.
     ConnectFailed,
-    /// The back end refused it without running it.
+    /// The back end refused the request without running it.
     BackEndRefused,
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum UnknownReason {
-    /// The back-end connection broke before a whole answer.
+    /// The back-end connection was lost before the answer was complete.
     ConnectionBroken,
-    /// The answer ended before it was whole.
+    /// The answer ended before it was complete.
     AnswerTruncated,
     /// The deadline passed.
     DeadlinePassed,
@@ -60,7 +61,7 @@
         self.reason
     }
 
-    /// After how long the caller may come back; whole seconds.
+    /// Time after which the caller may retry, in whole seconds.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         self.retry_after
@@ -68,8 +69,8 @@
 }
 
 impl RefusalReason {
-    /// Whether it passes as the work at hand is done.
-    pub(super) fn follows_from_work(self) -> bool {
+    /// Whether the cause is load, which falls as requests are finished.
+    pub(super) fn is_caused_by_load(self) -> bool {
         matches!(
             self,
             Self::QueueFull | Self::WouldWaitTooLong | Self::WaitedTooLong
--- a/crates/woodladder-core/src/target/request/estimate.rs
+++ b/crates/woodladder-core/src/target/request/service_time_estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates of waiting times, and the time after which to come back.
+//! Estimate of service and waiting times, and the retry times that follow.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use super::options::RequestOptions;
 
-/// Share of a new sample in the running average is one in this many.
+/// Divisor of the moving average: a new sample has a weight of one over this.
 const AVERAGE_DIVISOR: u32 = 8;
-/// Greatest part of a return time that is added at random is one in this many.
-const SPREAD_DIVISOR: u64 = 2;
+/// Divisor of the random jitter: at most the retry time over this is added.
+const JITTER_DIVISOR: u64 = 2;
 
-/// Running average of service times, and what follows from it.
+/// Moving average of service times, with the bounds of retry times.
 #[derive(Clone, Debug)]
-pub(super) struct Estimate {
+pub(super) struct ServiceTimeEstimate {
     service_time: Duration,
     minimum_retry_after: Duration,
     maximum_retry_after: Duration,
     random: ChaCha8Rng,
 }
 
-impl Estimate {
+impl ServiceTimeEstimate {
     pub(super) fn new(options: &RequestOptions, random: ChaCha8Rng) -> Self {
         Self {
             service_time: options.initial_service_time,
@@ -40,28 +40,28 @@
         self.service_time
     }
 
-    /// Time until `ahead` requests, which wait or run, have let go of a slot.
-    pub(super) fn wait(&self, ahead: usize, slots: u32) -> Duration {
+    /// Estimated time until `ahead` requests have been served by `slots` slots.
+    pub(super) fn queue_wait(&self, ahead: usize, slots: u32) -> Duration {
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
         let work = self.service_time.saturating_mul(ahead);
         work.checked_div(slots).unwrap_or(Duration::MAX)
     }
 
-    /// When a caller may come back, given the time that the work ahead takes:
-    /// whole seconds within the bounds, spread at random so that callers who
-    /// were refused together do not come back together.
+    /// Time after which a refused caller may retry, given how long the work ahead
+    /// takes: whole seconds within the bounds, with random jitter so that callers
+    /// refused at the same time do not retry at the same time.
     pub(super) fn retry_after(&mut self, wait: Duration) -> Duration {
         let least = whole_seconds(self.minimum_retry_after).max(1);
         let most = whole_seconds(self.maximum_retry_after).max(least);
         let base = whole_seconds(wait).clamp(least, most);
-        let spread = (base / SPREAD_DIVISOR).max(1);
-        let seconds = base + self.random.random_range(0..=spread);
+        let maximum_jitter = (base / JITTER_DIVISOR).max(1);
+        let seconds = base + self.random.random_range(0..=maximum_jitter);
         Duration::from_secs(seconds.min(most))
     }
 }
 
-/// Seconds, rounded up.
+/// The duration in seconds, rounded up.
 fn whole_seconds(duration: Duration) -> u64 {
-    let rest = u64::from(duration.subsec_nanos() > 0);
-    duration.as_secs().saturating_add(rest)
+    let partial_second = u64::from(duration.subsec_nanos() > 0);
+    duration.as_secs().saturating_add(partial_second)
 }
--- a/crates/woodladder-core/src/target/request/stage.rs
+++ b/crates/woodladder-core/src/target/request/stage.rs
@@ -1,5 +1,6 @@
-//! Stages of a request. A refusal can be made only in the stages that allow
-//! one, and each step takes its stage away, so that none is taken twice.
+//! Stages of a request, as types. Only the stages in which the request cannot
+//! have run can make a refusal, and each transition consumes its stage, so that
+//! none happens twice.
 
 use std::time::Duration;
 
@@ -8,8 +9,8 @@
 use super::outcome::{Refusal, RefusalReason};
 use super::request_id::RequestId;
 
-/// Permission to write one request to the back end once. From the moment that
-/// it is given, the request may have run.
+/// Permission to write one request to the back end once. As soon as it has
+/// been given, the request may have run.
 #[derive(Debug, Eq, PartialEq)]
 pub struct SendPermit {
     id: RequestId,
@@ -23,7 +24,7 @@
     }
 }
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Debug)]
 pub(super) enum Stage {
     Queued(Queued),
@@ -32,27 +33,27 @@
     Answering(Answering),
 }
 
-/// It waits for a slot.
+/// The request waits for a slot.
 #[derive(Debug)]
 pub(super) struct Queued(());
 
-/// It holds a slot, and a back-end connection is opened for it.
+/// The request holds a slot, and a back-end connection is being opened for it.
 #[derive(Debug)]
 pub(super) struct Connecting {
-    since: Instant,
+    dispatched_at: Instant,
 }
 
-/// It may have reached the back end, and no answer has come.
+/// The request may have reached the back end, and no answer has arrived.
 #[derive(Debug)]
 pub(super) struct Sent {
-    since: Instant,
+    dispatched_at: Instant,
 }
 
-/// The head of its answer has gone to the caller.
+/// The head of the answer has been sent to the caller.
 #[derive(Debug)]
 pub(super) struct Answering {
     streaming: bool,
-    since: Instant,
+    dispatched_at: Instant,
 }
 
 impl Queued {
@@ -61,7 +62,7 @@
     }
 
     pub(super) fn dispatch(self, now: Instant) -> Connecting {
-        Connecting { since: now }
+        Connecting { dispatched_at: now }
     }
 
     pub(super) fn refuse(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
@@ -71,7 +72,9 @@
 
 impl Connecting {
     pub(super) fn send(self, id: RequestId) -> (Sent, SendPermit) {
-        let sent = Sent { since: self.since };
+        let sent = Sent {
+            dispatched_at: self.dispatched_at,
+        };
         (sent, SendPermit { id })
     }
 
@@ -84,11 +87,11 @@
     pub(super) fn answer(self, streaming: bool) -> Answering {
         Answering {
             streaming,
-            since: self.since,
+            dispatched_at: self.dispatched_at,
         }
     }
 
-    /// The back end itself says that it did not run the request.
+    /// A refusal because the back end stated that it did not run the request.
     pub(super) fn refused_by_back_end(self, retry_after: Duration) -> Refusal {
         Refusal::new(RefusalReason::BackEndRefused, retry_after)
     }
@@ -100,7 +103,7 @@
     }
 
     pub(super) fn service_time(&self, now: Instant) -> Duration {
-        now.since(self.since)
+        now.since(self.dispatched_at)
     }
 }
 
@@ -135,15 +138,16 @@
         }
     }
 
-    /// Whether the request holds a connection and no slot.
+    /// Whether the request holds a connection but no slot.
     pub(super) fn is_stream(&self) -> bool {
         matches!(self, Self::Answering(answering) if answering.streaming)
     }
 
-    /// How long the request has held its slot, when it holds one.
+    /// How long ago the request was dispatched, once it is sent and while it holds
+    /// a slot.
     pub(super) fn service_time(&self, now: Instant) -> Option<Duration> {
         match self {
-            Self::Sent(sent) => Some(now.since(sent.since)),
+            Self::Sent(sent) => Some(now.since(sent.dispatched_at)),
             Self::Answering(answering) if !answering.streaming => Some(answering.service_time(now)),
             _ => None,
         }
--- a/crates/woodladder-core/src/target/slow_start.rs
+++ b/crates/woodladder-core/src/target/slow_start.rs
@@ -1,57 +1,56 @@
-//! Slow start: a back end that has just come up gets a growing part of its
-//! slots, because caches are cold and its first answers are late.
+//! Slow start: a back end that has just started gets a growing share of its
+//! slots, because its caches are cold and its first answers are slow.
 //!
-//! The part grows with time, and slower while answers take longer than the
-//! quickest average seen since the ramp began.
+//! The share grows with time, and grows more slowly while the average service
+//! time is above the lowest average since the ramp began.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// Thousandths in a whole.
-const WHOLE: u32 = 1000;
-/// Share of a new sample in the running average is one in this many.
+/// One, in thousandths.
+const FULL_THOUSANDTHS: u32 = 1000;
+/// Divisor of the moving average: a new sample has a weight of one over this.
 const AVERAGE_DIVISOR: u32 = 8;
 
-/// How slots come into use after a start.
+/// Parameters of slow start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SlowStartOptions {
-    /// Part of the slots in use at once, in thousandths.
-    pub initial_share: u32,
-    /// Time until all slots are in use, when answers are not late.
+    /// Share of the slots that is usable when the ramp begins, in thousandths.
+    pub initial_share_thousandths: u32,
+    /// Time until all slots are usable, when answers do not become slower.
     pub window: Duration,
-    /// Least speed of the ramp while answers are late, in thousandths of the
-    /// usual speed.
-    pub minimum_speed: u32,
+    /// Lowest speed of the ramp while answers are slow, in thousandths of the
+    /// normal speed.
+    pub minimum_speed_thousandths: u32,
 }
 
 impl Default for SlowStartOptions {
     fn default() -> Self {
         Self {
-            initial_share: 250,
+            initial_share_thousandths: 250,
             window: Duration::from_secs(10),
-            minimum_speed: 250,
+            minimum_speed_thousandths: 250,
         }
     }
 }
 
-/// Slots that may be used now, in thousandths of a slot.
+/// Slots that are usable now, in thousandths of a slot.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EffectiveSlots(u32);
 
 impl EffectiveSlots {
-    /// So many slots, all in use.
+    /// All of this many slots.
     #[must_use]
     pub fn all(slots: u16) -> Self {
-        Self(u32::from(slots) * WHOLE)
+        Self(u32::from(slots) * FULL_THOUSANDTHS)
     }
 
-    /// A share of so many slots, in thousandths; at least one slot when there
-    /// is one.
+    /// A share of this many slots; at least one slot, unless there are none.
     #[must_use]
-    pub fn share(slots: u16, share: u32) -> Self {
-        let scaled = u32::from(slots) * share.min(WHOLE);
-        Self(scaled.max(WHOLE.min(u32::from(slots) * WHOLE)))
+    pub fn share(slots: u16, share_thousandths: u32) -> Self {
+        let scaled = u32::from(slots) * share_thousandths.min(FULL_THOUSANDTHS);
+        Self(scaled.max(FULL_THOUSANDTHS.min(u32::from(slots) * FULL_THOUSANDTHS)))
     }
 
     /// Thousandths of a slot.
@@ -60,22 +59,22 @@
         self.0
     }
 
-    /// Whole slots: the requests that may run at the same time.
+    /// Whole slots, rounded down: requests that may run at the same time.
     #[must_use]
     pub fn whole(self) -> u16 {
-        u16::try_from(self.0 / WHOLE).unwrap_or(u16::MAX)
+        u16::try_from(self.0 / FULL_THOUSANDTHS).unwrap_or(u16::MAX)
     }
 }
 
-/// The ramp of one back end.
+/// Slow-start ramp of one back end.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     options: SlowStartOptions,
-    /// Advance of the ramp, out of the window.
+    /// Progress of the ramp, from zero to `options.window`.
     progress: Duration,
     updated_at: Instant,
     average: Option<Duration>,
-    quickest_average: Option<Duration>,
+    lowest_average: Option<Duration>,
 }
 
 impl SlowStart {
@@ -87,16 +86,16 @@
             progress: Duration::ZERO,
             updated_at: now,
             average: None,
-            quickest_average: None,
+            lowest_average: None,
         }
     }
 
-    /// Begins the ramp again: the back end has come back.
+    /// Restarts the ramp after the back end has come back.
     pub fn restart(&mut self, now: Instant) {
         *self = Self::new(self.options, now);
     }
 
-    /// Takes in how long a request ran.
+    /// Records the service time of a request.
     pub fn record_service_time(&mut self, sample: Duration, now: Instant) {
         self.advance(now);
         let average = match self.average {
@@ -106,19 +105,19 @@
             }
         };
         self.average = Some(average);
-        let quickest = self
-            .quickest_average
+        let lowest = self
+            .lowest_average
             .map_or(average, |known| known.min(average));
-        self.quickest_average = Some(quickest);
+        self.lowest_average = Some(lowest);
     }
 
-    /// Slots out of `slots` that may be used now.
+    /// How many of the back end's `slots` are usable now.
     pub fn effective_slots(&mut self, slots: u16, now: Instant) -> EffectiveSlots {
         self.advance(now);
-        EffectiveSlots::share(slots, self.current_share())
+        EffectiveSlots::share(slots, self.current_share_thousandths())
     }
 
-    /// Whether all slots are in use.
+    /// Whether the ramp has ended and all slots are usable.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.progress >= self.options.window
@@ -127,35 +126,40 @@
     fn advance(&mut self, now: Instant) {
         let elapsed = now.since(self.updated_at);
         self.updated_at = self.updated_at.max(now);
-        let step = scale(elapsed, self.speed());
+        let step = scale(elapsed, self.speed_thousandths());
         let progress = self.progress.saturating_add(step);
         self.progress = progress.min(self.options.window);
     }
 
-    /// Speed of the ramp in thousandths.
-    fn speed(&self) -> u32 {
-        let (Some(average), Some(quickest)) = (self.average, self.quickest_average) else {
-            return WHOLE;
+    /// Speed of the ramp in thousandths of the normal speed.
+    fn speed_thousandths(&self) -> u32 {
+        let (Some(average), Some(lowest)) = (self.average, self.lowest_average) else {
+            return FULL_THOUSANDTHS;
         };
-        let speed = thousandths(quickest, average);
-        speed.clamp(self.options.minimum_speed.min(WHOLE), WHOLE)
+        let speed = thousandths(lowest, average);
+        speed.clamp(
+            self.options.minimum_speed_thousandths.min(FULL_THOUSANDTHS),
+            FULL_THOUSANDTHS,
+        )
     }
 
-    fn current_share(&self) -> u32 {
-        let initial = self.options.initial_share.min(WHOLE);
+    fn current_share_thousandths(&self) -> u32 {
+        let initial = self.options.initial_share_thousandths.min(FULL_THOUSANDTHS);
         let grown = thousandths(self.progress, self.options.window);
-        initial + (WHOLE - initial) * grown / WHOLE
+        initial + (FULL_THOUSANDTHS - initial) * grown / FULL_THOUSANDTHS
     }
 }
 
-/// `part` in thousandths of `whole`, at most [`WHOLE`].
+/// `part` in thousandths of `whole`, at most [`FULL_THOUSANDTHS`].
 fn thousandths(part: Duration, whole: Duration) -> u32 {
-    let scaled = part.as_nanos() * u128::from(WHOLE);
+    let scaled = part.as_nanos() * u128::from(FULL_THOUSANDTHS);
     let share = scaled.checked_div(whole.as_nanos());
-    let share = share.unwrap_or(u128::from(WHOLE));
-    u32::try_from(share).unwrap_or(WHOLE).min(WHOLE)
+    let share = share.unwrap_or(u128::from(FULL_THOUSANDTHS));
+    u32::try_from(share)
+        .unwrap_or(FULL_THOUSANDTHS)
+        .min(FULL_THOUSANDTHS)
 }
 
 fn scale(duration: Duration, thousandths: u32) -> Duration {
-    duration.saturating_mul(thousandths) / WHOLE
+    duration.saturating_mul(thousandths) / FULL_THOUSANDTHS
 }
--- a/crates/woodladder-core/tests/admission.rs
+++ b/crates/woodladder-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at one target.
+//! Admission at one target: which flows it accepts, hands on, declines or refuses.
 
 mod support;
 
@@ -12,27 +12,27 @@
 use woodladder_core::packets::hop_list::{Load, flow_hash};
 use woodladder_core::packets::routing_table::RoutingTable;
 use woodladder_core::target::admission::{
-    AdmissionDropReason, AdmissionOptions, FENCE_GRACE, RefuseReason, SequenceHint, Verdict,
+    AdmissionDropReason, AdmissionOptions, FENCE_GRACE, FlowRefusalReason, SequenceHint, Verdict,
 };
 
 use support::target_model::{TargetModel, envelope, first_envelope, first_route};
 use support::{
-    ARCHIVE, ORDERS, active, at, directory, first_datagram, keys, service_address, short_datagram,
-    target, target_address,
+    ARCHIVE, ORDERS, active, at, first_datagram, keys, routing_table, service_address,
+    short_datagram, target, target_address,
 };
 
 const FLOW: [u8; 8] = [7; 8];
 
-fn orders() -> Arc<RoutingTable> {
-    directory(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
+fn two_services() -> Arc<RoutingTable> {
+    routing_table(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
 }
 
-fn only_target() -> Arc<RoutingTable> {
-    directory(5, active([1], ORDERS))
+fn single_target() -> Arc<RoutingTable> {
+    routing_table(5, active([1], ORDERS))
 }
 
 fn model(id: u32) -> TargetModel {
-    TargetModel::new(id, &orders(), AdmissionOptions::default())
+    TargetModel::new(id, &two_services(), AdmissionOptions::default())
 }
 
 fn verdict(model: &mut TargetModel, envelope: Envelope) -> Verdict {
@@ -47,7 +47,7 @@
     let Route::NewFlow(route) = forward.envelope.route else {
         panic!("not a first route");
     };
-    let hop = *route.current().expect("a hop");
+    let hop = *route.current_hop().expect("a hop");
     assert_eq!(forward.to, hop.address);
     (hop.target, route)
 }
@@ -59,7 +59,7 @@
     )
 }
 
-/// Mostly the target under test.
+/// Target 1, the one under test, three times out of four.
 fn any_target() -> impl Strategy<Value = TargetId> {
     prop_oneof![3 => Just(1), 1 => 1..15_u32].prop_map(TargetId)
 }
@@ -75,55 +75,56 @@
 }
 
 proptest! {
-    /// Whatever comes, only packets of the own service and target pass.
+    /// Only packets for the service and target under test reach the transport,
+    /// whatever arrives.
     #[test]
     fn nothing_of_another_service_or_target_reaches_the_transport(
         to_archive: bool,
         sequence in 0..9_u64,
         route in any_route(),
-        named in prop::option::of(any_target()),
+        token_target in prop::option::of(any_target()),
         is_first: bool,
         key_number in 1..3_u8,
         busy in 0..20_u32,
     ) {
         let service = if to_archive { ARCHIVE } else { ORDERS };
-        let id = named.map_or(vec![9; 20], |target| {
+        let id = token_target.map_or(vec![9; 20], |target| {
             keys(key_number).issue(target, [3; 7]).to_vec()
         });
         let datagram = if is_first { first_datagram(&id) } else { short_datagram(&id) };
-        let verified = named.filter(|_| key_number == 1);
+        let verified_target = token_target.filter(|_| key_number == 1);
         let sent = envelope(service, sequence, route.clone());
         let decision = model(1).with_busy(busy).handle(sent, &datagram, at(0));
         if reaches_transport(&decision.verdict) {
             let own = Some(TargetId(1));
-            let meant_for = match &route {
+            let intended_target = match &route {
                 Route::Established(target) | Route::Relay(target) => Some(*target),
-                Route::NewFlow(first) => first.current().map(|hop| hop.target),
+                Route::NewFlow(first) => first.current_hop().map(|hop| hop.target),
             };
             prop_assert!(!to_archive);
-            prop_assert_eq!(meant_for, own);
-            prop_assert!(verified == own || (verified.is_none() && is_first));
+            prop_assert_eq!(intended_target, own);
+            prop_assert!(verified_target == own || (verified_target.is_none() && is_first));
             let opens = decision.verdict != Verdict::Deliver;
             prop_assert!(!opens || matches!(route, Route::NewFlow(_)));
         }
     }
 
-    /// A target that leaves takes no flow that it has not taken before.
+    /// A leaving target accepts no new flow.
     #[test]
     fn a_leaving_target_accepts_nothing_new(
         flow: [u8; 8],
         busy in 0..20_u32,
         targets in prop::sample::subsequence(vec![1, 2, 3, 4], 1..=4),
         last: bool,
-        by_bundle: bool,
+        leaves_by_bundle: bool,
     ) {
         let mut targets = targets;
         targets.retain(|id| *id != 1);
         targets.insert(0, 1);
-        let state = if by_bundle { TargetState::Leaving } else { TargetState::Active };
-        let known = directory(5, [vec![target(1, ORDERS, state)], active(2..8, ORDERS)].concat());
-        let mut model = TargetModel::new(1, &known, AdmissionOptions::default()).with_busy(busy);
-        model.conditions.takes_new_flows = by_bundle;
+        let state = if leaves_by_bundle { TargetState::Leaving } else { TargetState::Active };
+        let table = routing_table(5, [vec![target(1, ORDERS, state)], active(2..8, ORDERS)].concat());
+        let mut model = TargetModel::new(1, &table, AdmissionOptions::default()).with_busy(busy);
+        model.conditions.takes_new_flows = leaves_by_bundle;
         let mut route = first_route(&targets, 0, last);
         if last {
             route.hops[0].load = Some(Load(500));
@@ -134,14 +135,14 @@
             prop_assert_eq!(verdict, Verdict::AcceptToDecline);
         } else {
             let (_, route) = handed_on(verdict);
-            prop_assert_eq!(route.hops[0].load, None, "it would come back");
+            prop_assert_eq!(route.hops[0].load, None, "a stated load would bring the flow back");
         }
     }
 
-    /// The decision on a flow holds for its further first packets, whatever
-    /// list they come with.
+    /// The decision on a flow holds for its repeated first packets, also with
+    /// another hop list.
     #[test]
-    fn a_decision_is_kept(
+    fn a_decision_holds_for_repeated_first_packets(
         flow: [u8; 8],
         first_busy in 0..20_u32,
         second_busy in 0..20_u32,
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn little_load_is_taken_at_once_and_more_is_handed_on() {
+fn a_flow_is_accepted_at_little_load_and_handed_on_otherwise() {
     let idle = verdict(&mut model(1), first_envelope(5, &[1, 2]));
     assert_eq!(idle, Verdict::Accept);
     let busy = verdict(&mut model(1).with_busy(8), first_envelope(5, &[1, 2]));
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn the_last_asked_compares_and_sends_back() {
+fn the_last_target_asked_hands_back_to_a_less_loaded_one() {
     let stated = |load| {
         let mut route = first_route(&[1, 2, 3], 2, false);
         route.hops[0].load = Some(Load(900));
@@ -193,23 +194,23 @@
 }
 
 #[test]
-fn a_reluctant_target_takes_a_flow_only_when_no_other_does() {
-    let mut reluctant = model(1);
-    reluctant.admission.set_last_resort(true);
-    let (to, route) = handed_on(verdict(&mut reluctant, first_envelope(5, &[1, 2])));
+fn a_target_of_last_resort_accepts_a_flow_only_when_no_other_does() {
+    let mut last_resort = model(1);
+    last_resort.admission.set_last_resort(true);
+    let (to, route) = handed_on(verdict(&mut last_resort, first_envelope(5, &[1, 2])));
     assert_eq!(to, TargetId(2));
 
-    let mut also_reluctant = model(2).with_busy(1);
-    also_reluctant.admission.set_last_resort(true);
+    let mut other_last_resort = model(2).with_busy(1);
+    other_last_resort.admission.set_last_resort(true);
     let sent = envelope(ORDERS, 5, Route::NewFlow(route));
-    let (to, route) = handed_on(verdict(&mut also_reluctant, sent));
+    let (to, route) = handed_on(verdict(&mut other_last_resort, sent));
     assert_eq!(to, TargetId(1));
     let sent_back = envelope(ORDERS, 5, Route::NewFlow(route));
-    assert_eq!(verdict(&mut reluctant, sent_back), Verdict::Accept);
+    assert_eq!(verdict(&mut last_resort, sent_back), Verdict::Accept);
 }
 
 #[test]
-fn a_margin_keeps_small_differences_from_a_return() {
+fn the_return_margin_ignores_small_load_differences() {
     let options = AdmissionOptions {
         return_margin: Load(100),
         ..AdmissionOptions::default()
@@ -217,29 +218,29 @@
     let mut route = first_route(&[1, 2], 1, false);
     route.hops[0].load = Some(Load(700));
     let sent = envelope(ORDERS, 5, Route::NewFlow(route));
-    let mut model = TargetModel::new(2, &orders(), options).with_busy(8);
+    let mut model = TargetModel::new(2, &two_services(), options).with_busy(8);
     assert_eq!(verdict(&mut model, sent), Verdict::Accept);
 }
 
 #[test]
-fn flows_just_taken_count_until_their_first_request() {
+fn accepted_flows_count_as_load_until_their_first_request() {
     let mut model = model(1).with_busy(1);
-    let take = |model: &mut TargetModel, flow: u8, now| {
+    let admit = |model: &mut TargetModel, flow: u8, now| {
         let sent = first_envelope(5, &[1, 2]);
         let datagram = first_datagram(&[flow; 8]);
         model.handle(sent, &datagram, at(now)).verdict
     };
-    assert_eq!(take(&mut model, 1, 0), Verdict::Accept);
-    assert!(matches!(take(&mut model, 2, 0), Verdict::HandOn(_)));
+    assert_eq!(admit(&mut model, 1, 0), Verdict::Accept);
+    assert!(matches!(admit(&mut model, 2, 0), Verdict::HandOn(_)));
     model.admission.request_arrived(flow_hash(&[1; 8]));
-    assert_eq!(take(&mut model, 3, 0), Verdict::Accept);
-    assert!(matches!(take(&mut model, 4, 499), Verdict::HandOn(_)));
-    assert_eq!(take(&mut model, 5, 500), Verdict::Accept);
+    assert_eq!(admit(&mut model, 3, 0), Verdict::Accept);
+    assert!(matches!(admit(&mut model, 4, 499), Verdict::HandOn(_)));
+    assert_eq!(admit(&mut model, 5, 500), Verdict::Accept);
 }
 
 #[test]
-fn connections_are_bounded_with_those_not_open_yet() {
-    let mut model = TargetModel::new(1, &only_target(), AdmissionOptions::default());
+fn the_connection_limit_counts_unopened_connections() {
+    let mut model = TargetModel::new(1, &single_target(), AdmissionOptions::default());
     model.conditions.usage.connection_limit = 1;
     let only = |flow: u8| (first_envelope(5, &[1]), first_datagram(&[flow; 8]));
     let (sent, datagram) = only(1);
@@ -259,12 +260,12 @@
 }
 
 #[test]
-fn beyond_the_allowance_flows_are_refused() {
+fn flows_beyond_the_decline_allowance_are_refused() {
     let options = AdmissionOptions {
         decline_allowance: 2,
         ..AdmissionOptions::default()
     };
-    let mut model = TargetModel::new(1, &only_target(), options);
+    let mut model = TargetModel::new(1, &single_target(), options);
     model.conditions.takes_new_flows = false;
     let mut decide = |flow: u8, now| {
         let datagram = first_datagram(&[flow; 8]);
@@ -274,27 +275,27 @@
     };
     assert_eq!(decide(1, 0), Verdict::AcceptToDecline);
     assert_eq!(decide(2, 0), Verdict::AcceptToDecline);
-    assert_eq!(decide(3, 999), Verdict::Refuse(RefuseReason::Leaving));
+    assert_eq!(decide(3, 999), Verdict::Refuse(FlowRefusalReason::Leaving));
     assert_eq!(decide(4, 1000), Verdict::AcceptToDecline);
 }
 
 #[test]
-fn targets_that_the_own_directory_rules_out_are_not_asked() {
+fn targets_ruled_out_by_the_routing_table_are_not_asked() {
     let leaving = target(2, ORDERS, TargetState::Leaving);
-    let known = directory(
+    let table = routing_table(
         5,
         [vec![leaving], active([1, 3], ORDERS), active([4], ARCHIVE)].concat(),
     );
-    let mut model = TargetModel::new(1, &known, AdmissionOptions::default()).with_busy(9);
+    let mut model = TargetModel::new(1, &table, AdmissionOptions::default()).with_busy(9);
     let (to, _) = handed_on(verdict(&mut model, first_envelope(4, &[1, 2, 4, 3])));
     assert_eq!(to, TargetId(3));
 }
 
 #[test]
-fn a_flow_that_no_listed_target_can_take_goes_to_another() {
+fn a_flow_that_no_listed_target_can_accept_goes_to_another() {
     let leaving = [1, 2].map(|id| target(id, ORDERS, TargetState::Leaving));
-    let known = directory(5, [leaving.to_vec(), active([3], ORDERS)].concat());
-    let mut model = TargetModel::new(1, &known, AdmissionOptions::default());
+    let table = routing_table(5, [leaving.to_vec(), active([3], ORDERS)].concat());
+    let mut model = TargetModel::new(1, &table, AdmissionOptions::default());
     let (to, route) = handed_on(verdict(&mut model, first_envelope(4, &[1, 2])));
     assert_eq!(to, TargetId(3));
     assert!(route.must_decide);
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn a_leaving_target_alone_on_its_list_knows_another() {
+fn a_leaving_target_alone_on_the_list_hands_on_to_another() {
     let mut model = model(1);
     model.conditions.takes_new_flows = false;
     let (to, route) = handed_on(verdict(&mut model, first_envelope(5, &[1])));
@@ -340,7 +341,7 @@
     assert_eq!((decision.verdict, decision.hint), (Verdict::Accept, None));
     let decision = first(&mut model, 2, beyond);
     let stale = Verdict::Drop(AdmissionDropReason::StaleSequence);
-    let hint = Some(SequenceHint::SenderIsBehind(Sequence(4)));
+    let hint = Some(SequenceHint::BalancerIsBehind(Sequence(4)));
     assert_eq!((decision.verdict, decision.hint), (stale, hint));
     let token = keys(1).issue(TargetId(1), [0; 7]);
     let sent = envelope(ORDERS, 4, Route::Established(TargetId(1)));
@@ -354,7 +355,7 @@
     let now = at(60_000);
     model
         .admission
-        .adopt(directory(6, active(1..8, ORDERS)), now);
+        .adopt(routing_table(6, active(1..8, ORDERS)), now);
     let mut decide = |sequence, flow: u8| {
         let datagram = first_datagram(&[flow; 8]);
         model.handle(first_envelope(sequence, &[1]), &datagram, now)
@@ -396,7 +397,7 @@
 }
 
 #[test]
-fn a_target_that_knows_no_directory_serves_by_its_settings() {
+fn a_target_without_a_routing_table_accepts_flows() {
     let none = Arc::new(RoutingTable::default());
     let mut model = TargetModel::new(1, &none, AdmissionOptions::default());
     let decision = model.handle(first_envelope(5, &[1]), &first_datagram(&FLOW), at(0));
--- a/crates/woodladder-core/tests/admission_load.rs
+++ b/crates/woodladder-core/tests/admission_load.rs
@@ -1,4 +1,4 @@
-//! Load and slow start: what a target states of itself.
+//! Load and slow start of a target.
 
 mod support;
 
@@ -42,56 +42,56 @@
     }
 
     #[test]
-    fn the_ramp_only_grows_and_ends(
+    fn the_ramp_never_shrinks_and_ends(
         samples in prop::collection::vec((1..5000_u64, 0..2000_u64), 0..40),
         slots in 1..500_u16,
     ) {
         let options = SlowStartOptions::default();
         let mut ramp = SlowStart::new(options, at(0));
         let mut now = at(0);
-        let mut known = ramp.effective_slots(slots, now);
-        prop_assert!(known.whole() >= 1);
+        let mut previous = ramp.effective_slots(slots, now);
+        prop_assert!(previous.whole() >= 1);
         for (service_time, after) in samples {
             now = now + Duration::from_millis(after);
             ramp.record_service_time(Duration::from_millis(service_time), now);
             let next = ramp.effective_slots(slots, now);
-            prop_assert!(next >= known && next <= EffectiveSlots::all(slots));
-            known = next;
+            prop_assert!(next >= previous && next <= EffectiveSlots::all(slots));
+            previous = next;
         }
-        let slowest = options.window * 1000 / options.minimum_speed;
-        let end = ramp.effective_slots(slots, now + slowest);
+        let longest_ramp = options.window * 1000 / options.minimum_speed_thousandths;
+        let end = ramp.effective_slots(slots, now + longest_ramp);
         prop_assert_eq!(end, EffectiveSlots::all(slots));
         prop_assert!(ramp.is_complete());
     }
 }
 
 #[test]
-fn all_slots_busy_is_a_full_load_and_streams_weigh_little() {
+fn all_slots_busy_is_a_full_load_and_connections_count_little() {
     assert_eq!(load(usage(7, 7, 0)), Load(FULL_LOAD));
     assert_eq!(load(usage(0, 7, 2000)), Load(DEFAULT_CONNECTION_WEIGHT));
     assert!(load(usage(0, 7, 2000)) < load(usage(1, 7, 0)));
 }
 
 #[test]
-fn a_target_without_slots_is_never_the_better_one() {
+fn a_target_without_slots_has_the_greatest_load() {
     assert_eq!(load(usage(1, 0, 0)), Load(u32::MAX));
 }
 
 #[test]
-fn late_answers_slow_the_ramp() {
-    let mut quick = SlowStart::new(SlowStartOptions::default(), at(0));
-    let mut late = quick.clone();
+fn slow_answers_slow_the_ramp() {
+    let mut fast = SlowStart::new(SlowStartOptions::default(), at(0));
+    let mut slow = fast.clone();
     for step in 1..=20 {
         let now = at(step * 100);
-        quick.record_service_time(Duration::from_millis(10), now);
-        late.record_service_time(Duration::from_millis(10 * step), now);
+        fast.record_service_time(Duration::from_millis(10), now);
+        slow.record_service_time(Duration::from_millis(10 * step), now);
     }
     let now = at(5000);
-    assert!(late.effective_slots(100, now) < quick.effective_slots(100, now));
+    assert!(slow.effective_slots(100, now) < fast.effective_slots(100, now));
 }
 
 #[test]
-fn a_back_end_that_returns_starts_over() {
+fn a_back_end_that_comes_back_restarts_the_ramp() {
     let mut ramp = SlowStart::new(SlowStartOptions::default(), at(0));
     assert_eq!(ramp.effective_slots(8, at(20_000)).whole(), 8);
     ramp.restart(at(20_000));
--- a/crates/woodladder-core/tests/drain.rs
+++ b/crates/woodladder-core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The drain of a target.
+//! Drain of a target.
 
 mod support;
 
@@ -20,7 +20,7 @@
     })
 }
 
-fn begin(drain: &mut Drain, reason: DrainReason, now: Instant) -> Vec<DrainAction> {
+fn add_reason(drain: &mut Drain, reason: DrainReason, now: Instant) -> Vec<DrainAction> {
     drain.handle(DrainEvent::AddReason(reason), now)
 }
 
@@ -43,44 +43,45 @@
 }
 
 proptest! {
-    /// New flows are taken exactly while no reason holds; requests at most for
-    /// the grace after that; drained means that no request is left.
+    /// New flows are accepted exactly while no reason to leave holds, and
+    /// requests for at most the grace period after that. A drained target has no
+    /// request left.
     #[test]
     fn a_target_leaves_while_a_reason_holds(
         grace in 0..10_000_u64,
         steps in prop::collection::vec((event(), 0..3000_u64), 1..60),
     ) {
         let mut drain = Drain::new(Duration::from_millis(grace));
-        let mut held = std::collections::BTreeSet::new();
+        let mut reasons = std::collections::BTreeSet::new();
         let mut requests = 0;
         let mut now = at(0);
-        let mut left_at = now;
+        let mut leaving_since = now;
         for (event, after) in steps {
             now = now + Duration::from_millis(after);
-            let was_serving = held.is_empty();
+            let was_serving = reasons.is_empty();
             match event {
                 DrainEvent::AddReason(reason) => {
-                    held.insert(reason);
+                    reasons.insert(reason);
                 }
                 DrainEvent::RemoveReason(reason) if reason != DrainReason::Signal => {
-                    held.remove(&reason);
+                    reasons.remove(&reason);
                 }
                 DrainEvent::Activity(activity) => requests = activity.requests,
                 _ => {}
             }
             if was_serving {
-                left_at = now;
+                leaving_since = now;
             }
             let actions = drain.handle(event, now);
-            prop_assert_eq!(drain.takes_new_flows(), held.is_empty());
-            if !held.is_empty() && now.since(left_at) >= MAXIMUM_DRAIN_GRACE {
+            prop_assert_eq!(drain.takes_new_flows(), reasons.is_empty());
+            if !reasons.is_empty() && now.since(leaving_since) >= MAXIMUM_DRAIN_GRACE {
                 prop_assert!(!drain.takes_new_requests(now));
             }
-            prop_assert!(held.is_empty() || drain.phase() != DrainPhase::Serving);
+            prop_assert!(reasons.is_empty() || drain.phase() != DrainPhase::Serving);
             if actions.contains(&DrainAction::Finish) && !matches!(event, DrainEvent::AddReason(_)) {
                 prop_assert_eq!(requests, 0);
             }
-            let begins = was_serving && !held.is_empty();
+            let begins = was_serving && !reasons.is_empty();
             prop_assert_eq!(actions.contains(&DrainAction::NotifyCallers), begins);
             prop_assert!(drain.next_wakeup().is_none_or(|at| at > now));
         }
@@ -88,10 +89,10 @@
 }
 
 #[test]
-fn requests_are_taken_for_the_grace_and_work_in_progress_ends() {
+fn requests_are_accepted_during_the_grace_and_running_ones_finish() {
     let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(1, 2), at(0));
-    let actions = begin(&mut drain, DrainReason::Signal, at(1000));
+    let actions = add_reason(&mut drain, DrainReason::Signal, at(1000));
     assert_eq!(actions, [DrainAction::NotifyCallers]);
     assert!(!drain.takes_new_flows());
     assert!(drain.takes_new_requests(at(3999)));
@@ -103,10 +104,10 @@
 }
 
 #[test]
-fn an_idle_target_with_open_connections_waits_for_the_grace() {
+fn an_idle_target_with_open_connections_is_not_drained_at_once() {
     let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(0, 1), at(0));
-    let actions = begin(&mut drain, DrainReason::Signal, at(0));
+    let actions = add_reason(&mut drain, DrainReason::Signal, at(0));
     assert!(!actions.contains(&DrainAction::Finish));
     let actions = drain.handle(activity(0, 0), at(10));
     let expected = [DrainAction::RefuseRequests, DrainAction::Finish];
@@ -114,28 +115,28 @@
 }
 
 #[test]
-fn a_withdrawn_reason_brings_the_target_back_and_a_signal_does_not() {
+fn removing_the_last_reason_resumes_service_except_for_a_signal() {
     let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
     drain.handle(activity(1, 1), at(0));
-    begin(&mut drain, DrainReason::BackEndHealth, at(0));
-    begin(&mut drain, DrainReason::Bundle, at(0));
-    let withdraw =
+    add_reason(&mut drain, DrainReason::BackEndHealth, at(0));
+    add_reason(&mut drain, DrainReason::Bundle, at(0));
+    let remove_reason =
         |drain: &mut Drain, reason| drain.handle(DrainEvent::RemoveReason(reason), at(9000));
-    withdraw(&mut drain, DrainReason::Bundle);
+    remove_reason(&mut drain, DrainReason::Bundle);
     assert!(!drain.takes_new_flows());
-    let actions = withdraw(&mut drain, DrainReason::BackEndHealth);
+    let actions = remove_reason(&mut drain, DrainReason::BackEndHealth);
     assert_eq!(actions, [DrainAction::Resume]);
     assert!(drain.takes_new_requests(at(9000)));
-    begin(&mut drain, DrainReason::Signal, at(9000));
-    withdraw(&mut drain, DrainReason::Signal);
+    add_reason(&mut drain, DrainReason::Signal, at(9000));
+    remove_reason(&mut drain, DrainReason::Signal);
     assert!(!drain.takes_new_flows());
 }
 
 #[test]
-fn a_signal_to_a_drained_target_lets_the_process_end() {
+fn a_signal_to_a_drained_target_finishes_at_once() {
     let mut drain = Drain::new(DEFAULT_DRAIN_GRACE);
-    begin(&mut drain, DrainReason::Bundle, at(0));
+    add_reason(&mut drain, DrainReason::Bundle, at(0));
     assert_eq!(drain.phase(), DrainPhase::Drained);
-    let actions = begin(&mut drain, DrainReason::Signal, at(5000));
+    let actions = add_reason(&mut drain, DrainReason::Signal, at(5000));
     assert_eq!(actions, [DrainAction::Finish]);
 }
--- a/crates/woodladder-core/tests/request.rs
+++ b/crates/woodladder-core/tests/request.rs
@@ -1,4 +1,4 @@
-//! The request table, case by case.
+//! The request table: one test for each way in which a request can end.
 
 mod support;
 
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_answer_goes_through_and_frees_the_slot_for_the_next() {
+fn a_complete_answer_frees_the_slot_for_the_next_request() {
     let mut table = table(1);
     assert_eq!(
         arrive(&mut table, 1, None, at(0)),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_stream_frees_its_slot_with_its_head_and_has_no_deadline_then() {
+fn a_stream_has_neither_slot_nor_deadline_after_its_answer_head() {
     let mut table = table(1);
     arrive(&mut table, 1, Some(at(500)), at(0));
     arrive(&mut table, 2, None, at(0));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_request_that_would_wait_past_its_deadline_is_refused_on_arrival() {
+fn a_request_that_would_miss_its_deadline_is_refused_on_arrival() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     let late = arrive(&mut table, 2, Some(at(199)), at(0));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_waiting_request_is_refused_the_moment_its_deadline_passes() {
+fn a_queued_request_is_refused_when_its_deadline_passes() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     arrive(&mut table, 2, Some(at(300)), at(0));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_deadline_after_the_first_byte_leaves_the_outcome_unknown() {
+fn a_deadline_that_passes_after_sending_leaves_the_outcome_unknown() {
     let mut table = table(2);
     arrive(&mut table, 1, Some(at(300)), at(0));
     arrive(&mut table, 2, Some(at(300)), at(0));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_connection_that_is_ready_after_the_deadline_is_not_written_to() {
+fn nothing_is_sent_on_a_connection_opened_after_the_deadline() {
     let mut table = table(1);
     arrive(&mut table, 1, Some(at(300)), at(0));
     let actions = table.handle(RequestEvent::BackEndConnected(RequestId(1)), at(300));
@@ -173,20 +173,20 @@
 }
 
 #[test]
-fn a_back_end_that_sheds_says_not_run_itself() {
+fn a_refusal_by_the_back_end_means_not_run() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     connect(&mut table, 1, at(1));
-    let shed = RequestEvent::BackEndRefused {
+    let refused = RequestEvent::BackEndRefused {
         id: RequestId(1),
         retry_after: Some(Duration::from_secs(4)),
     };
-    let actions = table.handle(shed, at(2));
+    let actions = table.handle(refused, at(2));
     assert_eq!(refusal(&actions, 1), Some(RefusalReason::BackEndRefused));
 }
 
 #[test]
-fn a_failure_to_connect_is_not_run() {
+fn a_failure_to_connect_means_not_run() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     let actions = table.handle(RequestEvent::BackEndFailed(RequestId(1)), at(2));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn waiting_requests_are_served_while_arrivals_are_refused() {
+fn queued_requests_are_served_while_arrivals_are_refused() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     arrive(&mut table, 2, None, at(0));
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_back_end_that_is_down_gets_no_request_and_the_queue_is_refused() {
+fn requests_are_refused_while_the_back_end_is_down() {
     let mut table = table(1);
     arrive(&mut table, 1, None, at(0));
     arrive(&mut table, 2, None, at(0));
@@ -219,15 +219,18 @@
 }
 
 #[test]
-fn callers_refused_together_are_told_to_come_back_apart() {
+fn callers_refused_together_get_different_retry_times() {
     let mut table = table(1);
-    let mut times = std::collections::BTreeSet::new();
+    let mut retry_times = std::collections::BTreeSet::new();
     for id in 0..200 {
         let actions = arrive(&mut table, id, None, at(0));
         if let [RequestAction::Refuse { refusal, .. }] = actions.as_slice() {
             assert_eq!(refusal.reason(), RefusalReason::QueueFull);
-            times.insert(refusal.retry_after());
+            retry_times.insert(refusal.retry_after());
         }
     }
-    assert!(times.len() > 1, "all at the same time: {times:?}");
+    assert!(
+        retry_times.len() > 1,
+        "all at the same time: {retry_times:?}"
+    );
 }
--- a/crates/woodladder-core/tests/request_lifecycle.rs
+++ b/crates/woodladder-core/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The request table under arbitrary events, also such as come out of turn.
+//! The request table under arbitrary events, including events out of order.
 
 mod support;
 
@@ -26,14 +26,14 @@
     event: RequestEvent,
 }
 
-/// How many requests have arrived, and when it is.
+/// Number of requests that have arrived, and the current time.
 #[derive(Clone, Debug)]
-struct World {
+struct Arrivals {
     arrived: u64,
     now: Instant,
 }
 
-impl ReferenceStateMachine for World {
+impl ReferenceStateMachine for Arrivals {
     type State = Self;
     type Transition = Step;
 
@@ -68,7 +68,7 @@
 
 fn events(arrived: u64, now: Instant) -> BoxedStrategy<RequestEvent> {
     let deadline = prop::option::of(
-        (0..2000_u64).prop_map(move |patience| now + Duration::from_millis(patience)),
+        (0..2000_u64).prop_map(move |time_left| now + Duration::from_millis(time_left)),
     );
     let arrival =
         (deadline, any::<bool>()).prop_map(move |(deadline, repeatable)| RequestEvent::Arrived {
@@ -100,7 +100,7 @@
     prop_oneof![4 => arrival, 8 => exchange, 1 => target].boxed()
 }
 
-struct Watched {
+struct MonitoredTable {
     table: RequestTable,
     monitor: Monitor,
     slots: u32,
@@ -116,9 +116,9 @@
     }
 }
 
-impl Watched {
+impl MonitoredTable {
     fn handle(&mut self, event: RequestEvent, now: Instant) {
-        self.note(&event);
+        self.record(&event);
         let actions = self.table.handle(event, now);
         for action in &actions {
             self.monitor.check(&event, action);
@@ -128,8 +128,8 @@
         self.check_counts(now);
     }
 
-    fn note(&mut self, event: &RequestEvent) {
-        self.monitor.before(event);
+    fn record(&mut self, event: &RequestEvent) {
+        self.monitor.record_event(event);
         match event {
             RequestEvent::SlotsChanged(slots) => self.slots = u32::from(*slots),
             RequestEvent::RefuseArrivals => self.takes_arrivals = false,
@@ -155,8 +155,8 @@
         }
     }
 
-    /// A request that arrives is dispatched, waits, or is refused in the same
-    /// call; while arrivals are refused, always the last.
+    /// While arrivals are refused, a request that arrives is refused by the same
+    /// call.
     fn check_arrival(&self, event: &RequestEvent, actions: &[RequestAction]) {
         let RequestEvent::Arrived { id, .. } = event else {
             return;
@@ -166,7 +166,7 @@
                 matches!(action, RequestAction::Refuse { id: refused, refusal }
                     if refused == id && refusal.reason() == RefusalReason::Leaving)
             });
-            assert!(leaving, "taken while arrivals are refused");
+            assert!(leaving, "accepted while arrivals are refused");
         }
     }
 
@@ -179,14 +179,15 @@
             counts.queued as usize <= QUEUE_LIMIT,
             "the queue is too long"
         );
-        let has_place = counts.busy < self.slots && counts.busy + counts.streams < CONNECTION_LIMIT;
+        let has_free_slot =
+            counts.busy < self.slots && counts.busy + counts.streams < CONNECTION_LIMIT;
         assert!(
-            !has_place || counts.queued == 0,
+            !has_free_slot || counts.queued == 0,
             "a slot is free while requests wait"
         );
         assert!(
             self.table.next_wakeup().is_none_or(|at| at > now),
-            "a late request is kept"
+            "an overdue request is kept"
         );
     }
 }
@@ -194,12 +195,12 @@
 struct LifecycleTest;
 
 impl StateMachineTest for LifecycleTest {
-    type SystemUnderTest = Watched;
-    type Reference = World;
+    type SystemUnderTest = MonitoredTable;
+    type Reference = Arrivals;
 
-    fn init_test(_world: &World) -> Watched {
+    fn init_test(_world: &Arrivals) -> MonitoredTable {
         let random = ChaCha8Rng::seed_from_u64(1);
-        Watched {
+        MonitoredTable {
             table: RequestTable::new(options(), INITIAL_SLOTS, random),
             monitor: Monitor::default(),
             slots: u32::from(INITIAL_SLOTS),
@@ -208,20 +209,20 @@
         }
     }
 
-    fn apply(mut watched: Watched, world: &World, step: Step) -> Watched {
-        watched.now = world.now;
-        watched.handle(step.event, world.now);
-        watched
+    fn apply(mut monitored: MonitoredTable, arrivals: &Arrivals, step: Step) -> MonitoredTable {
+        monitored.now = arrivals.now;
+        monitored.handle(step.event, arrivals.now);
+        monitored
     }
 
-    /// Each request has a final action in the end, and no more than one.
-    fn teardown(mut watched: Watched) {
-        let ids: Vec<RequestId> = watched.monitor.requests.keys().copied().collect();
-        let now = watched.now;
+    /// Each request has exactly one final action in the end.
+    fn teardown(mut monitored: MonitoredTable) {
+        let ids: Vec<RequestId> = monitored.monitor.requests.keys().copied().collect();
+        let now = monitored.now;
         for id in ids {
-            watched.handle(RequestEvent::Cancelled(id), now);
+            monitored.handle(RequestEvent::Cancelled(id), now);
         }
-        let mut histories = watched.monitor.requests.values();
+        let mut histories = monitored.monitor.requests.values();
         assert!(histories.all(|history| history.ended));
     }
 }
@@ -230,5 +231,5 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn requests_keep_the_promises(sequential 1..120 => LifecycleTest);
+    fn every_request_keeps_the_invariants(sequential 1..120 => LifecycleTest);
 }
--- a/crates/woodladder-core/tests/router.rs
+++ b/crates/woodladder-core/tests/router.rs
@@ -14,16 +14,16 @@
 use woodladder_core::packets::routing_table::RoutingTable;
 
 use support::{
-    ARCHIVE, ORDERS, active, caller, directory, first_datagram, keys, service_address,
+    ARCHIVE, ORDERS, active, caller, first_datagram, keys, routing_table, service_address,
     short_datagram, snapshot, target, target_address,
 };
 
 fn route(
-    directory: &Arc<RoutingTable>,
+    routing_table: &Arc<RoutingTable>,
     service: ServiceId,
     datagram: &[u8],
 ) -> Result<Forward, DropReason> {
-    let router = Router::new(Arc::clone(directory), keys(1), DEFAULT_HOPS);
+    let router = Router::new(Arc::clone(routing_table), keys(1), DEFAULT_HOPS);
     router.route(&InboundDatagram {
         caller: caller(),
         service_address: service_address(service),
@@ -32,7 +32,7 @@
 }
 
 fn both_services() -> Arc<RoutingTable> {
-    directory(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
+    routing_table(5, [active(1..8, ORDERS), active(11..14, ARCHIVE)].concat())
 }
 
 proptest! {
@@ -44,14 +44,14 @@
     #[test]
     fn a_first_packet_goes_to_targets_of_its_service(id: [u8; 12], to_archive: bool) {
         let service = if to_archive { ARCHIVE } else { ORDERS };
-        let directory = both_services();
-        let forward = route(&directory, service, &first_datagram(&id)).expect("a target");
+        let routing_table = both_services();
+        let forward = route(&routing_table, service, &first_datagram(&id)).expect("a target");
         let Route::NewFlow(first) = &forward.envelope.route else {
             return Err(TestCaseError::fail("not routed as a first packet"));
         };
         prop_assert_eq!(first.hops.len(), DEFAULT_HOPS);
         for hop in &first.hops {
-            let entry = directory.target(hop.target).expect("a known target");
+            let entry = routing_table.target(hop.target).expect("a known target");
             prop_assert_eq!(entry.service, service);
             prop_assert_eq!(entry.address, hop.address);
         }
@@ -77,13 +77,14 @@
 fn established_flows_reach_removed_targets_and_new_ones_do_not() {
     let before = snapshot(None, active(1..4, ORDERS));
     let after = snapshot(Some(&before), active(2..4, ORDERS));
-    let directory = Arc::new(RoutingTable::new(Sequence(2), &after));
+    let routing_table = Arc::new(RoutingTable::new(Sequence(2), &after));
     let token = keys(1).issue(TargetId(1), [0; 7]);
-    let forward = route(&directory, ORDERS, &short_datagram(&token)).expect("a lingering target");
+    let forward =
+        route(&routing_table, ORDERS, &short_datagram(&token)).expect("a lingering target");
     assert_eq!(forward.to, target_address(TargetId(1)));
     for id in 0..100_u64 {
         let datagram = first_datagram(&id.to_be_bytes());
-        let forward = route(&directory, ORDERS, &datagram).expect("a target");
+        let forward = route(&routing_table, ORDERS, &datagram).expect("a target");
         assert_ne!(forward.to, target_address(TargetId(1)));
     }
 }
@@ -98,8 +99,8 @@
 #[test]
 fn leaving_targets_are_asked_only_when_there_are_no_others() {
     let leaving = |id| target(id, ORDERS, TargetState::Leaving);
-    let mixed = directory(1, [vec![leaving(1)], active(2..3, ORDERS)].concat());
-    let all_leaving = directory(1, vec![leaving(1), leaving(2)]);
+    let mixed = routing_table(1, [vec![leaving(1)], active(2..3, ORDERS)].concat());
+    let all_leaving = routing_table(1, vec![leaving(1), leaving(2)]);
     let datagram = first_datagram(&[7; 8]);
     let forward = route(&mixed, ORDERS, &datagram).expect("a target");
     assert_eq!(forward.to, target_address(TargetId(2)));
--- a/crates/woodladder-core/tests/support/mod.rs
+++ b/crates/woodladder-core/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Small worlds for the tests of routing and admission.
+//! Builders for the tests of routing and admission: two services with targets,
+//! keys and datagrams.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -81,7 +82,7 @@
     Snapshot::following(previous, signed, 0, DEFAULT_LINGER).expect("targets keep their service")
 }
 
-pub fn directory(sequence: u64, targets: Vec<Target>) -> Arc<RoutingTable> {
+pub fn routing_table(sequence: u64, targets: Vec<Target>) -> Arc<RoutingTable> {
     let snapshot = snapshot(None, targets);
     Arc::new(RoutingTable::new(Sequence(sequence), &snapshot))
 }
--- a/crates/woodladder-core/tests/support/request_monitor.rs
+++ b/crates/woodladder-core/tests/support/request_monitor.rs
@@ -1,4 +1,4 @@
-//! Watches a request table from outside: what it was told, what it answered.
+//! Checks a request table from outside, by its events and its actions.
 
 use std::collections::BTreeMap;
 
@@ -38,8 +38,8 @@
         self.count(|history| history.streaming && !history.ended)
     }
 
-    /// Notes an event before the table handles it.
-    pub fn before(&mut self, event: &RequestEvent) {
+    /// Records an event before the table handles it.
+    pub fn record_event(&mut self, event: &RequestEvent) {
         match event {
             RequestEvent::Arrived { id, .. } => {
                 self.requests.entry(*id).or_default();
@@ -70,7 +70,10 @@
                 history.dispatched = true;
             }
             RequestAction::Send(_) => {
-                assert!(history.dispatched && !history.sent, "sent out of turn");
+                assert!(
+                    history.dispatched && !history.sent,
+                    "sent twice or before dispatch"
+                );
                 history.sent = true;
             }
             RequestAction::CloseBackEndConnection(_) => assert!(history.dispatched),
@@ -79,7 +82,10 @@
                     event,
                     RequestEvent::BackEndRefused { id: refused, .. } if refused == id
                 );
-                assert!(!history.sent || by_back_end, "not run after the first byte");
+                assert!(
+                    !history.sent || by_back_end,
+                    "reported as not run after it was sent"
+                );
                 assert_eq!(
                     by_back_end && history.sent,
                     refusal.reason() == RefusalReason::BackEndRefused
@@ -94,7 +100,7 @@
                 };
                 assert!(
                     history.head && *event == whole,
-                    "an answer that is not whole"
+                    "complete without a whole answer"
                 );
             }
             RequestAction::Forget { may_have_run, .. } => {
--- a/crates/woodladder-core/tests/support/target_model.rs
+++ b/crates/woodladder-core/tests/support/target_model.rs
@@ -1,4 +1,4 @@
-//! One target's admission with the conditions that a test sets.
+//! Admission at one target under conditions that a test sets.
 
 use std::sync::Arc;
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// The envelope of a first packet to the first of these targets.
+/// The envelope of a flow's first packet to the first of these targets.
 pub fn first_envelope(sequence: u64, targets: &[u32]) -> Envelope {
     let route = first_route(targets, 0, targets.len() == 1);
     envelope(ORDERS, sequence, Route::NewFlow(route))
