--- a/crates/woodladder-core/src/packets/envelope.rs
+++ b/crates/woodladder-core/src/packets/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope round a caller's datagram between balancers and agents.
+//! The envelope around a caller's datagram between balancers and agents.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -17,50 +17,51 @@
 
 /// Format version of envelopes that this build writes and reads.
 pub const ENVELOPE_VERSION: u8 = 1;
-/// Longest header in bytes: four hops with IPv6 addresses fit.
-pub const MAXIMUM_HEADER: usize = 256;
-/// Bytes that an envelope adds to a datagram at most.
-pub const MAXIMUM_OVERHEAD_LENGTH: usize = PREFIX + MAXIMUM_HEADER;
+/// Longest header in bytes; enough for four hops with IPv6 addresses.
+pub const MAXIMUM_HEADER_LENGTH: usize = 256;
+/// Most bytes that an envelope adds to a datagram.
+pub const MAXIMUM_OVERHEAD_LENGTH: usize = PREFIX_LENGTH + MAXIMUM_HEADER_LENGTH;
 
 const LENGTH_START: usize = 1;
 const TAG_START: usize = 3;
-const PREFIX: usize = TAG_START + TAG_LENGTH;
+const PREFIX_LENGTH: usize = TAG_START + TAG_LENGTH;
 
 /// Header of an envelope.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Envelope {
-    /// Service that the caller addressed.
+    /// Service that the caller sent to.
     pub service: ServiceId,
-    /// Sequence that the balancer had in force.
+    /// Sequence of the balancer's configuration.
     pub sequence: Sequence,
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// Address of the service that the caller sent to.
+    /// Service address that the caller sent to.
     pub service_address: SocketAddr,
-    /// How the datagram travels.
+    /// How the datagram reaches its target.
     pub route: Route,
 }
 
-/// How an enveloped datagram travels.
+/// How an enveloped datagram reaches its target.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub enum Route {
-    /// It carries a token of this target.
+    /// The datagram carries a token of this target.
     Established(TargetId),
-    /// It opens a flow.
+    /// The datagram opens a flow.
     NewFlow(NewFlowRoute),
-    /// It carries a token of a target that the balancer does not know; the
-    /// agent that gets it sends it on if it knows the target.
+    /// The datagram carries a token of a target that the balancer does not know;
+    /// the agent that receives it forwards it if that agent knows the target.
     Relay(TargetId),
 }
 
-/// Targets that may take a new flow.
+/// Hop list of a new flow: targets that may accept it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct NewFlowRoute {
-    /// Targets in the order of asking, at most [`MAXIMUM_HOPS`].
+    /// Targets in the order in which they are asked, at most [`MAXIMUM_HOPS`].
     pub hops: Vec<Hop>,
     /// Position in `hops` of the target that the envelope is sent to.
     pub position: u8,
-    /// Whether the target that gets it must take or refuse it.
+    /// Whether the target that receives the envelope must accept or refuse the
+    /// flow instead of handing it on.
     pub must_decide: bool,
 }
 
@@ -69,9 +70,9 @@
 pub enum EnvelopeError {
     /// The bytes end inside the header.
     Truncated,
-    /// The header is longer than [`MAXIMUM_HEADER`].
+    /// The header is longer than [`MAXIMUM_HEADER_LENGTH`].
     Oversized,
-    /// The format version is not known.
+    /// This build does not know the format version.
     UnknownVersion,
     /// The tag does not match.
     Forged,
@@ -88,8 +89,8 @@
 }
 
 impl Envelope {
-    /// The target that the envelope is meant for; `None` for a relay, which
-    /// any agent of the service may get.
+    /// The target that the envelope is meant for; `None` for a relay, which may
+    /// be sent to any agent of the service.
     #[must_use]
     pub fn target(&self) -> Option<TargetId> {
         match &self.route {
@@ -103,44 +104,44 @@
     /// first and keeps its capacity.
     pub fn encode_into(&self, key: &TagKey, datagram: &[u8], buffer: &mut Vec<u8>) {
         buffer.clear();
-        buffer.resize(PREFIX, 0);
+        buffer.resize(PREFIX_LENGTH, 0);
         if self.serialize(buffer).is_err() {
             buffer.clear();
             return;
         }
-        let length = u16::try_from(buffer.len() - PREFIX).unwrap_or(u16::MAX);
-        let tag = key.tag(&buffer[PREFIX..], &[]);
+        let length = u16::try_from(buffer.len() - PREFIX_LENGTH).unwrap_or(u16::MAX);
+        let tag = key.tag(&buffer[PREFIX_LENGTH..], &[]);
         buffer[0] = ENVELOPE_VERSION;
         buffer[LENGTH_START..TAG_START].copy_from_slice(&length.to_be_bytes());
-        buffer[TAG_START..PREFIX].copy_from_slice(&tag);
+        buffer[TAG_START..PREFIX_LENGTH].copy_from_slice(&tag);
         buffer.extend_from_slice(datagram);
     }
 
-    /// Reads an envelope and the datagram in it.
+    /// Decodes an envelope and returns it with the datagram inside.
     ///
     /// # Errors
-    /// [`EnvelopeError`] when the bytes are not an envelope under this key.
+    /// [`EnvelopeError`] when the bytes are not an envelope with a tag of this key.
     pub fn decode<'a>(key: &TagKey, bytes: &'a [u8]) -> Result<(Self, &'a [u8]), EnvelopeError> {
-        let prefix = bytes.get(..PREFIX).ok_or(EnvelopeError::Truncated)?;
+        let prefix = bytes.get(..PREFIX_LENGTH).ok_or(EnvelopeError::Truncated)?;
         if prefix[0] != ENVELOPE_VERSION {
             return Err(EnvelopeError::UnknownVersion);
         }
         let length = usize::from(u16::from_be_bytes([prefix[1], prefix[2]]));
-        if length > MAXIMUM_HEADER {
+        if length > MAXIMUM_HEADER_LENGTH {
             return Err(EnvelopeError::Oversized);
         }
         let header = bytes
-            .get(PREFIX..PREFIX + length)
+            .get(PREFIX_LENGTH..PREFIX_LENGTH + length)
             .ok_or(EnvelopeError::Truncated)?;
         if key.tag(header, &[]) != prefix[TAG_START..] {
             return Err(EnvelopeError::Forged);
         }
         let envelope = Self::try_from_slice(header).map_err(|_| EnvelopeError::Malformed)?;
-        envelope.check()?;
-        Ok((envelope, &bytes[PREFIX + length..]))
+        envelope.check_hops()?;
+        Ok((envelope, &bytes[PREFIX_LENGTH + length..]))
     }
 
-    fn check(&self) -> Result<(), EnvelopeError> {
+    fn check_hops(&self) -> Result<(), EnvelopeError> {
         let Route::NewFlow(first) = &self.route else {
             return Ok(());
         };
--- a/crates/woodladder-core/src/packets/hop_list.rs
+++ b/crates/woodladder-core/src/packets/hop_list.rs
@@ -1,8 +1,9 @@
-//! Hop lists: the targets that may take a new flow, in the order of asking.
+//! Hop lists: the targets that may accept a new flow, in the order in which they
+//! are asked.
 //!
-//! Candidates come from weighted rendezvous hashing over a service's targets,
-//! so that balancers with the same or nearly the same bundle name the same
-//! targets for the same flow without talking to each other.
+//! Weighted rendezvous hashing chooses them from a service's targets, so that
+//! balancers with the same or nearly the same bundle choose the same targets for
+//! the same flow without talking to each other.
 //!
 //! Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit
 //! rates", 1998 (rendezvous hashing); Schindelhauer and Schomaker, "Weighted
@@ -17,11 +18,12 @@
 
 /// Most hops that a list holds.
 pub const MAXIMUM_HOPS: usize = 4;
-/// A load of one: all slots busy and nothing queued, in thousandths.
+/// Load of a target whose slots are all busy and that has nothing queued, in
+/// thousandths.
 pub const FULL_LOAD: u32 = 1000;
 
-/// Load of a target as its own agent knows it, in thousandths of its slots;
-/// above [`FULL_LOAD`] when requests wait.
+/// Load of a target as its agent computes it, in thousandths of its slots; above
+/// [`FULL_LOAD`] when requests are queued.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -48,28 +50,28 @@
     pub load: Option<Load>,
 }
 
-/// A target that may be drawn for a hop list.
+/// A target that may be chosen for a hop list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The target.
     pub target: TargetId,
     /// Data address of its agent.
     pub address: SocketAddr,
-    /// Weight against the other candidates; its slots.
+    /// Weight relative to the other candidates: the number of slots.
     pub weight: f64,
     /// Hash of the target's identifier.
-    pub salt: u64,
+    pub target_hash: u64,
 }
 
 impl Candidate {
-    /// A candidate with a weight of so many slots.
+    /// A candidate weighted by its slots.
     #[must_use]
     pub fn new(target: TargetId, address: SocketAddr, slots: u16) -> Self {
         Self {
             target,
             address,
             weight: f64::from(slots.max(1)),
-            salt: xxh3_64(&target.0.to_be_bytes()),
+            target_hash: xxh3_64(&target.0.to_be_bytes()),
         }
     }
 
@@ -84,20 +86,20 @@
 
 /// Hash of the bytes that stay the same in all first packets of one flow.
 #[must_use]
-pub fn flow_hash(flow: &[u8]) -> u64 {
-    xxh3_64(flow)
+pub fn flow_hash(flow_bytes: &[u8]) -> u64 {
+    xxh3_64(flow_bytes)
 }
 
 /// The `count` candidates that rank first for a flow, best first; fewer when
 /// there are fewer candidates.
 #[must_use]
-pub fn choose(candidates: &[Candidate], flow: u64, count: usize) -> Vec<Hop> {
+pub fn choose_hops(candidates: &[Candidate], flow_hash: u64, count: usize) -> Vec<Hop> {
     let count = count.min(MAXIMUM_HOPS);
     let weighting = Weighting::of(candidates);
-    let mut best = [Ranked::LAST; MAXIMUM_HOPS];
+    let mut best = [Ranked::UNUSED; MAXIMUM_HOPS];
     for (index, candidate) in candidates.iter().enumerate() {
-        let rank = weighting.rank(candidate, flow);
-        insert(&mut best[..count], Ranked { rank, index });
+        let rank = weighting.rank(candidate, flow_hash);
+        insert_ranked(&mut best[..count], Ranked { rank, index });
     }
     best[..count]
         .iter()
@@ -108,14 +110,14 @@
 
 /// The candidate that ranks first for a flow.
 #[must_use]
-pub fn choose_candidate(candidates: &[Candidate], flow: u64) -> Option<&Candidate> {
+pub fn choose_candidate(candidates: &[Candidate], flow_hash: u64) -> Option<&Candidate> {
     let weighting = Weighting::of(candidates);
     candidates
         .iter()
-        .min_by_key(|candidate| weighting.rank(candidate, flow))
+        .min_by_key(|candidate| weighting.rank(candidate, flow_hash))
 }
 
-/// A candidate's place in the order of asking.
+/// A candidate with its rank; the lowest rank is asked first.
 #[derive(Clone, Copy)]
 struct Ranked {
     rank: u64,
@@ -123,8 +125,8 @@
 }
 
 impl Ranked {
-    /// After every candidate.
-    const LAST: Self = Self {
+    /// Fills unused places; ranks after every candidate.
+    const UNUSED: Self = Self {
         rank: u64::MAX,
         index: usize::MAX,
     };
@@ -133,10 +135,10 @@
 /// How candidates are ranked.
 #[derive(Clone, Copy)]
 enum Weighting {
-    /// All weights are equal: the order of the draws is that of the ranks, and
-    /// no logarithm is needed.
+    /// All weights are equal: the order of the hashes is that of the ranks, so no
+    /// logarithm is needed.
     Equal,
-    /// Weights differ.
+    /// Weights differ: the rank needs the logarithm of the hash.
     Logarithmic,
 }
 
@@ -152,23 +154,23 @@
         }
     }
 
-    /// Rank of a candidate for a flow: the lower, the better. Exponentially
-    /// distributed with the weight as its rate, so the least rank falls on a
-    /// candidate in proportion to its weight.
-    fn rank(self, candidate: &Candidate, flow: u64) -> u64 {
-        let draw = mix(flow ^ candidate.salt);
+    /// Rank of a candidate for a flow; the lowest rank is asked first. Ranks are
+    /// exponentially distributed with the weight as rate, so the probability that
+    /// a candidate has the lowest rank is proportional to its weight.
+    fn rank(self, candidate: &Candidate, flow_hash: u64) -> u64 {
+        let draw = split_mix_64(flow_hash ^ candidate.target_hash);
         match self {
             Self::Equal => !draw,
             Self::Logarithmic => {
                 let rank = -unit_interval(draw).ln() / candidate.weight;
-                // The bits of floats that are not negative are in their order.
+                // Non-negative floats compare like their bit patterns.
                 rank.abs().to_bits()
             }
         }
     }
 }
 
-fn insert(best: &mut [Ranked], ranked: Ranked) {
+fn insert_ranked(best: &mut [Ranked], ranked: Ranked) {
     let Some(position) = best.iter().position(|known| ranked.rank < known.rank) else {
         return;
     };
@@ -176,15 +178,15 @@
     best[position] = ranked;
 }
 
-/// A number in (0, 1] from the upper 53 bits.
+/// Maps the upper 53 bits to a number in (0, 1].
 #[expect(clippy::cast_precision_loss, reason = "53 bits fit a float's mantissa")]
 fn unit_interval(bits: u64) -> f64 {
     const STEPS: f64 = (1_u64 << 53) as f64;
     ((bits >> 11) + 1) as f64 / STEPS
 }
 
-/// Finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
-fn mix(value: u64) -> u64 {
+/// Mixes the bits with the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
+fn split_mix_64(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
--- a/crates/woodladder-core/src/packets/keyed_tag.rs
+++ b/crates/woodladder-core/src/packets/keyed_tag.rs
@@ -1,5 +1,5 @@
-//! Keyed tags (SipHash-2-4) that authenticate tokens, envelopes and control
-//! messages among the system's own processes.
+//! Authentication tags (SipHash-2-4) of tokens, envelopes and control messages
+//! between the processes of a deployment.
 //!
 //! Source: Aumasson and Bernstein, "SipHash: a fast short-input PRF", 2012.
 
@@ -12,7 +12,7 @@
 /// Length of a tag key in bytes.
 pub const TAG_KEY_LENGTH: usize = 16;
 
-/// A secret key for tags, given to every node by its settings.
+/// Secret key for tags; every node reads it from its settings.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct TagKey([u8; TAG_KEY_LENGTH]);
 
@@ -23,8 +23,9 @@
         Self(secret)
     }
 
-    /// Tag over the concatenation of two byte strings. Callers keep the first
-    /// of a fixed length, or of a length it states itself.
+    /// Tag over the concatenation of two byte strings. The first must have a fixed
+    /// length or contain its length: otherwise other splits of the same bytes
+    /// would have the same tag.
     #[must_use]
     pub fn tag(&self, first: &[u8], second: &[u8]) -> [u8; TAG_LENGTH] {
         let mut hasher = SipHasher24::new_with_key(&self.0);
@@ -33,7 +34,7 @@
         hasher.finish().to_be_bytes()
     }
 
-    /// A further key derived from this one for another use.
+    /// Derives a key for another use, named by the label.
     #[must_use]
     pub fn derive(&self, label: &[u8]) -> Self {
         let mut secret = [0; TAG_KEY_LENGTH];
--- a/crates/woodladder-core/src/packets/mod.rs
+++ b/crates/woodladder-core/src/packets/mod.rs
@@ -1,4 +1,5 @@
-//! Where a datagram goes: carrier, tokens, envelopes, hop lists, directory and router.
+//! Decides where a datagram goes: QUIC headers, tokens, envelopes, hop lists, the
+//! routing table and the router.
 
 pub mod envelope;
 pub mod hop_list;
--- a/crates/woodladder-core/src/packets/quic_header.rs
+++ b/crates/woodladder-core/src/packets/quic_header.rs
@@ -1,12 +1,13 @@
-//! What the core knows of the callers' transport: QUIC's invariants.
+//! Parser of the QUIC header fields that do not depend on the version.
 //!
-//! Everything else sees flows, first packets and packets with a routing token,
-//! so another transport can be fitted here without touching a decision.
+//! The rest of the crate knows only flows, first packets and packets with a
+//! routing token, so support for another transport needs changes only here.
 //!
 //! Source: RFC 8999 (invariants), RFC 9000 sections 14.1 and 17.2, RFC 9369
 //! section 3.2 (packet types of version 2).
 
-/// Least length of a datagram that may open a flow (RFC 9000, section 14.1).
+/// Least length in bytes of a datagram that may open a flow (RFC 9000, section
+/// 14.1).
 pub const MINIMUM_INITIAL_DATAGRAM_LENGTH: usize = 1200;
 
 const LONG_HEADER_BIT: u8 = 0x80;
@@ -16,88 +17,93 @@
 const VERSION_1_INITIAL: u8 = 0x00;
 const VERSION_2_INITIAL: u8 = 0x10;
 const VERSION_END: usize = 5;
-const MAXIMUM_CONNECTION_ID: usize = 20;
-const MINIMUM_FIRST_CONNECTION_ID: usize = 8;
+const MAXIMUM_CONNECTION_ID_LENGTH: usize = 20;
+const MINIMUM_INITIAL_CONNECTION_ID_LENGTH: usize = 8;
 
-/// A datagram as far as routing needs it.
+/// Header fields of a datagram that routing needs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Packet<'a> {
-    /// Destination connection identifier. For a short header these are the
-    /// bytes at its place, of the length asked for.
+    /// Destination connection identifier. A short header does not state its
+    /// length, so there these are the `token_length` bytes after the first byte.
     pub destination_connection_id: &'a [u8],
     /// Whether the packet may open a flow.
     pub may_open_flow: bool,
 }
 
-/// Why a datagram is not a packet of the transport.
+/// Why a datagram has no valid QUIC header.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CarrierError {
+pub enum QuicHeaderError {
     /// The datagram ends inside its header.
     Truncated,
-    /// A connection identifier is longer than the transport allows.
+    /// A connection identifier is longer than QUIC allows.
     OversizedConnectionId,
 }
 
-/// Reads the header of a datagram; a short header's connection identifier has
-/// `token_length` bytes.
+/// Parses the header of a datagram; the connection identifier in a short header
+/// has `token_length` bytes.
 ///
 /// # Errors
-/// [`CarrierError`] when the datagram is not a packet of the transport.
-pub fn parse_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, CarrierError> {
-    let first = *datagram.first().ok_or(CarrierError::Truncated)?;
-    if first & LONG_HEADER_BIT == 0 {
-        short_header(datagram, token_length)
+/// [`QuicHeaderError`] when the datagram has no valid header.
+pub fn parse_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, QuicHeaderError> {
+    let first_byte = *datagram.first().ok_or(QuicHeaderError::Truncated)?;
+    if first_byte & LONG_HEADER_BIT == 0 {
+        parse_short_header(datagram, token_length)
     } else {
-        long_header(datagram, first)
+        parse_long_header(datagram, first_byte)
     }
 }
 
-fn short_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, CarrierError> {
+fn parse_short_header(datagram: &[u8], token_length: usize) -> Result<Packet<'_>, QuicHeaderError> {
     let destination_connection_id = datagram
         .get(1..=token_length)
-        .ok_or(CarrierError::Truncated)?;
+        .ok_or(QuicHeaderError::Truncated)?;
     Ok(Packet {
         destination_connection_id,
         may_open_flow: false,
     })
 }
 
-fn long_header(datagram: &[u8], first: u8) -> Result<Packet<'_>, CarrierError> {
+fn parse_long_header(datagram: &[u8], first_byte: u8) -> Result<Packet<'_>, QuicHeaderError> {
     let version = datagram
         .get(1..VERSION_END)
         .and_then(|bytes| bytes.try_into().ok())
         .map(u32::from_be_bytes)
-        .ok_or(CarrierError::Truncated)?;
-    let length = usize::from(*datagram.get(VERSION_END).ok_or(CarrierError::Truncated)?);
-    if length > MAXIMUM_CONNECTION_ID {
-        return Err(CarrierError::OversizedConnectionId);
+        .ok_or(QuicHeaderError::Truncated)?;
+    let id_length = usize::from(
+        *datagram
+            .get(VERSION_END)
+            .ok_or(QuicHeaderError::Truncated)?,
+    );
+    if id_length > MAXIMUM_CONNECTION_ID_LENGTH {
+        return Err(QuicHeaderError::OversizedConnectionId);
     }
     let start = VERSION_END + 1;
     let destination_connection_id = datagram
-        .get(start..start + length)
-        .ok_or(CarrierError::Truncated)?;
-    let may_open_flow = opens_flow(version, first)
+        .get(start..start + id_length)
+        .ok_or(QuicHeaderError::Truncated)?;
+    let may_open_flow = may_open_flow_by_type(version, first_byte)
         && datagram.len() >= MINIMUM_INITIAL_DATAGRAM_LENGTH
-        && length >= MINIMUM_FIRST_CONNECTION_ID;
+        && id_length >= MINIMUM_INITIAL_CONNECTION_ID_LENGTH;
     Ok(Packet {
         destination_connection_id,
         may_open_flow,
     })
 }
 
-/// Whether a long header of this version and first byte may open a flow. A
-/// version that is not known may: the agent answers it with the versions that
-/// it speaks. Zero is a version negotiation, which only servers send.
-fn opens_flow(version: u32, first: u8) -> bool {
+/// Whether a long header of this version and first byte may open a flow. One of
+/// an unknown version may, because the agent must receive it to answer with the
+/// versions that it supports. Version zero is a Version Negotiation packet, which
+/// only servers send.
+fn may_open_flow_by_type(version: u32, first_byte: u8) -> bool {
     match version {
         0 => false,
-        VERSION_1 => first & LONG_TYPE_MASK == VERSION_1_INITIAL,
-        VERSION_2 => first & LONG_TYPE_MASK == VERSION_2_INITIAL,
+        VERSION_1 => first_byte & LONG_TYPE_MASK == VERSION_1_INITIAL,
+        VERSION_2 => first_byte & LONG_TYPE_MASK == VERSION_2_INITIAL,
         _ => true,
     }
 }
 
-impl std::fmt::Display for CarrierError {
+impl std::fmt::Display for QuicHeaderError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
             Self::Truncated => "the datagram ends inside its header",
@@ -106,4 +112,4 @@
     }
 }
 
-impl std::error::Error for CarrierError {}
+impl std::error::Error for QuicHeaderError {}
--- a/crates/woodladder-core/src/packets/router.rs
+++ b/crates/woodladder-core/src/packets/router.rs
@@ -1,7 +1,8 @@
-//! The balancer's decision: where one datagram goes.
+//! The balancer's routing decision for one datagram.
 //!
-//! It keeps no state per flow: an established flow's packets name their target
-//! in their token, and a flow's first packets name its candidates by hash.
+//! The router keeps no state per flow: packets of an established flow name their
+//! target in their token, and for a flow's first packets the candidates follow
+//! from a hash.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,33 +14,33 @@
 use crate::packets::routing_table::RoutingTable;
 use crate::packets::token::{TOKEN_LENGTH, TokenKeys};
 
-/// Candidates asked about a new flow, unless set otherwise.
+/// Default number of candidates on the hop list of a new flow.
 pub const DEFAULT_HOPS: usize = 3;
 
-/// A caller's datagram as the fabric delivered it.
+/// A caller's datagram as received from the network.
 #[derive(Clone, Copy, Debug)]
 pub struct InboundDatagram<'a> {
     /// Address of the caller.
     pub caller: SocketAddr,
-    /// Address of the service that the caller sent to.
+    /// Service address that the caller sent to.
     pub service_address: SocketAddr,
     /// The caller's datagram.
     pub datagram: &'a [u8],
 }
 
-/// Where a datagram goes.
+/// Where a datagram is forwarded to, and in which envelope.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Forward {
     /// Data address of the agent.
     pub to: SocketAddr,
-    /// Header of the envelope round the datagram.
+    /// Header of the envelope around the datagram.
     pub envelope: Envelope,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum DropReason {
-    /// Not a packet of the transport.
+    /// The datagram has no valid QUIC header.
     Malformed,
     /// No service has the address.
     UnknownService,
@@ -51,38 +52,38 @@
     NoTarget,
 }
 
-/// Routes datagrams by one directory.
+/// Routes datagrams by one routing table.
 #[derive(Clone, Debug)]
 pub struct Router {
-    directory: Arc<RoutingTable>,
+    routing_table: Arc<RoutingTable>,
     keys: TokenKeys,
-    hops: usize,
+    hop_count: usize,
 }
 
 impl Router {
-    /// A router over a directory that names `hops` candidates for new flows.
+    /// A router that puts `hop_count` candidates on the hop list of a new flow.
     #[must_use]
-    pub fn new(directory: Arc<RoutingTable>, keys: TokenKeys, hops: usize) -> Self {
+    pub fn new(routing_table: Arc<RoutingTable>, keys: TokenKeys, hop_count: usize) -> Self {
         Self {
-            directory,
+            routing_table,
             keys,
-            hops,
+            hop_count,
         }
     }
 
-    /// The directory that decisions come from.
+    /// The routing table that decisions are based on.
     #[must_use]
     pub fn routing_table(&self) -> &Arc<RoutingTable> {
-        &self.directory
+        &self.routing_table
     }
 
     /// Decides where a datagram goes.
     ///
     /// # Errors
-    /// [`DropReason`] when it goes nowhere.
+    /// [`DropReason`] when the datagram must be dropped.
     pub fn route(&self, inbound: &InboundDatagram<'_>) -> Result<Forward, DropReason> {
         let service = self
-            .directory
+            .routing_table
             .service_at(&inbound.service_address)
             .ok_or(DropReason::UnknownService)?;
         let packet = quic_header::parse_header(inbound.datagram, TOKEN_LENGTH)
@@ -90,7 +91,7 @@
         match self.keys.verify(packet.destination_connection_id) {
             Some(target) => self.route_established(inbound, service, target),
             None if packet.may_open_flow => {
-                self.route_first(inbound, service, packet.destination_connection_id)
+                self.route_new_flow(inbound, service, packet.destination_connection_id)
             }
             None => Err(DropReason::InvalidToken),
         }
@@ -102,7 +103,7 @@
         service: ServiceId,
         target: TargetId,
     ) -> Result<Forward, DropReason> {
-        let Some(entry) = self.directory.target(target) else {
+        let Some(entry) = self.routing_table.target(target) else {
             return self.route_relay(inbound, service, target);
         };
         if entry.service != service {
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Sends a packet of a target that this directory does not hold yet by way
-    /// of another agent of the service, which may hold a later one.
+    /// Routes a packet of a target that the routing table does not list yet. It
+    /// goes to another agent of the service, which may have a later table.
     fn route_relay(
         &self,
         inbound: &InboundDatagram<'_>,
@@ -123,37 +124,38 @@
         target: TargetId,
     ) -> Result<Forward, DropReason> {
         let candidates = self.candidates(service)?;
-        let flow = hop_list::flow_hash(&target.0.to_be_bytes());
-        let relay = hop_list::choose_candidate(candidates, flow).ok_or(DropReason::NoTarget)?;
+        let hash = hop_list::flow_hash(&target.0.to_be_bytes());
+        let relay = hop_list::choose_candidate(candidates, hash).ok_or(DropReason::NoTarget)?;
         Ok(Forward {
             to: relay.address,
             envelope: self.envelope(inbound, service, Route::Relay(target)),
         })
     }
 
-    fn route_first(
+    fn route_new_flow(
         &self,
         inbound: &InboundDatagram<'_>,
         service: ServiceId,
-        flow: &[u8],
+        flow_bytes: &[u8],
     ) -> Result<Forward, DropReason> {
         let candidates = self.candidates(service)?;
-        let hops = hop_list::choose(candidates, hop_list::flow_hash(flow), self.hops);
+        let hops =
+            hop_list::choose_hops(candidates, hop_list::flow_hash(flow_bytes), self.hop_count);
         let to = hops.first().ok_or(DropReason::NoTarget)?.address;
-        let first = NewFlowRoute {
+        let new_flow = NewFlowRoute {
             must_decide: hops.len() == 1,
             hops,
             position: 0,
         };
         Ok(Forward {
             to,
-            envelope: self.envelope(inbound, service, Route::NewFlow(first)),
+            envelope: self.envelope(inbound, service, Route::NewFlow(new_flow)),
         })
     }
 
     fn candidates(&self, service: ServiceId) -> Result<&[hop_list::Candidate], DropReason> {
         let entry = self
-            .directory
+            .routing_table
             .service(service)
             .ok_or(DropReason::UnknownService)?;
         Ok(&entry.candidates)
@@ -167,7 +169,7 @@
     ) -> Envelope {
         Envelope {
             service,
-            sequence: self.directory.sequence(),
+            sequence: self.routing_table.sequence(),
             caller: inbound.caller,
             service_address: inbound.service_address,
             route,
--- a/crates/woodladder-core/src/packets/routing_table.rs
+++ b/crates/woodladder-core/src/packets/routing_table.rs
@@ -1,4 +1,4 @@
-//! The directory: a snapshot laid out for looking up, built once per roll.
+//! The routing table: look-up tables over a snapshot, built once per roll.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,8 @@
 use crate::identifier::{Sequence, ServiceId, TargetId};
 use crate::packets::hop_list::Candidate;
 
-/// Look-up tables over one snapshot.
+/// Look-up tables over one snapshot: service by address, and services and
+/// targets by identifier.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     sequence: Sequence,
@@ -18,56 +19,56 @@
     targets: FxHashMap<TargetId, TargetEntry>,
 }
 
-/// A service as routing sees it.
+/// What routing needs to know about a service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceEntry {
-    /// Targets that may be asked to take a new flow. When all targets are
-    /// leaving these are the leaving ones, which refuse with a final answer.
+    /// Targets that may be asked to accept a new flow. When all targets are
+    /// leaving, these are the leaving ones, so that callers get a refusal.
     pub candidates: Vec<Candidate>,
 }
 
-/// A target as routing sees it.
+/// What routing needs to know about a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetEntry {
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Data address of its agent.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub status: TargetStatus,
-    /// What its back end takes at the same time; `None` once it is retired.
+    /// Limits of the back end; `None` for a retired target.
     pub limits: Option<TargetLimits>,
 }
 
-/// What a back end takes at the same time, by the bundle.
+/// Limits of a back end, from the bundle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetLimits {
-    /// Requests that it runs.
+    /// Requests that the back end runs at the same time.
     pub slots: u16,
-    /// Connections that it holds.
+    /// Connections that the back end holds at the same time.
     pub connections: u32,
 }
 
-/// Standing of a target in the snapshot.
+/// Whether a target is in the bundle and available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetStatus {
     /// In the bundle, with this state.
     InBundle(TargetState),
-    /// Removed by an earlier roll; takes no new work.
+    /// Removed by an earlier roll; accepts no new work.
     Retired,
-    /// In the bundle with this state, but its agent is known to take no new
+    /// In the bundle with this state, but its agent is known to accept no new
     /// flows at the moment.
     Unavailable(TargetState),
 }
 
 impl TargetStatus {
-    /// Whether a target of this standing takes new flows.
+    /// Whether a target of this status accepts new flows.
     #[must_use]
     pub fn takes_new_flows(self) -> bool {
         self == Self::InBundle(TargetState::Active)
     }
 
-    fn unavailable(self) -> Self {
+    fn marked_unavailable(self) -> Self {
         match self {
             Self::InBundle(state) => Self::Unavailable(state),
             Self::Retired | Self::Unavailable(_) => self,
@@ -76,22 +77,22 @@
 }
 
 impl RoutingTable {
-    /// Lays a snapshot out.
+    /// Builds the table from a snapshot.
     #[must_use]
     pub fn new(sequence: Sequence, snapshot: &Snapshot) -> Self {
-        let mut directory = Self {
+        let mut table = Self {
             sequence,
             ..Self::default()
         };
-        directory.add_services(snapshot);
-        directory.add_targets(snapshot);
-        directory.add_retired(snapshot);
-        directory
+        table.add_services(snapshot);
+        table.add_targets(snapshot);
+        table.add_retired(snapshot);
+        table
     }
 
-    /// The same directory with some targets marked as unavailable. Marks are
-    /// ignored in a service that would keep no candidate. The standing of the
-    /// node's own target stays as it is.
+    /// A copy of the table in which some targets are marked as unavailable. A
+    /// service ignores the marks when they would leave it without a candidate.
+    /// The status of the node's own target, `own`, does not change.
     #[must_use]
     pub fn with_unavailable(
         &self,
@@ -104,10 +105,10 @@
             if !entry.candidates.iter().any(is_available) {
                 continue;
             }
-            let lost = entry.candidates.iter().filter(|one| !is_available(one));
-            for candidate in lost.filter(|one| Some(one.target) != own) {
+            let removed = entry.candidates.iter().filter(|one| !is_available(one));
+            for candidate in removed.filter(|one| Some(one.target) != own) {
                 if let Some(target) = marked.targets.get_mut(&candidate.target) {
-                    target.status = target.status.unavailable();
+                    target.status = target.status.marked_unavailable();
                 }
             }
             entry.candidates.retain(is_available);
@@ -165,8 +166,8 @@
         self.add_candidates(snapshot, TargetState::Leaving);
     }
 
-    /// Adds the targets of one state to each service that has no candidates
-    /// from an earlier call.
+    /// Makes the targets of one state the candidates of each service that has no
+    /// candidates yet.
     fn add_candidates(&mut self, snapshot: &Snapshot, state: TargetState) {
         let mut candidates: FxHashMap<ServiceId, Vec<Candidate>> = FxHashMap::default();
         let wanted = snapshot.bundle.targets.iter();
--- a/crates/woodladder-core/src/packets/token.rs
+++ b/crates/woodladder-core/src/packets/token.rs
@@ -1,10 +1,10 @@
 //! Routing tokens: connection identifiers that name their target.
 //!
-//! An agent issues tokens as its QUIC connection identifiers, so that after
-//! the first answer any balancer can route a packet without knowing the flow.
+//! An agent uses tokens as its QUIC connection identifiers, so that after its
+//! first answer any balancer can route a packet without state about the flow.
 //! The idea follows the IETF draft "QUIC-LB: Generating Routable QUIC
-//! Connection IDs"; the layout is our own and is authenticated, so that
-//! nobody outside can steer a packet to a target of his choice.
+//! Connection IDs"; the layout is different and is authenticated, so that an
+//! outsider cannot direct packets to a target of their choice.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -29,7 +29,7 @@
 const NONCE_START: usize = 5;
 const TAG_START: usize = 12;
 
-/// A key for tokens, with the number that tokens carry to name it.
+/// A key for tokens, with the number by which tokens refer to it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenKey {
     /// Number of the key, at most [`MAXIMUM_KEY_NUMBER`].
@@ -38,13 +38,13 @@
     pub key: TagKey,
 }
 
-/// The keys for tokens: one to issue with, and one that is still accepted
-/// while keys are replaced.
+/// The keys for tokens: one that new tokens are issued with, and the previous
+/// one, which is still accepted while keys are replaced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenKeys {
-    /// Issues and verifies.
+    /// Key that issues and verifies tokens.
     pub current: TokenKey,
-    /// Verifies only.
+    /// Key that only verifies tokens.
     pub previous: Option<TokenKey>,
 }
 
@@ -75,10 +75,11 @@
         Some(TargetId(u32::from_be_bytes(target)))
     }
 
-    fn key_for(&self, first: u8) -> Option<&TokenKey> {
-        let named = |key: &&TokenKey| first == LAYOUT_VERSION | (key.number & MAXIMUM_KEY_NUMBER);
+    fn key_for(&self, first_byte: u8) -> Option<&TokenKey> {
+        let is_named =
+            |key: &&TokenKey| first_byte == LAYOUT_VERSION | (key.number & MAXIMUM_KEY_NUMBER);
         Some(&self.current)
-            .filter(named)
-            .or_else(|| self.previous.as_ref().filter(named))
+            .filter(is_named)
+            .or_else(|| self.previous.as_ref().filter(is_named))
     }
 }
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -118,7 +118,7 @@
     fn hand_on_beyond_list(&self, reason: FlowRefusalReason) -> Choice {
         let entry = self.routing_table.service(self.envelope.service);
         let candidates = entry.map_or(&[][..], |entry| &entry.candidates);
-        let others = hop_list::choose(candidates, self.flow_hash, MAXIMUM_HOPS);
+        let others = hop_list::choose_hops(candidates, self.flow_hash, MAXIMUM_HOPS);
         let other = others
             .into_iter()
             .find(|other| !self.is_listed(other) && self.may_hand_on_to(other));
--- a/crates/woodladder-core/tests/envelope.rs
+++ b/crates/woodladder-core/tests/envelope.rs
@@ -1,4 +1,4 @@
-//! Envelopes: what is written is read, and nothing else is.
+//! Envelopes: encoded ones decode to the same value, and all others are rejected.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId};
 use woodladder_core::packets::envelope::{
-    ENVELOPE_VERSION, Envelope, EnvelopeError, MAXIMUM_HEADER, MAXIMUM_OVERHEAD_LENGTH,
+    ENVELOPE_VERSION, Envelope, EnvelopeError, MAXIMUM_HEADER_LENGTH, MAXIMUM_OVERHEAD_LENGTH,
     NewFlowRoute, Route,
 };
 use woodladder_core::packets::hop_list::{Hop, Load, MAXIMUM_HOPS};
@@ -67,8 +67,8 @@
     buffer
 }
 
-/// An envelope round any header, with the right tag and the length stated.
-fn sealed(version: u8, length: u16, header: &[u8]) -> Vec<u8> {
+/// Bytes of an envelope around any header, with a valid tag and this length.
+fn bytes_with_valid_tag(version: u8, length: u16, header: &[u8]) -> Vec<u8> {
     let mut bytes = vec![version];
     bytes.extend_from_slice(&length.to_be_bytes());
     bytes.extend_from_slice(&TagKey::new(KEY).tag(header, &[]));
@@ -78,7 +78,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(envelope in envelope(), datagram: Vec<u8>) {
+    fn encoding_and_decoding_round_trips(envelope in envelope(), datagram: Vec<u8>) {
         let bytes = encode(&envelope, &datagram);
         prop_assert!(bytes.len() <= MAXIMUM_OVERHEAD_LENGTH + datagram.len());
         let decoded = Envelope::decode(&TagKey::new(KEY), &bytes);
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn a_cut_header_is_rejected(envelope in envelope(), position: prop::sample::Index) {
+    fn a_truncated_header_is_rejected(envelope in envelope(), position: prop::sample::Index) {
         let bytes = encode(&envelope, &[]);
         let cut = &bytes[..position.index(bytes.len())];
         let error = Envelope::decode(&TagKey::new(KEY), cut);
@@ -117,9 +117,9 @@
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>, header in vec(any::<u8>(), 0..300)) {
         prop_assert!(Envelope::decode(&TagKey::new(KEY), &bytes).is_err());
         let length = u16::try_from(header.len()).expect("a short header");
-        let bytes = sealed(ENVELOPE_VERSION, length, &header);
+        let bytes = bytes_with_valid_tag(ENVELOPE_VERSION, length, &header);
         let decoded = Envelope::decode(&TagKey::new(KEY), &bytes);
-        prop_assert!(header.len() <= MAXIMUM_HEADER || decoded == Err(EnvelopeError::Oversized));
+        prop_assert!(header.len() <= MAXIMUM_HEADER_LENGTH || decoded == Err(EnvelopeError::Oversized));
     }
 
     #[test]
@@ -148,7 +148,7 @@
 
 #[test]
 fn an_unknown_version_is_named() {
-    let bytes = sealed(ENVELOPE_VERSION + 1, 0, &[]);
+    let bytes = bytes_with_valid_tag(ENVELOPE_VERSION + 1, 0, &[]);
     let error = Envelope::decode(&TagKey::new(KEY), &bytes);
     assert_eq!(error, Err(EnvelopeError::UnknownVersion));
 }
--- a/crates/woodladder-core/tests/hop_list.rs
+++ b/crates/woodladder-core/tests/hop_list.rs
@@ -1,10 +1,10 @@
-//! Hop lists: balancers agree on them, and weights are respected.
+//! Hop lists: balancers choose the same ones, in proportion to weights.
 
 mod support;
 
 use proptest::prelude::*;
 use woodladder_core::identifier::TargetId;
-use woodladder_core::packets::hop_list::{Candidate, MAXIMUM_HOPS, choose, choose_candidate};
+use woodladder_core::packets::hop_list::{Candidate, MAXIMUM_HOPS, choose_candidate, choose_hops};
 
 use support::target_address;
 
@@ -23,7 +23,7 @@
 }
 
 fn targets(candidates: &[Candidate], flow: u64, count: usize) -> Vec<TargetId> {
-    let hops = choose(candidates, flow, count);
+    let hops = choose_hops(candidates, flow, count);
     hops.iter().map(|hop| hop.target).collect()
 }
 
@@ -48,22 +48,22 @@
     }
 
     #[test]
-    fn a_removed_target_only_leaves_the_lists_it_was_on(
+    fn removing_a_target_keeps_the_others_in_order(
         list in candidates(),
         removed: prop::sample::Index,
         flow: u64,
     ) {
         let before = targets(&list, flow, MAXIMUM_HOPS);
         let mut fewer = list.clone();
-        let gone = fewer.remove(removed.index(list.len())).target;
+        let removed_target = fewer.remove(removed.index(list.len())).target;
         let after = targets(&fewer, flow, MAXIMUM_HOPS);
-        let kept: Vec<TargetId> = before.into_iter().filter(|target| *target != gone).collect();
+        let kept: Vec<TargetId> = before.into_iter().filter(|target| *target != removed_target).collect();
         prop_assert_eq!(&after[..kept.len()], kept.as_slice());
     }
 }
 
 #[test]
-fn targets_are_drawn_by_their_slots() {
+fn targets_are_chosen_in_proportion_to_their_slots() {
     const FLOWS: u32 = 40_000;
     let list = [candidate(1, 10), candidate(2, 20), candidate(3, 50)];
     let mut drawn = [0_u32; 3];
--- a/crates/woodladder-core/tests/carrier.rs
+++ b/crates/woodladder-core/tests/quic_header.rs
@@ -1,10 +1,10 @@
-//! Reading the invariant part of the callers' datagrams.
+//! Parsing the version-independent QUIC header fields.
 
 mod support;
 
 use proptest::prelude::*;
 use woodladder_core::packets::quic_header::{
-    CarrierError, MINIMUM_INITIAL_DATAGRAM_LENGTH, parse_header,
+    MINIMUM_INITIAL_DATAGRAM_LENGTH, QuicHeaderError, parse_header,
 };
 use woodladder_core::packets::token::TOKEN_LENGTH;
 
@@ -46,7 +46,7 @@
         let mut datagram = first_datagram(&[0; 20]);
         datagram[5] = length;
         let error = parse_header(&datagram, TOKEN_LENGTH);
-        prop_assert_eq!(error, Err(CarrierError::OversizedConnectionId));
+        prop_assert_eq!(error, Err(QuicHeaderError::OversizedConnectionId));
     }
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_second_version_numbers_its_initial_differently() {
+fn version_2_has_another_type_number_for_initial_packets() {
     let initial = first_datagram(&[1; 8]);
     let of_type = |first: u8| [&[first][..], &VERSION_2, &initial[5..]].concat();
     assert!(opens_flow(&of_type(0xd0)));
--- a/crates/woodladder-core/tests/router.rs
+++ b/crates/woodladder-core/tests/router.rs
@@ -1,4 +1,4 @@
-//! Where a balancer sends datagrams.
+//! Routing decisions of a balancer.
 
 mod support;
 
@@ -60,27 +60,26 @@
     }
 
     #[test]
-    fn a_token_of_another_service_goes_nowhere(nonce: [u8; 7]) {
+    fn a_token_of_another_service_is_dropped(nonce: [u8; 7]) {
         let token = keys(1).issue(TargetId(12), nonce);
         let routed = route(&both_services(), ORDERS, &short_datagram(&token));
         prop_assert_eq!(routed, Err(DropReason::WrongService));
     }
 
     #[test]
-    fn a_forged_token_goes_nowhere(token: [u8; 20]) {
+    fn a_forged_token_is_dropped(token: [u8; 20]) {
         let routed = route(&both_services(), ORDERS, &short_datagram(&token));
         prop_assert_eq!(routed, Err(DropReason::InvalidToken));
     }
 }
 
 #[test]
-fn established_flows_reach_removed_targets_and_new_ones_do_not() {
+fn established_flows_reach_retired_targets_and_new_ones_do_not() {
     let before = snapshot(None, active(1..4, ORDERS));
     let after = snapshot(Some(&before), active(2..4, ORDERS));
     let routing_table = Arc::new(RoutingTable::new(Sequence(2), &after));
     let token = keys(1).issue(TargetId(1), [0; 7]);
-    let forward =
-        route(&routing_table, ORDERS, &short_datagram(&token)).expect("a lingering target");
+    let forward = route(&routing_table, ORDERS, &short_datagram(&token)).expect("a retired target");
     assert_eq!(forward.to, target_address(TargetId(1)));
     for id in 0..100_u64 {
         let datagram = first_datagram(&id.to_be_bytes());
@@ -90,7 +89,7 @@
 }
 
 #[test]
-fn a_target_not_known_yet_is_reached_by_way_of_another() {
+fn packets_of_an_unknown_target_are_relayed() {
     let token = keys(1).issue(TargetId(99), [0; 7]);
     let forward = route(&both_services(), ORDERS, &short_datagram(&token)).expect("a relay");
     assert_eq!(forward.envelope.route, Route::Relay(TargetId(99)));
--- a/crates/woodladder-core/tests/token.rs
+++ b/crates/woodladder-core/tests/token.rs
@@ -1,4 +1,4 @@
-//! Routing tokens: they name their target, and nobody without a key makes one.
+//! Routing tokens: they name their target, and cannot be forged without a key.
 
 mod support;
 
