--- a/crates/woodladder-core/src/clock.rs
+++ b/crates/woodladder-core/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the core sees it: a value passed in with every event.
+//! Time in this crate: a value that the caller passes with every event.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// The origin of the clock.
     pub const ORIGIN: Self = Self { nanoseconds: 0 };
 
-    /// The instant this long after the origin.
+    /// The instant that is `elapsed` after the origin.
     #[must_use]
     pub fn from_origin(elapsed: Duration) -> Self {
         Self {
--- a/crates/woodladder-core/src/configuration/bundle.rs
+++ b/crates/woodladder-core/src/configuration/bundle.rs
@@ -1,4 +1,5 @@
-//! The bundle: one version of the operators' configuration, in canonical form.
+//! The bundle: one version of the configuration that operators write, in
+//! canonical form.
 
 use std::net::SocketAddr;
 
@@ -6,19 +7,19 @@
 
 use crate::digest::Digest;
 use crate::identifier::{ServiceId, TargetId, ZoneIndex};
-use crate::signature::{OperatorKey, Purpose, SignatureError, Signed, TrustedKeys};
+use crate::signature::{OperatorKey, OperatorSignature, Purpose, SignatureError, TrustedKeys};
 
 /// One version of the configuration.
 ///
-/// Canonical: services and targets are sorted by identifier, so that equal
-/// bundles have equal encodings and digests.
+/// In canonical form, services and targets are sorted by identifier, so that
+/// equal bundles have equal encodings and digests.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Bundle {
-    /// Version that the operators gave to this bundle.
+    /// Version number, chosen by the operators.
     pub version: u64,
     /// Name of the deployment, such as `ankang`.
     pub deployment: String,
-    /// Zones that targets are placed in.
+    /// Zones of the targets.
     pub zones: Vec<Zone>,
     /// Services, sorted by identifier.
     pub services: Vec<Service>,
@@ -26,65 +27,65 @@
     pub targets: Vec<Target>,
 }
 
-/// A zone and the region that it lies in.
+/// A zone and its region.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Zone {
     /// Name of the zone.
     pub name: String,
-    /// Name of its region.
+    /// Name of the region that the zone is in.
     pub region: String,
 }
 
-/// A service and the addresses that its callers use.
+/// A service and the addresses that its callers send to.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// Identifier, never reused for another service.
+    /// Identifier of the service, never reused for another one.
     pub id: ServiceId,
-    /// Name for people.
+    /// Name that people see.
     pub name: String,
     /// Addresses that callers send to, sorted.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// One back end with the agent beside it.
+/// One back end with its agent.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Identifier, never reused for another service.
+    /// Identifier of the target, never reused in another service.
     pub id: TargetId,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Data address of its agent.
+    /// Address at which the agent receives datagrams from balancers.
     pub address: SocketAddr,
-    /// Zone that it is in.
+    /// Zone that the target is in.
     pub zone: ZoneIndex,
     /// Requests that the back end runs at the same time.
     pub slots: u16,
     /// Connections that the back end holds at the same time.
     pub connections: u32,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub state: TargetState,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum TargetState {
-    /// Takes new flows.
+    /// The target accepts new flows.
     Active,
-    /// Takes no new flow; established ones go on.
+    /// The target accepts no new flow; established ones continue.
     Leaving,
 }
 
-/// A bundle's encoding with an operator's signature: what `bundle sign` makes.
+/// A bundle with an operator's signature, as `bundle sign` writes it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct SignedBundle {
     /// The bundle.
     pub bundle: Bundle,
     /// Signature over the bundle's digest, for [`Purpose::SignOff`].
-    pub sign_off: Signed,
+    pub sign_off: OperatorSignature,
 }
 
 impl Bundle {
-    /// Brings services, their addresses and targets into canonical order.
+    /// Sorts services, their addresses and targets into canonical order.
     #[must_use]
     pub fn canonical(mut self) -> Self {
         for service in &mut self.services {
@@ -123,23 +124,24 @@
 }
 
 impl SignedBundle {
-    /// Signs a bundle off.
+    /// Signs a bundle with an operator's key.
     #[must_use]
     pub fn sign(bundle: Bundle, key: &OperatorKey) -> Self {
         let sign_off = key.sign(Purpose::SignOff, &bundle.digest().0);
         Self { bundle, sign_off }
     }
 
-    /// Checks the signature.
+    /// Verifies the signature.
     ///
     /// # Errors
-    /// [`SignatureError`] when the key is not trusted or does not match.
+    /// [`SignatureError`] when the key is not trusted or the signature does not
+    /// match.
     pub fn verify(&self, trusted: &TrustedKeys) -> Result<(), SignatureError> {
         trusted.verify(Purpose::SignOff, &self.bundle.digest().0, &self.sign_off)
     }
 }
 
-/// Encodes a value whose encoding cannot fail.
+/// Encodes a value of a type whose encoding never fails.
 pub(crate) fn encode<T: BorshSerialize>(value: &T) -> Vec<u8> {
     borsh::to_vec(value).unwrap_or_default()
 }
--- a/crates/woodladder-core/src/configuration/bundle_source/check.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/check.rs
@@ -1,4 +1,4 @@
-//! Rules across the parts of a bundle.
+//! Rules that concern several values of a bundle.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -16,13 +16,13 @@
 const RULE_ADDRESS_ONCE: &str = "an address belongs to one service or one target";
 const RULE_TARGET_ONCE: &str = "a target identifier is used once, in one service";
 
-/// First place of each value, to find the second.
-struct Unique<'a> {
+/// First place of each value, to report any further use of the value.
+struct UniqueValues<'a> {
     places: BTreeMap<String, &'a KeyPlace>,
     rule: &'static str,
 }
 
-impl<'a> Unique<'a> {
+impl<'a> UniqueValues<'a> {
     fn new(rule: &'static str) -> Self {
         Self {
             places: BTreeMap::new(),
@@ -47,25 +47,26 @@
     }
 }
 
-/// Zones are named once, and there is at least one.
-pub(super) fn zones(zones: &[ZoneSource], findings: &mut Findings) {
+/// Checks that there is a zone and that zone names are unique.
+pub(super) fn check_zones(zones: &[ZoneSource], findings: &mut Findings) {
     if zones.is_empty() {
         findings.add("zone", "no zone is named", RULE_ZONES);
     }
-    let mut names = Unique::new(RULE_ZONE_ONCE);
+    let mut names = UniqueValues::new(RULE_ZONE_ONCE);
     for name in zones.iter().filter_map(|zone| zone.name.as_ref()) {
         names.check(Some(name), findings);
     }
 }
 
-/// Service identifiers, names and addresses are used once.
-pub(super) fn services(services: &[ServiceSource], findings: &mut Findings) {
+/// Checks that there is a service, that each has a target, and that identifiers,
+/// names and addresses are unique.
+pub(super) fn check_services(services: &[ServiceSource], findings: &mut Findings) {
     if services.is_empty() {
         findings.add("service", "no service is named", RULE_SERVICES);
     }
-    let mut identifiers = Unique::new(RULE_SERVICE_ONCE);
-    let mut names = Unique::new(RULE_SERVICE_ONCE);
-    let mut addresses = Unique::new(RULE_ADDRESS_ONCE);
+    let mut identifiers = UniqueValues::new(RULE_SERVICE_ONCE);
+    let mut names = UniqueValues::new(RULE_SERVICE_ONCE);
+    let mut addresses = UniqueValues::new(RULE_ADDRESS_ONCE);
     for service in services {
         identifiers.check(service.id.as_ref(), findings);
         names.check(service.name.as_ref(), findings);
@@ -82,16 +83,20 @@
     }
 }
 
-/// Target identifiers are used once, and their zones are known.
-pub(super) fn targets(services: &[ServiceSource], zones: &[ZoneSource], findings: &mut Findings) {
-    let mut identifiers = Unique::new(RULE_TARGET_ONCE);
+/// Checks that target identifiers are unique and that their zones exist.
+pub(super) fn check_targets(
+    services: &[ServiceSource],
+    zones: &[ZoneSource],
+    findings: &mut Findings,
+) {
+    let mut identifiers = UniqueValues::new(RULE_TARGET_ONCE);
     for target in services.iter().flat_map(|service| &service.targets) {
         identifiers.check(target.id.as_ref(), findings);
-        check_zone(target, zones, findings);
+        check_target_zone(target, zones, findings);
     }
 }
 
-fn check_zone(target: &TargetSource, zones: &[ZoneSource], findings: &mut Findings) {
+fn check_target_zone(target: &TargetSource, zones: &[ZoneSource], findings: &mut Findings) {
     let Some(zone) = &target.zone else {
         return;
     };
--- a/crates/woodladder-core/src/configuration/bundle_source/document.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/document.rs
@@ -1,4 +1,4 @@
-//! A parsed TOML text with its line numbers.
+//! A parsed TOML document with its line numbers.
 
 use toml::Spanned;
 use toml::de::DeTable;
@@ -9,14 +9,14 @@
 
 const RULE_SYNTAX: &str = "a bundle is a TOML document";
 
-/// A parsed text.
+/// A parsed TOML document.
 pub(super) struct Document<'a> {
     table: Spanned<DeTable<'a>>,
     lines: Lines,
 }
 
 impl<'a> Document<'a> {
-    /// Parses a text; what cannot be parsed becomes findings.
+    /// Parses a text; syntax errors become findings.
     pub(super) fn parse(text: &'a str, findings: &mut Findings) -> Self {
         let lines = Lines::new(text);
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -34,7 +34,7 @@
         Self { table, lines }
     }
 
-    /// Reader of the outermost table.
+    /// Reader of the root table.
     pub(super) fn root(&self) -> TableReader<'_> {
         let place = KeyPlace {
             key: String::new(),
--- a/crates/woodladder-core/src/configuration/bundle_source/lines.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/lines.rs
@@ -1,20 +1,22 @@
-//! Lines of a document, for the place of a finding.
+//! Line numbers of a document, for the places of findings.
 
 use std::ops::Range;
 
-/// Finds the line of a byte.
+/// Positions of the line ends, to find the line of a byte.
 pub(super) struct Lines {
-    ends: Vec<usize>,
+    newlines: Vec<usize>,
 }
 
 impl Lines {
     pub(super) fn new(text: &str) -> Self {
-        let ends = text.match_indices('\n').map(|(index, _)| index).collect();
-        Self { ends }
+        let newlines = text.match_indices('\n').map(|(index, _)| index).collect();
+        Self { newlines }
     }
 
-    /// Line of a span's start, counted from one.
+    /// Line in which a span starts, counted from one.
     pub(super) fn line(&self, span: &Range<usize>) -> usize {
-        self.ends.partition_point(|end| *end < span.start) + 1
+        self.newlines
+            .partition_point(|newline| *newline < span.start)
+            + 1
     }
 }
--- a/crates/woodladder-core/src/configuration/bundle_source/mod.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/mod.rs
@@ -1,8 +1,9 @@
-//! The operators' written form of a bundle (TOML) and its rules.
+//! The TOML form in which operators write a bundle, and its rules.
 //!
 //! Reading collects every fault with its file, line and key path, so that an
-//! operator mends a bundle in one go. [`parse`] checks one text by itself;
-//! [`crate::configuration::snapshot::Snapshot::following`] checks it against what is in force.
+//! operator can correct all of them at once. [`parse`] checks one text by
+//! itself; [`crate::configuration::snapshot::Snapshot::following`] checks a
+//! bundle against the snapshot in force.
 
 mod check;
 mod document;
@@ -21,10 +22,10 @@
 
 pub use render::{EXAMPLE, render};
 
-/// Greatest version: TOML integers are signed.
+/// Greatest version that fits a TOML integer, which is signed.
 const MAXIMUM_VERSION: u64 = i64::MAX as u64;
 
-/// A service as it is written; a part with a fault is `None`.
+/// A service as written; a value with a fault is `None`.
 struct ServiceSource {
     id: Option<Located<u32>>,
     name: Option<Located<String>>,
@@ -33,7 +34,7 @@
     place: reader::KeyPlace,
 }
 
-/// A target as it is written; a part with a fault is `None`.
+/// A target as written; a value with a fault is `None`.
 struct TargetSource {
     id: Option<Located<u32>>,
     address: Option<Located<SocketAddr>>,
@@ -43,13 +44,13 @@
     state: Option<Located<TargetState>>,
 }
 
-/// A zone as it is written; a part with a fault is `None`.
+/// A zone as written; a value with a fault is `None`.
 struct ZoneSource {
     name: Option<Located<String>>,
     region: Option<Located<String>>,
 }
 
-/// Reads and checks a bundle; `file` names it in findings.
+/// Reads and checks a bundle; `file` is the file name in findings.
 ///
 /// # Errors
 /// Every fault found, each with its file, line, key path and rule.
@@ -75,9 +76,9 @@
         services.push(read_service(table, &mut findings));
     }
     root.finish(&mut findings);
-    check::zones(&zones, &mut findings);
-    check::services(&services, &mut findings);
-    check::targets(&services, &zones, &mut findings);
+    check::check_zones(&zones, &mut findings);
+    check::check_services(&services, &mut findings);
+    check::check_targets(&services, &zones, &mut findings);
     findings.sort_by_line();
     match assemble(version, deployment, &zones, &services) {
         Some(bundle) => findings.into_result(bundle),
@@ -122,7 +123,7 @@
     target
 }
 
-/// The bundle, or `None` when a part of it has a fault.
+/// The bundle, or `None` when a value in it has a fault.
 fn assemble(
     version: Option<Located<u64>>,
     deployment: Option<Located<String>>,
--- a/crates/woodladder-core/src/configuration/bundle_source/reader.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed values out of a TOML table and collects what is wrong.
+//! Reads typed values from a TOML table and collects findings.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -18,32 +18,33 @@
 const RULE_LIST: &str = "the value is a list with at least one entry";
 const RULE_TABLES: &str = "the value is a list of tables";
 const RULE_STATE: &str = "a state is \"active\" or \"leaving\"";
-const MAXIMUM_NAME: usize = 64;
+const MAXIMUM_NAME_LENGTH: usize = 64;
 
-/// Key path and line of something in the text.
+/// Key path and line of a value in the text.
 #[derive(Clone, Debug)]
 pub(super) struct KeyPlace {
-    /// Key path, empty for the outermost table.
+    /// Key path, empty for the root table.
     pub(super) key: String,
     /// Line, counted from one.
     pub(super) line: usize,
 }
 
-/// A value and where it stands.
+/// A value with its place in the text.
 #[derive(Clone, Debug)]
 pub(super) struct Located<T> {
     /// The value.
     pub(super) value: T,
-    /// Where it stands.
+    /// Place of the value.
     pub(super) place: KeyPlace,
 }
 
-/// Reads the keys of one table; those never asked for are unknown.
+/// Reads the keys of one table; keys that no method has read are reported as
+/// unknown.
 pub(super) struct TableReader<'a> {
     table: &'a DeTable<'a>,
     place: KeyPlace,
     lines: &'a Lines,
-    asked: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
     findings: Findings,
 }
 
@@ -69,22 +70,22 @@
             table,
             place,
             lines,
-            asked: Vec::new(),
+            read_keys: Vec::new(),
             findings: Findings::new(),
         }
     }
 
-    /// Where the table stands.
+    /// Place of the table.
     pub(super) fn place(&self) -> KeyPlace {
         self.place.clone()
     }
 
-    /// Hands over the findings, unknown keys included.
+    /// Adds the findings of this table, including unknown keys, to `findings`.
     pub(super) fn finish(mut self, findings: &mut Findings) {
         let table = self.table;
         for (key, _) in table {
             let name = key.get_ref().as_ref();
-            if !self.asked.contains(&name) {
+            if !self.read_keys.contains(&name) {
                 let place = self.place_of(name, &key.span());
                 let finding = place.finding(format!("unknown key `{name}`"), RULE_KNOWN_KEYS);
                 self.findings.push(finding);
@@ -93,12 +94,12 @@
         findings.append(self.findings);
     }
 
-    /// An integer between `least` and `greatest`.
+    /// Reads an integer from `minimum` to `maximum`.
     pub(super) fn integer<T: TryFrom<u64>>(
         &mut self,
         key: &'static str,
-        least: u64,
-        greatest: u64,
+        minimum: u64,
+        maximum: u64,
     ) -> Option<Located<T>> {
         let value = self.required(key)?;
         let place = self.place_of(key, &value.span());
@@ -106,16 +107,16 @@
             DeValue::Integer(integer) => parse_integer(integer.as_str(), integer.radix()),
             _ => None,
         };
-        let in_range = number.filter(|number| (least..=greatest).contains(number));
+        let in_range = number.filter(|number| (minimum..=maximum).contains(number));
         let Some(value) = in_range.and_then(|number| T::try_from(number).ok()) else {
-            let problem = format!("not an integer from {least} to {greatest}");
+            let problem = format!("not an integer from {minimum} to {maximum}");
             self.findings.push(place.finding(problem, RULE_INTEGER));
             return None;
         };
         Some(Located { value, place })
     }
 
-    /// A name.
+    /// Reads a name.
     pub(super) fn name(&mut self, key: &'static str) -> Option<Located<String>> {
         let value = self.required(key)?;
         let place = self.place_of(key, &value.span());
@@ -129,9 +130,9 @@
         None
     }
 
-    /// A target's state; active when it is not written.
+    /// Reads a target's state; a missing key means active.
     pub(super) fn state(&mut self, key: &'static str) -> Option<Located<TargetState>> {
-        self.asked.push(key);
+        self.read_keys.push(key);
         let Some(value) = self.table.get(key) else {
             return Some(Located {
                 value: TargetState::Active,
@@ -154,14 +155,14 @@
         })
     }
 
-    /// An address.
+    /// Reads an address.
     pub(super) fn address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let value = self.required(key)?;
         let place = self.place_of(key, &value.span());
         self.parse_address(value.get_ref().as_str().unwrap_or_default(), place)
     }
 
-    /// A list of addresses with at least one entry.
+    /// Reads a list of addresses with at least one entry.
     pub(super) fn addresses(&mut self, key: &'static str) -> Vec<Located<SocketAddr>> {
         let Some(value) = self.required(key) else {
             return Vec::new();
@@ -184,9 +185,9 @@
         addresses
     }
 
-    /// The tables of a list of tables; none when it is not written.
+    /// Readers of a list of tables; none when the key is missing.
     pub(super) fn tables(&mut self, key: &'static str) -> Vec<TableReader<'a>> {
-        self.asked.push(key);
+        self.read_keys.push(key);
         let Some(value) = self.table.get(key) else {
             return Vec::new();
         };
@@ -214,11 +215,11 @@
     }
 
     fn required(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.push(key);
+        self.read_keys.push(key);
         let value = self.table.get(key);
         if value.is_none() {
             let mut place = self.place();
-            place.key = join(&place.key, key);
+            place.key = join_key(&place.key, key);
             let finding = place.finding(format!("`{key}` is missing"), RULE_REQUIRED);
             self.findings.push(finding);
         }
@@ -239,13 +240,13 @@
 
     fn place_of(&self, key: &str, span: &Range<usize>) -> KeyPlace {
         KeyPlace {
-            key: join(&self.place.key, key),
+            key: join_key(&self.place.key, key),
             line: self.lines.line(span),
         }
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_key(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
     } else {
@@ -259,5 +260,5 @@
 
 fn is_name(text: &str) -> bool {
     let allowed = |letter: char| letter.is_alphanumeric() || matches!(letter, '.' | '-' | '_');
-    !text.is_empty() && text.chars().count() <= MAXIMUM_NAME && text.chars().all(allowed)
+    !text.is_empty() && text.chars().count() <= MAXIMUM_NAME_LENGTH && text.chars().all(allowed)
 }
--- a/crates/woodladder-core/src/configuration/bundle_source/render.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/render.rs
@@ -1,11 +1,11 @@
-//! Writes a bundle back in the operators' form.
+//! Writes a bundle in the TOML form that operators use.
 
 use serde::Serialize;
 
 use crate::configuration::bundle::{Bundle, Service, Target, TargetState};
 
-/// A small bundle to start from, accepted by [`super::parse`].
-pub const EXAMPLE: &str = r#"# Version of this bundle; any number, greater ones are not required to roll.
+/// A small bundle for operators to start from, accepted by [`super::parse`].
+pub const EXAMPLE: &str = r#"# Version of this bundle: any number; a later bundle need not have a greater one.
 version = 1
 deployment = "example"
 
--- a/crates/woodladder-core/src/configuration/mod.rs
+++ b/crates/woodladder-core/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! What is in force: bundles, their sources, snapshots and roll records.
+//! Configuration data: bundles and their TOML form, snapshots, and roll records,
+//! which put a snapshot in force.
 
 pub mod bundle;
 pub mod bundle_source;
--- a/crates/woodladder-core/src/configuration/roll_record.rs
+++ b/crates/woodladder-core/src/configuration/roll_record.rs
@@ -1,4 +1,7 @@
-//! The roll record: the signed statement that a snapshot is in force.
+//! The roll record: the signed statement that puts a snapshot in force.
+//!
+//! A roll is the step by which an operator puts a signed bundle in force on all
+//! nodes of a deployment.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
@@ -6,19 +9,20 @@
 use crate::configuration::snapshot_delta::SnapshotDelta;
 use crate::digest::Digest;
 use crate::identifier::Sequence;
-use crate::signature::{OperatorKey, Purpose, SignatureError, Signed, TrustedKeys};
+use crate::signature::{OperatorKey, OperatorSignature, Purpose, SignatureError, TrustedKeys};
 
 /// Length of a roll nonce in bytes.
 pub const NONCE_LENGTH: usize = 16;
 
-/// Drawn at random for each roll; tells an operator whose write took effect.
+/// Random number of a roll, by which an operator recognizes their own roll in the
+/// store.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct RollNonce(pub [u8; NONCE_LENGTH]);
 
 /// What an operator states with a roll.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct RollStatement {
-    /// Position in the order of all rolls.
+    /// Position of this roll in the order of all rolls.
     pub sequence: Sequence,
     /// Nonce of this roll.
     pub nonce: RollNonce,
@@ -28,27 +32,27 @@
     pub snapshot_digest: Digest,
     /// Length of the snapshot's encoding in bytes.
     pub snapshot_length: u32,
-    /// Name of the operator, for messages to others.
+    /// Name of the operator, shown to other operators.
     pub operator: String,
-    /// When it was rolled, in seconds since the Unix epoch.
+    /// Time of the roll, in seconds since the Unix epoch.
     pub rolled_at_unix_seconds: u64,
 }
 
 /// A signed roll statement.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct RollRecord {
-    /// What is stated.
+    /// The statement.
     pub statement: RollStatement,
     /// Signature over the statement's encoding, for [`Purpose::Roll`].
-    pub signed: Signed,
+    pub signature: OperatorSignature,
 }
 
-/// The value of the key-value service's current entry.
+/// The value that the key-value store holds for the roll in force.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct StoredRoll {
     /// The roll in force.
     pub record: RollRecord,
-    /// Changes since the roll before, when they are small.
+    /// Changes since the previous roll, when they are small.
     pub delta: Option<SnapshotDelta>,
 }
 
@@ -56,16 +60,20 @@
     /// Signs a statement.
     #[must_use]
     pub fn sign(statement: RollStatement, key: &OperatorKey) -> Self {
-        let signed = key.sign(Purpose::Roll, &encode(&statement));
-        Self { statement, signed }
+        let signature = key.sign(Purpose::Roll, &encode(&statement));
+        Self {
+            statement,
+            signature,
+        }
     }
 
-    /// Checks the signature.
+    /// Verifies the signature.
     ///
     /// # Errors
-    /// [`SignatureError`] when the key is not trusted or does not match.
+    /// [`SignatureError`] when the key is not trusted or the signature does not
+    /// match.
     pub fn verify(&self, trusted: &TrustedKeys) -> Result<(), SignatureError> {
-        trusted.verify(Purpose::Roll, &encode(&self.statement), &self.signed)
+        trusted.verify(Purpose::Roll, &encode(&self.statement), &self.signature)
     }
 
     /// Position in the order of all rolls.
--- a/crates/woodladder-core/src/configuration/snapshot.rs
+++ b/crates/woodladder-core/src/configuration/snapshot.rs
@@ -1,8 +1,9 @@
-//! The snapshot: all that a roll puts in force, as one canonical value.
+//! The snapshot: everything that a roll puts in force, as one canonical value.
 //!
-//! Besides the bundle it carries the targets that earlier rolls removed, for a
-//! linger time, so that a node which knows no history still resolves the
-//! tokens of flows established with them.
+//! Besides the bundle, a snapshot contains the targets that earlier rolls
+//! removed, for the linger time after their removal. With them a node that
+//! knows no earlier snapshot can still route flows established with these
+//! targets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,56 +14,56 @@
 use crate::digest::Digest;
 use crate::finding::Findings;
 use crate::identifier::{ServiceId, TargetId};
-use crate::signature::{SignatureError, Signed, TrustedKeys};
+use crate::signature::{OperatorSignature, SignatureError, TrustedKeys};
 
-/// Default linger of a removed target: longer than a flow that lasts a week.
+/// Default time for which a removed target stays in snapshots: longer than a flow
+/// that lasts a week.
 pub const DEFAULT_LINGER: Duration = Duration::from_secs(8 * 24 * 3600);
 
 const RULE_TARGET_SERVICE: &str = "a target identifier belongs to one service for good";
 
-/// All that one roll puts in force.
+/// Everything that one roll puts in force.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The signed-off bundle.
+    /// The signed bundle.
     pub bundle: Bundle,
-    /// The sign-off over the bundle.
-    pub sign_off: Signed,
+    /// Signature over the bundle's digest, for `Purpose::SignOff`.
+    pub sign_off: OperatorSignature,
     /// Targets removed by earlier rolls, sorted by identifier.
     pub retired: Vec<RetiredTarget>,
 }
 
-/// A target that is no longer in the bundle and still holds flows.
+/// A target that is no longer in the bundle but may still hold flows.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetiredTarget {
-    /// Identifier it had.
+    /// Identifier of the target.
     pub id: TargetId,
-    /// Service it belonged to.
+    /// Service that the target belonged to.
     pub service: ServiceId,
-    /// Data address of its agent.
+    /// Address at which the agent receives datagrams from balancers.
     pub address: SocketAddr,
-    /// When it was removed, in seconds since the Unix epoch, by the clock of
-    /// the operator who rolled.
-    pub retired_at: u64,
+    /// When the target was removed, in seconds since the Unix epoch, by the clock
+    /// of the operator who rolled.
+    pub retired_at_unix_seconds: u64,
 }
 
 impl Snapshot {
     /// The snapshot that follows `previous` when `signed` is rolled at
-    /// `unix_time` seconds; targets removed longer ago than `linger` are
-    /// dropped.
+    /// `unix_seconds`. Targets removed at least `linger` before that are dropped.
     ///
     /// # Errors
-    /// Findings when a target identifier changes its service.
+    /// Findings when a target identifier moves to another service.
     pub fn following(
         previous: Option<&Self>,
         signed: SignedBundle,
-        unix_time: u64,
+        unix_seconds: u64,
         linger: Duration,
     ) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         let retired = match previous {
             Some(previous) => {
-                check_services_kept(previous, &signed.bundle, &mut findings);
-                previous.retired_after(&signed.bundle, unix_time, linger)
+                check_targets_keep_service(previous, &signed.bundle, &mut findings);
+                previous.retired_after(&signed.bundle, unix_seconds, linger)
             }
             None => Vec::new(),
         };
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Canonical encoding.
+    /// The canonical encoding.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
@@ -85,10 +86,11 @@
         Digest::of(&self.encode())
     }
 
-    /// Checks the sign-off of the bundle.
+    /// Verifies the signature over the bundle.
     ///
     /// # Errors
-    /// [`SignatureError`] when the key is not trusted or does not match.
+    /// [`SignatureError`] when the key is not trusted or the signature does not
+    /// match.
     pub fn verify_sign_off(&self, trusted: &TrustedKeys) -> Result<(), SignatureError> {
         trusted.verify(
             crate::signature::Purpose::SignOff,
@@ -100,13 +102,15 @@
     fn retired_after(
         &self,
         bundle: &Bundle,
-        unix_time: u64,
+        unix_seconds: u64,
         linger: Duration,
     ) -> Vec<RetiredTarget> {
         let mut retired: Vec<RetiredTarget> = self
             .retired
             .iter()
-            .filter(|target| unix_time.saturating_sub(target.retired_at) < linger.as_secs())
+            .filter(|target| {
+                unix_seconds.saturating_sub(target.retired_at_unix_seconds) < linger.as_secs()
+            })
             .filter(|target| bundle.target(target.id).is_none())
             .copied()
             .collect();
@@ -116,7 +120,7 @@
                     id: target.id,
                     service: target.service,
                     address: target.address,
-                    retired_at: unix_time,
+                    retired_at_unix_seconds: unix_seconds,
                 });
             }
         }
@@ -125,7 +129,7 @@
     }
 }
 
-fn check_services_kept(previous: &Snapshot, bundle: &Bundle, findings: &mut Findings) {
+fn check_targets_keep_service(previous: &Snapshot, bundle: &Bundle, findings: &mut Findings) {
     for target in &bundle.targets {
         let in_bundle = previous.bundle.target(target.id).map(|known| known.service);
         let position = previous
--- a/crates/woodladder-core/src/configuration/snapshot_delta.rs
+++ b/crates/woodladder-core/src/configuration/snapshot_delta.rs
@@ -1,7 +1,9 @@
-//! The difference between two snapshots, so that a small change travels small.
+//! The difference between two snapshots, so that a small change needs only a
+//! small message.
 //!
-//! A delta is not signed. Its result is: the roll record names the digest that
-//! the result must have, so a wrong delta is found out and a full copy fetched.
+//! A delta is not signed, but its result is checked: the signed roll record
+//! states the digest of the result. When the digest differs, the node fetches a
+//! full copy instead.
 
 use std::collections::BTreeSet;
 
@@ -11,18 +13,18 @@
 use crate::configuration::snapshot::{RetiredTarget, Snapshot};
 use crate::digest::Digest;
 use crate::identifier::{ServiceId, TargetId};
-use crate::signature::Signed;
+use crate::signature::OperatorSignature;
 
 /// Changes that turn one snapshot into another.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct SnapshotDelta {
-    /// Digest of the snapshot that the changes start from.
+    /// Digest of the snapshot that the changes apply to.
     pub base: Digest,
     /// New version of the bundle.
     pub version: u64,
-    /// New sign-off of the bundle.
-    pub sign_off: Signed,
-    /// New list of zones, when it changed.
+    /// New signature over the bundle.
+    pub sign_off: OperatorSignature,
+    /// New list of zones, if it changed.
     pub zones: Option<Vec<Zone>>,
     /// Services added or changed.
     pub services: Vec<Service>,
@@ -41,10 +43,10 @@
 /// Why a delta could not be applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DeltaError {
-    /// The delta starts from another snapshot.
-    OtherBase,
-    /// The result does not have the digest that the roll record names.
-    WrongResult,
+    /// The delta applies to another snapshot.
+    BaseMismatch,
+    /// The result does not have the digest that the roll record states.
+    ResultMismatch,
 }
 
 impl SnapshotDelta {
@@ -79,7 +81,7 @@
     /// Applies the changes and checks the result.
     ///
     /// # Errors
-    /// [`DeltaError`] when `base` is not the snapshot the delta starts from or
+    /// [`DeltaError`] when `base` is not the snapshot that the delta applies to or
     /// the result does not have the digest `expected`.
     pub fn apply(
         &self,
@@ -88,29 +90,29 @@
         expected: Digest,
     ) -> Result<Snapshot, DeltaError> {
         if base_digest != self.base {
-            return Err(DeltaError::OtherBase);
+            return Err(DeltaError::BaseMismatch);
         }
-        let result = self.result(base);
+        let result = self.compute_result(base);
         if result.digest() == expected {
             Ok(result)
         } else {
-            Err(DeltaError::WrongResult)
+            Err(DeltaError::ResultMismatch)
         }
     }
 
-    fn result(&self, base: &Snapshot) -> Snapshot {
+    fn compute_result(&self, base: &Snapshot) -> Snapshot {
         let zones = self.zones.clone();
         let bundle = Bundle {
             version: self.version,
             deployment: base.bundle.deployment.clone(),
             zones: zones.unwrap_or_else(|| base.bundle.zones.clone()),
-            services: merged(
+            services: apply_changes(
                 &base.bundle.services,
                 &self.services,
                 &self.removed_services,
                 |service| service.id,
             ),
-            targets: merged(
+            targets: apply_changes(
                 &base.bundle.targets,
                 &self.targets,
                 &self.removed_targets,
@@ -120,7 +122,7 @@
         Snapshot {
             bundle,
             sign_off: self.sign_off,
-            retired: merged(
+            retired: apply_changes(
                 &base.retired,
                 &self.retired,
                 &self.removed_retired,
@@ -130,7 +132,7 @@
     }
 }
 
-/// Values added or changed, and keys removed, between two sorted lists.
+/// Items added or changed, and keys removed, between two lists sorted by key.
 fn difference<T, K>(base: &[T], result: &[T], key: impl Fn(&T) -> K) -> (Vec<T>, Vec<K>)
 where
     T: Clone + PartialEq,
@@ -150,17 +152,17 @@
     (changed, removed)
 }
 
-/// A sorted list with values replaced or added and keys removed.
-fn merged<T, K>(base: &[T], changed: &[T], removed: &[K], key: impl Fn(&T) -> K) -> Vec<T>
+/// The sorted list with items replaced or added and keys removed.
+fn apply_changes<T, K>(base: &[T], changed: &[T], removed: &[K], key: impl Fn(&T) -> K) -> Vec<T>
 where
     T: Clone,
     K: Ord + Clone,
 {
-    let mut dropped: BTreeSet<K> = removed.iter().cloned().collect();
-    dropped.extend(changed.iter().map(&key));
+    let mut replaced: BTreeSet<K> = removed.iter().cloned().collect();
+    replaced.extend(changed.iter().map(&key));
     let mut list: Vec<T> = base
         .iter()
-        .filter(|item| !dropped.contains(&key(item)))
+        .filter(|item| !replaced.contains(&key(item)))
         .cloned()
         .collect();
     list.extend(changed.iter().cloned());
@@ -171,8 +173,8 @@
 impl std::fmt::Display for DeltaError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
-            Self::OtherBase => "the delta starts from another snapshot",
-            Self::WrongResult => "the delta does not give the snapshot that was rolled",
+            Self::BaseMismatch => "the delta applies to another snapshot",
+            Self::ResultMismatch => "the delta does not result in the snapshot that was rolled",
         })
     }
 }
--- a/crates/woodladder-core/src/digest.rs
+++ b/crates/woodladder-core/src/digest.rs
@@ -8,14 +8,14 @@
 /// Length of a digest in bytes.
 pub const DIGEST_LENGTH: usize = 32;
 
-/// SHA-256 of some canonical encoding.
+/// SHA-256 digest of a canonical encoding.
 #[derive(
     BorshDeserialize, BorshSerialize, Clone, Copy, Default, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
 pub struct Digest(pub [u8; DIGEST_LENGTH]);
 
 impl Digest {
-    /// Digest of these bytes.
+    /// Computes the digest of these bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
--- a/crates/woodladder-core/src/finding.rs
+++ b/crates/woodladder-core/src/finding.rs
@@ -1,24 +1,24 @@
-//! Findings: everything wrong with an input, each with its place and rule.
+//! Findings: the faults of an input, each with its place and the rule it breaks.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Where in an input a finding lies.
+/// Place of a finding in an input.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Place {
-    /// Name of the file or other input, when it has one.
+    /// Name of the file or other input, if it has one.
     pub file: Option<String>,
-    /// Line, counted from one, when it is known.
+    /// Line, counted from one, if known.
     pub line: Option<usize>,
-    /// Path of keys to the value, such as `services[1].addresses[0]`.
+    /// Key path of the value, such as `services[1].addresses[0]`.
     pub key: Option<String>,
 }
 
 /// One fault in an input.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Finding {
-    /// Where the fault lies.
+    /// Place of the fault.
     pub place: Place,
     /// What is wrong, as a short sentence.
     pub problem: String,
@@ -26,7 +26,7 @@
     pub rule: &'static str,
 }
 
-/// All faults of one input, reported together.
+/// All faults of one input.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Findings {
     list: Vec<Finding>,
@@ -62,7 +62,7 @@
         self.list.append(&mut other.list);
     }
 
-    /// Names the file on each finding that does not name one yet.
+    /// Sets the file of each finding that has none.
     #[must_use]
     pub fn in_file(mut self, file: &str) -> Self {
         for finding in &mut self.list {
@@ -71,8 +71,7 @@
         self
     }
 
-    /// Brings the faults into the order of their lines; those without a line
-    /// come first.
+    /// Sorts the faults by line; those without a line come first.
     pub fn sort_by_line(&mut self) {
         self.list.sort_by_key(|finding| finding.place.line);
     }
@@ -83,13 +82,13 @@
         &self.list
     }
 
-    /// Whether nothing is wrong.
+    /// Whether there is no finding.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// `Ok(value)` when nothing is wrong, otherwise the findings.
+    /// `Ok(value)` when there is no finding, otherwise the findings.
     ///
     /// # Errors
     /// Returns the findings when there is at least one.
--- a/crates/woodladder-core/src/identifier.rs
+++ b/crates/woodladder-core/src/identifier.rs
@@ -24,22 +24,22 @@
 }
 
 numeric_identifier!(
-    /// Identifies a service; written by the operator, unique in a deployment.
+    /// Identifies a service; chosen by the operators, unique in a deployment.
     ServiceId,
     u32
 );
 numeric_identifier!(
-    /// Identifies one back end; never reused for another service.
+    /// Identifies one back end; never reused in another service.
     TargetId,
     u32
 );
 numeric_identifier!(
-    /// Identifies one run of one process; drawn at random when it starts.
+    /// Identifies one run of a process; a random number chosen at its start.
     NodeId,
     u64
 );
 numeric_identifier!(
-    /// Position of a roll in the single order of all rolls; zero means none.
+    /// Number of a roll in the total order of all rolls; zero means no roll.
     Sequence,
     u64
 );
--- a/crates/woodladder-core/src/lib.rs
+++ b/crates/woodladder-core/src/lib.rs
@@ -1,19 +1,19 @@
-//! Sans-I/O decisions of the woodladder load balancer.
+//! The decisions of the woodladder load balancer, without I/O.
 //!
 //! Nothing in this crate opens a socket, reads a clock, starts a thread or
-//! keeps a global. State machines take an event and an [`clock::Instant`] and
-//! return actions; the daemons and the simulator carry them out.
+//! keeps global state. State machines handle an event at a [`clock::Instant`]
+//! and return actions; the daemons and the simulator carry them out.
 //!
-//! | folder | what it decides |
+//! | module | what it contains |
 //! | --- | --- |
-//! | [`configuration`] | what is in force: bundles, snapshots, roll records |
-//! | [`control`] | how nodes and operators agree on it: membership, replicas, rolls |
-//! | [`packets`] | where a datagram with a token goes |
-//! | [`target`] | the work of one target: admission, requests, drain |
-//! | [`flow`] | the second carrier, whose packets name no target |
+//! | [`configuration`] | bundles, snapshots, and the roll records that put them in force |
+//! | [`control`] | how every node gets the same configuration: membership, replicas, rolls |
+//! | [`packets`] | where a QUIC datagram goes, by the token in it or by a hash |
+//! | [`target`] | the decisions at one target: admission, requests, drain |
+//! | [`flow`] | balancing for a transport whose packets carry no token |
 //!
-//! Identity and time stand beside them: [`identifier`], [`clock`], [`digest`],
-//! [`signature`] and [`finding`].
+//! Shared types are in [`identifier`], [`clock`], [`digest`], [`signature`] and
+//! [`finding`].
 
 pub mod clock;
 pub mod configuration;
--- a/crates/woodladder-core/src/signature.rs
+++ b/crates/woodladder-core/src/signature.rs
@@ -1,4 +1,4 @@
-//! Operators' signatures (Ed25519, RFC 8032) and the keys that nodes trust.
+//! Operators' signatures (Ed25519, RFC 8032) and the public keys that nodes trust.
 
 use std::fmt;
 
@@ -10,13 +10,13 @@
 /// Length of a signature in bytes.
 pub const SIGNATURE_LENGTH: usize = 64;
 
-/// What a signature is about; part of the signed bytes, so that a signature
-/// for one purpose never passes for another.
+/// What a signature is for. The purpose is part of the signed bytes, so that a
+/// signature for one purpose is not valid for another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Purpose {
-    /// An operator signs off a bundle.
+    /// An operator approves a bundle.
     SignOff,
-    /// An operator rolls a signed-off bundle.
+    /// An operator rolls an approved bundle.
     Roll,
 }
 
@@ -33,12 +33,13 @@
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PublicKey(pub [u8; KEY_LENGTH]);
 
-/// A signature and the key that made it.
+/// A signature with the public key that verifies it.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Signed {
-    /// Key of the operator who signed.
+pub struct OperatorSignature {
+    /// Public key of the operator who signed.
     pub key: PublicKey,
-    /// Ed25519 signature over the purpose's label and the message.
+    /// Ed25519 signature over the label of the purpose, a zero byte and the
+    /// message.
     pub signature: [u8; SIGNATURE_LENGTH],
 }
 
@@ -50,7 +51,7 @@
 /// Why a signature was not accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SignatureError {
-    /// The key is not among the trusted ones.
+    /// The public key is not trusted.
     UntrustedKey,
     /// The signature does not match the message.
     Mismatch,
@@ -63,7 +64,7 @@
 }
 
 impl OperatorKey {
-    /// The key with these secret bytes.
+    /// Creates the key from its secret bytes.
     #[must_use]
     pub fn from_bytes(secret: [u8; KEY_LENGTH]) -> Self {
         Self {
@@ -79,9 +80,9 @@
 
     /// Signs a message for one purpose.
     #[must_use]
-    pub fn sign(&self, purpose: Purpose, message: &[u8]) -> Signed {
-        let bytes = labelled(purpose, message);
-        Signed {
+    pub fn sign(&self, purpose: Purpose, message: &[u8]) -> OperatorSignature {
+        let bytes = labelled_message(purpose, message);
+        OperatorSignature {
             key: self.public(),
             signature: self.signing.sign(&bytes).to_bytes(),
         }
@@ -89,13 +90,13 @@
 }
 
 impl TrustedKeys {
-    /// Trusts exactly these keys.
+    /// A set of exactly these keys.
     #[must_use]
     pub fn new(keys: Vec<PublicKey>) -> Self {
         Self { keys }
     }
 
-    /// Checks a signature over a message.
+    /// Verifies a signature over a message.
     ///
     /// # Errors
     /// [`SignatureError`] when the key is not trusted or the signature does
@@ -104,19 +105,19 @@
         &self,
         purpose: Purpose,
         message: &[u8],
-        signed: &Signed,
+        signed: &OperatorSignature,
     ) -> Result<(), SignatureError> {
         if !self.keys.contains(&signed.key) {
             return Err(SignatureError::UntrustedKey);
         }
         let key = VerifyingKey::from_bytes(&signed.key.0).map_err(|_| SignatureError::Mismatch)?;
         let signature = Signature::from_bytes(&signed.signature);
-        key.verify_strict(&labelled(purpose, message), &signature)
+        key.verify_strict(&labelled_message(purpose, message), &signature)
             .map_err(|_| SignatureError::Mismatch)
     }
 }
 
-fn labelled(purpose: Purpose, message: &[u8]) -> Vec<u8> {
+fn labelled_message(purpose: Purpose, message: &[u8]) -> Vec<u8> {
     let label = purpose.label();
     let mut bytes = Vec::with_capacity(label.len() + 1 + message.len());
     bytes.extend_from_slice(label);
--- a/crates/woodladder-core/tests/bundle_cases.rs
+++ b/crates/woodladder-core/tests/bundle_cases.rs
@@ -1,5 +1,5 @@
-//! Bundles in the operators' form: accepted ones survive a round trip, and
-//! refused ones give all findings that their `.findings` file lists.
+//! Bundles in TOML: valid ones stay the same when they are rendered and parsed
+//! again, and invalid ones give exactly the findings in their `.findings` file.
 
 use std::path::Path;
 
--- a/crates/woodladder-core/tests/decoder.rs
+++ b/crates/woodladder-core/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! Every stored or received form decodes to a value or an error, never a panic.
+//! Decoding stored or received bytes gives a value or an error and never panics.
 
 mod support;
 
@@ -41,7 +41,7 @@
     }
 
     #[test]
-    fn a_delta_between_two_snapshots_gives_the_second(
+    fn applying_a_delta_gives_the_second_snapshot(
         before in prop::collection::btree_set(0..30_u32, 0..20),
         after in prop::collection::btree_set(0..30_u32, 0..20),
     ) {
