--- a/crates/woodladder-core/tests/admission.rs
+++ b/crates/woodladder-core/tests/admission.rs
@@ -15,7 +15,7 @@
     AdmissionDropReason, AdmissionOptions, FENCE_GRACE, FlowRefusalReason, SequenceHint, Verdict,
 };
 
-use support::target_model::{TargetModel, envelope, first_envelope, first_route};
+use support::target_model::{TargetModel, envelope, first_envelope, new_flow_route};
 use support::{
     ARCHIVE, ORDERS, active, at, first_datagram, keys, routing_table, service_address,
     short_datagram, target, target_address,
@@ -45,7 +45,7 @@
         panic!("not handed on: {verdict:?}");
     };
     let Route::NewFlow(route) = forward.envelope.route else {
-        panic!("not a first route");
+        panic!("not a route of a new flow");
     };
     let hop = *route.current_hop().expect("a hop");
     assert_eq!(forward.to, hop.address);
@@ -65,8 +65,11 @@
 }
 
 fn any_route() -> impl Strategy<Value = Route> {
-    let first = (any_target(), any_target(), 0..2_u8, any::<bool>())
-        .prop_map(|(one, two, at, last)| Route::NewFlow(first_route(&[one.0, two.0], at, last)));
+    let first = (any_target(), any_target(), 0..2_u8, any::<bool>()).prop_map(
+        |(one, two, at, must_decide)| {
+            Route::NewFlow(new_flow_route(&[one.0, two.0], at, must_decide))
+        },
+    );
     prop_oneof![
         any_target().prop_map(Route::Established),
         any_target().prop_map(Route::Relay),
@@ -115,7 +118,7 @@
         flow: [u8; 8],
         busy in 0..20_u32,
         targets in prop::sample::subsequence(vec![1, 2, 3, 4], 1..=4),
-        last: bool,
+        must_decide: bool,
         leaves_by_bundle: bool,
     ) {
         let mut targets = targets;
@@ -125,13 +128,13 @@
         let table = routing_table(5, [vec![target(1, ORDERS, state)], active(2..8, ORDERS)].concat());
         let mut model = TargetModel::new(1, &table, AdmissionOptions::default()).with_busy(busy);
         model.conditions.takes_new_flows = leaves_by_bundle;
-        let mut route = first_route(&targets, 0, last);
-        if last {
+        let mut route = new_flow_route(&targets, 0, must_decide);
+        if must_decide {
             route.hops[0].load = Some(Load(500));
         }
         let sent = envelope(ORDERS, 5, Route::NewFlow(route));
         let verdict = model.handle(sent, &first_datagram(&flow), at(0)).verdict;
-        if last {
+        if must_decide {
             prop_assert_eq!(verdict, Verdict::AcceptToDecline);
         } else {
             let (_, route) = handed_on(verdict);
@@ -178,7 +181,7 @@
 #[test]
 fn the_last_target_asked_hands_back_to_a_less_loaded_one() {
     let stated = |load| {
-        let mut route = first_route(&[1, 2, 3], 2, false);
+        let mut route = new_flow_route(&[1, 2, 3], 2, false);
         route.hops[0].load = Some(Load(900));
         route.hops[1].load = Some(Load(load));
         envelope(ORDERS, 5, Route::NewFlow(route))
@@ -215,7 +218,7 @@
         return_margin: Load(100),
         ..AdmissionOptions::default()
     };
-    let mut route = first_route(&[1, 2], 1, false);
+    let mut route = new_flow_route(&[1, 2], 1, false);
     route.hops[0].load = Some(Load(700));
     let sent = envelope(ORDERS, 5, Route::NewFlow(route));
     let mut model = TargetModel::new(2, &two_services(), options).with_busy(8);
--- a/crates/woodladder-core/tests/envelope.rs
+++ b/crates/woodladder-core/tests/envelope.rs
@@ -27,7 +27,7 @@
     })
 }
 
-fn first_route(most: usize) -> impl Strategy<Value = NewFlowRoute> {
+fn new_flow_route(most: usize) -> impl Strategy<Value = NewFlowRoute> {
     let parts = (
         vec(hop(), 1..=most),
         any::<prop::sample::Index>(),
@@ -44,7 +44,7 @@
     prop_oneof![
         any::<u32>().prop_map(|target| Route::Established(TargetId(target))),
         any::<u32>().prop_map(|target| Route::Relay(TargetId(target))),
-        first_route(MAXIMUM_HOPS).prop_map(Route::NewFlow),
+        new_flow_route(MAXIMUM_HOPS).prop_map(Route::NewFlow),
     ]
 }
 
@@ -123,10 +123,10 @@
     }
 
     #[test]
-    fn a_position_beyond_the_hops_is_rejected(mut first in first_route(MAXIMUM_HOPS), beyond: u8) {
+    fn a_position_beyond_the_hops_is_rejected(mut first in new_flow_route(MAXIMUM_HOPS), beyond: u8) {
         let count = u8::try_from(first.hops.len()).expect("few hops");
         first.position = count.saturating_add(beyond);
-        let error = decode_first(first);
+        let error = decode_new_flow(first);
         prop_assert_eq!(error, EnvelopeError::Malformed);
     }
 }
@@ -143,7 +143,7 @@
         position: 0,
         must_decide: false,
     };
-    assert_eq!(decode_first(first), EnvelopeError::Malformed);
+    assert_eq!(decode_new_flow(first), EnvelopeError::Malformed);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     assert_eq!(error, Err(EnvelopeError::UnknownVersion));
 }
 
-fn decode_first(first: NewFlowRoute) -> EnvelopeError {
+fn decode_new_flow(first: NewFlowRoute) -> EnvelopeError {
     let address = SocketAddr::from(([192, 0, 2, 1], 1));
     let envelope = Envelope {
         service: ServiceId(1),
--- a/crates/woodladder-core/tests/support/target_model.rs
+++ b/crates/woodladder-core/tests/support/target_model.rs
@@ -25,13 +25,13 @@
 }
 
 impl TargetModel {
-    pub fn new(id: u32, directory: &Arc<RoutingTable>, options: AdmissionOptions) -> Self {
+    pub fn new(id: u32, routing_table: &Arc<RoutingTable>, options: AdmissionOptions) -> Self {
         let identity = TargetIdentity {
             target: TargetId(id),
             service: ORDERS,
         };
         let mut admission = Admission::new(identity, keys(1), options);
-        admission.adopt(Arc::clone(directory), Instant::ORIGIN);
+        admission.adopt(Arc::clone(routing_table), Instant::ORIGIN);
         let usage = Usage {
             busy_slots: 0,
             queued: 0,
@@ -71,7 +71,7 @@
     }
 }
 
-pub fn first_route(targets: &[u32], position: u8, must_decide: bool) -> NewFlowRoute {
+pub fn new_flow_route(targets: &[u32], position: u8, must_decide: bool) -> NewFlowRoute {
     let hops = targets.iter().map(|id| Hop {
         target: TargetId(*id),
         address: target_address(TargetId(*id)),
@@ -86,6 +86,6 @@
 
 /// The envelope of a flow's first packet to the first of these targets.
 pub fn first_envelope(sequence: u64, targets: &[u32]) -> Envelope {
-    let route = first_route(targets, 0, targets.len() == 1);
+    let route = new_flow_route(targets, 0, targets.len() == 1);
     envelope(ORDERS, sequence, Route::NewFlow(route))
 }
--- a/crates/woodladder-core/tests/unavailable_targets.rs
+++ b/crates/woodladder-core/tests/unavailable_targets.rs
@@ -42,7 +42,7 @@
 
 fn listed_targets(forward: &Forward) -> Vec<u32> {
     let Route::NewFlow(first) = &forward.envelope.route else {
-        panic!("not a first packet");
+        panic!("not a route of a new flow");
     };
     first.hops.iter().map(|hop| hop.target.0).collect()
 }
