--- a/crates/woodladder-lab/tests/stand_in_whole_path.rs
+++ b/crates/woodladder-lab/tests/stand_in_whole_path.rs
@@ -155,7 +155,7 @@
                 key: self.certificate.key.clone_key(),
             },
             limits: Limits::default(),
-            directory: Arc::new(ArcSwap::new(Arc::clone(layout))),
+            routing_table: Arc::new(ArcSwap::new(Arc::clone(layout))),
             logger: woodladder::log::discarding_logger(),
         })
         .expect("agent");
--- a/crates/woodladder/src/agent/admission_control.rs
+++ b/crates/woodladder/src/agent/admission_control.rs
@@ -1,5 +1,5 @@
-//! Admission of flows and drain of one agent: runs the core's state machines on
-//! the real clock.
+//! Runs the core's admission and drain state machines for one agent, with the
+//! time from [`Clock`].
 
 use std::fmt;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -26,7 +26,7 @@
 use super::clock::Clock;
 use super::counters::Counters;
 use super::request_scheduler::RequestScheduler;
-use super::shared_drain::{DrainNotice, SharedDrain};
+use super::shared_drain::{DrainStage, SharedDrain};
 
 /// Admission and drain of one agent, shared by all of its tasks.
 pub(super) struct AdmissionControl {
@@ -127,9 +127,10 @@
         });
     }
 
-    /// Records whether the back end says that it is leaving. The report may be
-    /// late or wrong, so it only makes other targets preferred for new flows;
-    /// nothing is refused because of it.
+    /// Records whether the back end's health endpoint reports that the back end
+    /// is leaving. While it does, the target is the last resort for new flows:
+    /// chosen only when no other target accepts. Nothing is refused, because
+    /// the report may be late or wrong.
     pub(super) fn set_back_end_leaving(&self, leaving: bool) {
         self.admission().set_last_resort(leaving);
     }
@@ -145,9 +146,9 @@
         self.report_drain_event(DrainEvent::Tick);
     }
 
-    /// Subscribes to the drain state that is announced to callers.
-    pub(super) fn subscribe_notices(&self) -> watch::Receiver<DrainNotice> {
-        self.drain.subscribe_notices()
+    /// Subscribes to the stage of the drain.
+    pub(super) fn subscribe_stage(&self) -> watch::Receiver<DrainStage> {
+        self.drain.subscribe_stage()
     }
 
     /// Asks the callers of all connections open now to open another connection.
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Applies the back end's limits from the bundle. While no bundle names the
-    /// target, the limits from the settings apply.
+    /// Applies the back end's limits from the bundle. While no bundle holds
+    /// the target, the limits from the settings apply.
     fn apply_bundle_limits(&self) {
         let routing_table = self.routing_table.load();
         let entry = routing_table.target(self.identity.target);
--- a/crates/woodladder/src/agent/agent_context.rs
+++ b/crates/woodladder/src/agent/agent_context.rs
@@ -23,8 +23,8 @@
 }
 
 impl AgentContext {
-    /// Records that the back end refused a connection, and starts to probe it.
-    /// Until it accepts one, requests are refused.
+    /// Records that the back end refused a connection, and starts to probe the back end.
+    /// Requests are refused until the back end accepts a connection.
     pub(super) fn report_back_end_down(&self) {
         if !self.scheduler.mark_back_end_down() {
             return;
--- a/crates/woodladder/src/agent/clock.rs
+++ b/crates/woodladder/src/agent/clock.rs
@@ -1,11 +1,13 @@
-//! The core's monotonic clock, based on Tokio's.
+//! The agent's clock: the time for the core's state machines that decide on
+//! flows and requests. The control plane has its own clock, `ProcessClock`.
 
 use std::time::Duration;
 
 use tokio::time::Instant as SystemInstant;
 use woodladder_core::clock::Instant;
 
-/// Converts Tokio's monotonic time to the core's, which counts from an origin.
+/// Converts Tokio's monotonic time to the core's, which counts from the start of
+/// this clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     origin: SystemInstant,
--- a/crates/woodladder/src/agent/config.rs
+++ b/crates/woodladder/src/agent/config.rs
@@ -19,7 +19,7 @@
     /// Bound UDP socket that receives envelopes from balancers and other
     /// agents.
     pub socket: UdpSocket,
-    /// Target that the back end is in the bundle.
+    /// Identifier of the back end's target in the bundle.
     pub target: TargetId,
     /// Service that the target belongs to.
     pub service: ServiceId,
@@ -36,9 +36,9 @@
     pub certificate: Certificate,
     /// Limits on concurrency and waiting times.
     pub limits: Limits,
-    /// Configuration in force. The control plane replaces it when a roll comes
-    /// into force or targets become available or unavailable.
-    pub directory: Arc<ArcSwap<RoutingTable>>,
+    /// Routing table of the roll in force. The control plane replaces the table
+    /// when a roll comes into force or targets become available or unavailable.
+    pub routing_table: Arc<ArcSwap<RoutingTable>>,
     /// Logger of the process.
     pub logger: slog::Logger,
 }
@@ -46,13 +46,13 @@
 /// Secrets of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentKeys {
-    /// Authenticates envelopes.
+    /// Key that authenticates envelopes.
     pub envelope: TagKey,
-    /// Issue and verify the routing tokens in connection identifiers.
+    /// Keys that issue and verify the routing tokens in connection identifiers.
     pub token: TokenKeys,
-    /// Root of the stateless reset key. The target's own key is derived from
-    /// it, so an agent that has lost all state in a restart can still reset its
-    /// old flows.
+    /// Root key from which each target's own stateless reset key is derived. An
+    /// agent that has lost all state in a restart derives the same key, and can
+    /// still reset its old flows.
     pub reset: TagKey,
 }
 
@@ -81,12 +81,13 @@
     pub idle_timeout: Duration,
     /// Interval of keep-alive packets to callers.
     pub keep_alive_interval: Duration,
-    /// Time for the whole answer when the request states no deadline. A feed
-    /// only has to begin within it.
+    /// Time for the whole answer when the request states no deadline. Only
+    /// the beginning of a feed has to arrive within this time.
     pub default_deadline: Duration,
     /// Shortest `retry-after` in answers that say that a request was not run.
     pub minimum_retry_after: Duration,
-    /// How the slots become usable after a start; without it, all at once.
+    /// How the slots become usable after a start; `None` makes all usable at
+    /// once.
     pub slow_start: Option<SlowStartOptions>,
     /// How long new requests on open connections are accepted after a drain
     /// begins.
--- a/crates/woodladder/src/agent/connection.rs
+++ b/crates/woodladder/src/agent/connection.rs
@@ -15,21 +15,26 @@
 use super::counters::{GaugeGuard, RequestOutcome};
 use super::error_response::NotRunReason;
 use super::request::{self, CallerRequest, RequestCompletion};
-use super::shared_drain::DrainNotice;
+use super::shared_drain::DrainStage;
 use super::stream::{CallerConnection, LastAcceptedStream, StreamEnd};
 
 /// Longest header section of a request, in bytes.
 const MAXIMUM_HEADER_SECTION_LENGTH: u64 = 16 * 1024;
-/// Argument of the first GOAWAY, which names no last request. It asks the
-/// caller to open no more, while requests already on their way are still
-/// accepted (RFC 9114, section 5.2).
-const ALL_REQUESTS: usize = usize::MAX;
-/// Argument of the last GOAWAY, which names the request after the last accepted
-/// one: that and all later ones are refused.
-const NO_MORE_REQUESTS: usize = 1;
+/// Argument of [`server::Connection::shutdown`] for the first GOAWAY.
+///
+/// The identifier in the GOAWAY is that of the last accepted request plus this
+/// number of requests, here capped at the greatest request identifier. The
+/// caller is asked to open no more requests, and requests already on their way
+/// are still accepted (RFC 9114, section 5.2). When no request was accepted
+/// yet, the library sends identifier 0 instead, which excludes all requests.
+const FIRST_GOAWAY_OFFSET: usize = usize::MAX;
+/// Argument of [`server::Connection::shutdown`] for the last GOAWAY: its
+/// identifier is that of the request after the last accepted one, and excludes
+/// that request and all later ones.
+const LAST_GOAWAY_OFFSET: usize = 1;
 /// How long a connection without requests stays open after the last GOAWAY, so
-/// that requests that crossed the GOAWAY on the way get the answer that they
-/// were not run.
+/// that requests that crossed the GOAWAY on the way are still answered as not
+/// run.
 pub(super) const CLOSE_DELAY: Duration = Duration::from_millis(500);
 
 type Http = server::Connection<CallerConnection, Bytes>;
@@ -61,10 +66,10 @@
         http,
         last_accepted,
         flow,
-        notices: context.admission_control.subscribe_notices(),
+        drain_stages: context.admission_control.subscribe_stage(),
         reconnects: context.admission_control.subscribe_reconnects(),
         asked_to_reconnect: false,
-        notified: DrainNotice::Serving,
+        goaway_stage: DrainStage::Serving,
         goaway_preceded_requests: false,
         close_at: None,
         had_request: false,
@@ -78,15 +83,16 @@
     http: Http,
     last_accepted: LastAcceptedStream,
     flow: Flow,
-    notices: watch::Receiver<DrainNotice>,
+    drain_stages: watch::Receiver<DrainStage>,
     reconnects: watch::Receiver<u64>,
-    /// Whether callers were asked to reconnect since this connection opened.
-    /// Takes effect after its first request.
+    /// Whether callers were asked to reconnect since this connection opened. The
+    /// GOAWAY for this is sent only after the connection's first request.
     asked_to_reconnect: bool,
-    /// Latest drain state sent to this caller; never goes back.
-    notified: DrainNotice,
-    /// Whether the first GOAWAY was sent before any request, in which case it
-    /// excludes all of them.
+    /// Last GOAWAY sent on this connection, whatever the reason, as a drain
+    /// stage; only advances.
+    goaway_stage: DrainStage,
+    /// Whether the first GOAWAY was sent before any request. Its identifier is 0
+    /// then, and excludes all requests.
     goaway_preceded_requests: bool,
     close_at: Option<Instant>,
     had_request: bool,
@@ -98,7 +104,7 @@
     /// Serves the connection until it ends. Dropping `self` closes the
     /// connection and cancels the requests that are still open.
     async fn run(mut self) {
-        if self.notify().await.is_err() {
+        if self.send_due_goaways().await.is_err() {
             return;
         }
         loop {
@@ -107,21 +113,21 @@
                 accepted = self.http.accept() => match accepted {
                     Ok(Some(resolver)) => {
                         self.start_request(resolver);
-                        if self.notify().await.is_err() {
+                        if self.send_due_goaways().await.is_err() {
                             return;
                         }
                     }
                     Ok(None) => return self.finish_open_requests().await,
                     Err(_) => return,
                 },
-                changed = self.notices.changed() => {
-                    if changed.is_err() || self.notify().await.is_err() {
+                changed = self.drain_stages.changed() => {
+                    if changed.is_err() || self.send_due_goaways().await.is_err() {
                         return;
                     }
                 }
                 changed = self.reconnects.changed() => {
                     self.asked_to_reconnect = true;
-                    if changed.is_err() || self.notify().await.is_err() {
+                    if changed.is_err() || self.send_due_goaways().await.is_err() {
                         return;
                     }
                 }
@@ -133,21 +139,21 @@
         }
     }
 
-    /// Sends the caller the GOAWAY frames that the agent's drain state calls
-    /// for. The caller of a declined flow gets the last GOAWAY after its first
-    /// request, so that it can come back on another connection.
-    async fn notify(&mut self) -> Result<(), ConnectionError> {
-        let mut notice = *self.notices.borrow_and_update();
+    /// Sends the GOAWAY frames that the agent's drain stage or a request to
+    /// reconnect requires. The caller of a declined flow gets the last GOAWAY
+    /// after its first request, so that the caller opens another connection.
+    async fn send_due_goaways(&mut self) -> Result<(), ConnectionError> {
+        let mut stage = *self.drain_stages.borrow_and_update();
         if self.flow.declined && self.had_request {
-            notice = notice.max(DrainNotice::Refusing);
+            stage = stage.max(DrainStage::Refusing);
         }
-        if notice >= DrainNotice::Leaving || (self.asked_to_reconnect && self.had_request) {
+        if stage >= DrainStage::Leaving || (self.asked_to_reconnect && self.had_request) {
             self.send_first_goaway().await?;
         }
-        if notice >= DrainNotice::Refusing && self.notified < DrainNotice::Refusing {
-            self.notified = DrainNotice::Refusing;
+        if stage >= DrainStage::Refusing && self.goaway_stage < DrainStage::Refusing {
+            self.goaway_stage = DrainStage::Refusing;
             self.close_at = Some(Instant::now() + CLOSE_DELAY);
-            self.http.shutdown(NO_MORE_REQUESTS).await?;
+            self.http.shutdown(LAST_GOAWAY_OFFSET).await?;
         }
         Ok(())
     }
@@ -155,15 +161,16 @@
     /// Sends the first GOAWAY, which asks the caller to open no more requests
     /// on this connection, unless it was sent already.
     async fn send_first_goaway(&mut self) -> Result<(), ConnectionError> {
-        if self.notified >= DrainNotice::Leaving {
+        if self.goaway_stage >= DrainStage::Leaving {
             return Ok(());
         }
-        self.notified = DrainNotice::Leaving;
+        self.goaway_stage = DrainStage::Leaving;
         self.goaway_preceded_requests = !self.had_request;
-        self.http.shutdown(ALL_REQUESTS).await
+        self.http.shutdown(FIRST_GOAWAY_OFFSET).await
     }
 
-    /// Waits for the open requests to end, once the caller opens no more.
+    /// Waits for the open requests to end, after the caller has stopped opening
+    /// requests.
     async fn finish_open_requests(mut self) {
         while self.requests.join_next().await.is_some() {}
     }
@@ -188,7 +195,7 @@
         if self.flow.declined {
             return Some(NotRunReason::FlowDeclined);
         }
-        let refusing = self.notified >= DrainNotice::Refusing
+        let refusing = self.goaway_stage >= DrainStage::Refusing
             || !self.context.admission_control.takes_new_requests();
         (refusing || self.goaway_preceded_requests).then_some(NotRunReason::DRAINING)
     }
@@ -230,8 +237,8 @@
     })
 }
 
-/// Counts a request as open while it exists, and reports both changes to the
-/// drain.
+/// Counts a request as open until this guard is dropped, and reports the
+/// beginning and the end to the drain.
 struct OpenRequest<'a> {
     gauge: Option<GaugeGuard<'a>>,
     context: &'a AgentContext,
--- a/crates/woodladder/src/agent/counters.rs
+++ b/crates/woodladder/src/agent/counters.rs
@@ -8,25 +8,27 @@
 /// Why an agent dropped a datagram.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum DatagramDropReason {
-    /// It is no envelope, or its tag does not match the key.
+    /// The datagram is no envelope, or its tag does not match the key.
     BadEnvelope,
-    /// It holds no QUIC packet.
+    /// The envelope holds no QUIC packet.
     MalformedPacket,
-    /// It is meant for another service.
+    /// The datagram is meant for another service.
     WrongService,
-    /// Its envelope is meant for another target.
+    /// The envelope is meant for another target.
     WrongTarget,
-    /// Its token names another target.
+    /// The packet's token holds another target.
     ForeignToken,
-    /// It has no valid token and cannot open a flow.
+    /// The packet has no valid token and cannot open a flow.
     InvalidToken,
-    /// It opens a flow under a configuration that was replaced too long ago.
+    /// The packet opens a flow under a configuration that was replaced too long
+    /// ago.
     StaleSequence,
-    /// It would be relayed to a target that is not known.
+    /// The datagram belongs to a target that the routing table does not hold, so
+    /// it cannot be relayed.
     UnknownRelayTarget,
     /// The agent already sends from the maximum number of service addresses.
     AddressBookFull,
-    /// Sending it failed.
+    /// Sending the datagram failed.
     SendFailed,
 }
 
@@ -68,12 +70,12 @@
 pub enum RequestOutcome {
     /// The caller got the back end's whole answer.
     Answered,
-    /// The back end did not run it.
+    /// The back end did not run the request.
     NotRun,
-    /// The back end may have run it, and the caller did not get the whole
+    /// The back end may have run the request, and the caller did not get the whole
     /// answer.
     Unknown,
-    /// The caller cancelled it or is gone.
+    /// The caller cancelled the request or is gone.
     Cancelled,
 }
 
@@ -170,47 +172,51 @@
 /// Datagrams dropped for one reason.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DropCount {
-    /// Why they were dropped.
+    /// Why the datagrams were dropped.
     pub reason: DatagramDropReason,
-    /// Number of them since the start.
+    /// Number of these datagrams since the start.
     pub count: u64,
 }
 
 /// Requests that had one outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OutcomeCount {
-    /// How they ended.
+    /// How the requests ended.
     pub outcome: RequestOutcome,
-    /// Number of them since the start.
+    /// Number of these requests since the start.
     pub count: u64,
 }
 
-/// First datagrams of flows, by decision. A retransmitted first datagram counts
-/// again.
+/// Datagrams since the start: first datagrams of flows by decision, where a
+/// retransmitted first datagram counts again, and relayed datagrams of
+/// established flows.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FlowCounts {
-    /// Accepted.
+    /// First datagrams of flows that were accepted.
     pub accepted: u64,
-    /// Accepted only to answer their requests as not run.
+    /// First datagrams of flows that were accepted only to answer their requests
+    /// as not run.
     pub declined: u64,
-    /// Refused.
+    /// First datagrams of flows that were refused.
     pub refused: u64,
-    /// Handed on to the next target on the list.
+    /// First datagrams of flows that were sent on to the next target on the
+    /// envelope's list.
     pub handed_on: u64,
-    /// Datagrams of established flows, sent on to the agent of the target that
-    /// their token names.
+    /// Datagrams of established flows that were sent on to the agent of the
+    /// target in their token.
     pub relayed_datagrams: u64,
 }
 
 /// State and counters of an agent at one moment.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AgentStatus {
-    /// Phase of its drain.
+    /// Phase of the agent's drain.
     pub drain_phase: DrainPhase,
     /// Greatest configuration sequence seen in an envelope that is later than
     /// the agent's own; zero when there was none.
     pub newest_sequence_seen: Sequence,
-    /// New flows since the start, by decision.
+    /// First datagrams of flows, by decision, and relayed datagrams of
+    /// established flows, since the start.
     pub flows: FlowCounts,
     /// Dropped datagrams since the start, by reason.
     pub drops: Vec<DropCount>,
--- a/crates/woodladder/src/agent/handle.rs
+++ b/crates/woodladder/src/agent/handle.rs
@@ -31,14 +31,14 @@
 use super::ingress::Ingress;
 use super::quic::{self, QuicConfigError};
 use super::request_scheduler::{self, RequestScheduler};
-use super::shared_drain::DrainNotice;
+use super::shared_drain::DrainStage;
 use super::socket::AgentSocket;
 
 /// Interval at which the agent checks the configuration in force and advances
 /// the drain's timer.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time that a drained agent waits for its connections to close by
-/// themselves.
+/// Longest time that a drained agent waits for its connections to close, each
+/// [`CLOSE_DELAY`] after its last GOAWAY.
 const CLOSE_TIMEOUT: Duration = CLOSE_DELAY.saturating_mul(4);
 /// Error code H3_NO_ERROR (RFC 9114, section 8.1).
 const H3_NO_ERROR: VarInt = VarInt::from_u32(0x100);
@@ -73,7 +73,8 @@
     ///
     /// # Errors
     /// [`AgentStartError`] when the socket, the certificate or the client for
-    /// the back end cannot be used.
+    /// the back end cannot be used, when the QUIC library rejects a limit, or
+    /// when no fabric address is configured.
     pub fn start(config: AgentConfig) -> Result<AgentHandle, AgentStartError> {
         if config.fabric_egress.is_empty() {
             return Err(AgentStartError::NoEgress);
@@ -102,7 +103,7 @@
             AdmissionOptions::default(),
             Drain::new(limits.drain_grace),
             AdmissionContext {
-                routing_table: config.directory,
+                routing_table: config.routing_table,
                 clock,
                 scheduler: Arc::clone(&scheduler),
                 counters: Arc::clone(&counters),
@@ -173,15 +174,13 @@
             .report_drain_event(DrainEvent::RemoveReason(reason));
     }
 
-    /// Waits until the agent has drained: it was told to drain, and its last
-    /// request has ended. Then waits a bounded time for its connections to
-    /// close.
+    /// Waits until the agent has drained: a reason to drain is in effect, and
+    /// the last request has ended. Then waits a bounded time for the agent's
+    /// connections to close.
     pub async fn wait_until_drained(&self) {
-        let mut notices = self.context.admission_control.subscribe_notices();
-        // This cannot fail: the handle keeps the sender alive.
-        let _ = notices
-            .wait_for(|notice| *notice == DrainNotice::Drained)
-            .await;
+        let mut stages = self.context.admission_control.subscribe_stage();
+        // Waiting cannot fail, because the handle keeps the sender alive.
+        let _ = stages.wait_for(|stage| *stage == DrainStage::Drained).await;
         // Connections close by themselves after the last GOAWAY; `close` ends
         // those that remain after this timeout.
         let _ = timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
--- a/crates/woodladder/src/agent/health.rs
+++ b/crates/woodladder/src/agent/health.rs
@@ -1,7 +1,7 @@
 //! Polls the back end's health endpoint.
 //!
 //! A back end may begin to leave without a change of the bundle or a signal to
-//! the agent, and only its health endpoint shows it. The endpoint may lag or be
+//! the agent, and only its health endpoint shows that. The endpoint may lag or be
 //! wrong, so its answers only make other targets preferred for new flows and
 //! ask callers to reconnect. Requests are refused by the back end itself.
 
@@ -16,11 +16,11 @@
 
 /// Interval between health checks, and the timeout of each.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of consecutive answers with status 503 after which the back end
-/// counts as leaving.
+/// Number of 503 answers without a successful one between them after which the
+/// back end counts as leaving. Failed checks and other answers are not counted.
 const LEAVING_CONFIRMATIONS: u32 = 2;
-/// Shortest time between two requests to reconnect, so that a back end whose
-/// health flaps does not keep its callers reconnecting.
+/// Shortest time between two requests to reconnect, so that callers do not
+/// reconnect again and again when the back end's health state alternates.
 const MINIMUM_RECONNECT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Result of a health check.
@@ -32,8 +32,8 @@
     Unknown,
 }
 
-/// Decides when callers are asked to reconnect: once each time that the back
-/// end begins to leave.
+/// Decides when callers are asked to reconnect: once per departure of the back
+/// end, and at most once per [`MINIMUM_RECONNECT_INTERVAL`].
 #[derive(Debug, Default)]
 struct ReconnectRequests {
     already_asked: bool,
@@ -41,7 +41,9 @@
 }
 
 impl ReconnectRequests {
-    fn is_due(&mut self, leaving: bool, now: Instant) -> bool {
+    /// Whether callers are to be asked to reconnect now. Returning `true` counts
+    /// as having asked them.
+    fn take_due(&mut self, leaving: bool, now: Instant) -> bool {
         let interval_passed = self
             .last_asked_at
             .is_none_or(|last_asked_at| now - last_asked_at >= MINIMUM_RECONNECT_INTERVAL);
@@ -77,7 +79,7 @@
         }
         let leaving = leaving_answers >= LEAVING_CONFIRMATIONS;
         admission_control.set_back_end_leaving(leaving);
-        if reconnects.is_due(leaving, Instant::now()) {
+        if reconnects.take_due(leaving, Instant::now()) {
             admission_control.ask_callers_to_reconnect();
         }
     }
--- a/crates/woodladder/src/agent/mod.rs
+++ b/crates/woodladder/src/agent/mod.rs
@@ -37,4 +37,4 @@
 pub use handle::{Agent, AgentHandle, AgentStartError};
 pub use headers::{DEADLINE_HEADER, OUTCOME_HEADER, REASON_HEADER, REPEATABLE_HEADER};
 pub use quic::QuicConfigError;
-pub use shared_drain::{DrainNotice, SharedDrain};
+pub use shared_drain::{DrainStage, SharedDrain};
--- a/crates/woodladder/src/agent/quic.rs
+++ b/crates/woodladder/src/agent/quic.rs
@@ -21,8 +21,9 @@
 /// Protocol identifier of HTTP/3 (RFC 9114, section 3.1).
 pub(super) const ALPN_HTTP3: &[u8] = b"h3";
 
-/// Longest UDP payload that path MTU discovery tries, in bytes; leaves room for
-/// the envelope on links with an MTU of 1500 bytes.
+/// Longest UDP payload that path MTU discovery tries, in bytes. On links with an
+/// MTU of 1500 bytes the rest is left to the headers that nodes add to a
+/// datagram, such as the PROXY header and the envelope.
 const MAXIMUM_UDP_PAYLOAD_LENGTH: u16 = 1350;
 /// Unidirectional streams that a caller may open: the control stream, two of
 /// QPACK, and spare ones.
@@ -34,9 +35,10 @@
 const CONNECTION_RECEIVE_WINDOW: u32 = 512 * 1024;
 /// Unacknowledged bytes that the agent may send on one connection.
 const SEND_WINDOW: u64 = 512 * 1024;
-/// Shortest time between stateless resets. Only packets with a valid token are
-/// answered with one, so the interval may be short enough for a restarted agent
-/// to reset all flows that it has lost within a second.
+/// Shortest time between stateless resets. 100 us allows 10 000 resets a second,
+/// so that a restarted agent resets within a second all flows that it lost (by
+/// default at most 2000, see [`Limits::connections`]). So short an interval is
+/// safe because only packets with a valid token are answered with a reset.
 const RESET_INTERVAL: Duration = Duration::from_micros(100);
 const RESET_LABEL: &[u8] = b"stateless reset";
 
--- a/crates/woodladder/src/agent/rejected_flows.rs
+++ b/crates/woodladder/src/agent/rejected_flows.rs
@@ -1,13 +1,13 @@
 //! New flows that admission has rejected.
 //!
 //! Only the QUIC transport can write a refusal that the caller understands, so
-//! the first datagram of a rejected flow still goes to it. The acceptor looks
-//! the flow up here when the transport offers its connection.
+//! the first datagram of a rejected flow still goes to the transport. The
+//! acceptor looks the flow up here when the transport passes on its connection.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// Most rejected flows that are kept; beyond that the oldest is forgotten.
+/// Most rejected flows that are kept; beyond that the oldest is removed.
 const MAXIMUM_REJECTED_FLOWS: usize = 1024;
 
 /// What the acceptor does with a rejected flow.
@@ -19,8 +19,8 @@
     Decline,
 }
 
-/// Rejected flows that the transport has not offered yet, by the connection
-/// identifier that the caller chose.
+/// Rejected flows whose connection the acceptor has not received from the
+/// transport yet. The key is the connection identifier that the caller chose.
 #[derive(Debug, Default)]
 pub(super) struct RejectedFlows {
     flows: Mutex<VecDeque<RejectedFlow>>,
--- a/crates/woodladder/src/agent/request.rs
+++ b/crates/woodladder/src/agent/request.rs
@@ -64,7 +64,7 @@
 /// received.
 struct BackEndAnswer {
     response: Response<Body>,
-    /// Whether the back end states that it did not run the request.
+    /// Whether the answer states that the back end did not run the request.
     refused_by_back_end: bool,
     dispatched_at: Instant,
     handle: RequestHandle,
@@ -78,8 +78,8 @@
     BackEnd,
 }
 
-/// Handles one request. With a `refusal` it is answered as not run for that
-/// reason.
+/// Handles one request. With a `refusal` the request is answered as not run
+/// for that reason.
 pub(super) async fn run(
     request: CallerRequest,
     refusal: Option<NotRunReason>,
@@ -171,7 +171,7 @@
         .map_or(RequestFailure::Cancelled, RequestFailure::from)
 }
 
-/// Reports a failed exchange to the scheduler. What the caller may be told
+/// Reports a failed exchange to the scheduler. The answer to the caller
 /// depends on the stage that the request had reached.
 async fn report_failure(
     mut handle: RequestHandle,
@@ -190,8 +190,9 @@
             return wait_until_given_up(&mut handle).await;
         }
         Some(BackEndError::Failed) => {
-            // Every failure other than that to connect counts as one after the
-            // first byte was sent, even if the client failed before it wrote.
+            // Only a failure to connect proves that nothing was sent. After any
+            // other failure the request counts as sent, even if the client
+            // failed before writing; `permit_send` records that.
             let _permit = context.scheduler.permit_send(handle.id());
             RequestEvent::BackEndFailed(handle.id())
         }
--- a/crates/woodladder/src/agent/request_scheduler.rs
+++ b/crates/woodladder/src/agent/request_scheduler.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Adds a request that a caller has sent. `repeatable` says whether the
-    /// caller may repeat it when its outcome is unknown.
+    /// Adds a request that a caller has sent. `repeatable` is whether the
+    /// caller may repeat the request when its outcome is unknown.
     pub(super) fn register(self: &Arc<Self>, deadline: Instant, repeatable: bool) -> RequestHandle {
         let (sender, actions) = mpsc::unbounded_channel();
         let mut state = self.state();
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Reports that a back-end connection is open for a request. Returns the
-    /// permission to write the request, or `None` when the request has been
-    /// given up.
+    /// Records that a back-end connection is open for a request and that the
+    /// request counts as sent from now on. Returns the permission to write the
+    /// request, or `None` when the request has been given up.
     pub(super) fn permit_send(&self, id: RequestId) -> Option<SendPermit> {
         let now = self.clock.now();
         self.state().handle(RequestEvent::BackEndConnected(id), now)
@@ -111,8 +111,8 @@
     }
 
     /// Records that the back end accepts no connections: requests that wait or
-    /// arrive are refused at once. Returns whether it was not known to be down
-    /// before.
+    /// arrive are refused at once. Returns whether the back end was not marked
+    /// as down before.
     pub(super) fn mark_back_end_down(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
@@ -133,7 +133,8 @@
         state.update_slots(now);
     }
 
-    /// Whether the back end is known to accept no connections.
+    /// Whether the back end is marked as down: it refused a connection, and has
+    /// accepted none since.
     pub(super) fn is_back_end_down(&self) -> bool {
         self.state().back_end_down
     }
@@ -231,8 +232,8 @@
         let id = action.id();
         let is_final = action.is_final();
         if let Some(sender) = self.action_senders.get(&id) {
-            // Fails when the request's task has ended, which then needs no more
-            // actions.
+            // Sending fails when the request's task has ended, and then the
+            // task needs no more actions.
             let _ = sender.send(action);
         }
         if is_final {
--- a/crates/woodladder/src/agent/shared_drain.rs
+++ b/crates/woodladder/src/agent/shared_drain.rs
@@ -6,9 +6,13 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{Drain, DrainAction, DrainEvent, DrainPhase};
 
-/// Drain state that is announced to callers, in the order in which it advances.
+/// Stage of an agent's drain, in the order in which a drain advances. Connections
+/// announce the stages up to [`Self::Refusing`] to callers;
+/// [`AgentHandle::wait_until_drained`] waits for [`Self::Drained`].
+///
+/// [`AgentHandle::wait_until_drained`]: super::AgentHandle::wait_until_drained
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum DrainNotice {
+pub enum DrainStage {
     /// Not draining.
     Serving,
     /// Callers are asked to open no more requests; requests that still arrive
@@ -20,32 +24,32 @@
     Drained,
 }
 
-/// The drain, and the notice to callers that follows from it.
+/// The drain, and the stage that follows from its last action.
 ///
 /// One lock is held while an event is created and handled and its actions are
 /// carried out. Otherwise a task could count the open requests, then another
-/// task could report a later count, and the first would overwrite it with its
-/// older one; a notice could overwrite a later one in the same way. The agent
+/// task could report a later count, and the first task would overwrite that with
+/// its older count; a stage could overwrite a later one in the same way. The agent
 /// would then wait for a request that has ended, or not publish that it has
 /// drained, and would stop only at its timeout.
 #[derive(Debug)]
 pub struct SharedDrain {
     drain: Mutex<Drain>,
-    notice: watch::Sender<DrainNotice>,
+    stage: watch::Sender<DrainStage>,
 }
 
 impl SharedDrain {
-    /// Wraps a drain of which nothing has been announced to callers yet.
+    /// Wraps a drain that has not begun.
     #[must_use]
     pub fn new(drain: Drain) -> Self {
         Self {
             drain: Mutex::new(drain),
-            notice: watch::Sender::new(DrainNotice::Serving),
+            stage: watch::Sender::new(DrainStage::Serving),
         }
     }
 
     /// Creates an event, passes it to the drain, carries out the resulting
-    /// actions and publishes the notices. Neither closure may call this object,
+    /// actions and publishes the stages. Neither closure may call this object,
     /// because the lock is held.
     pub fn handle(
         &self,
@@ -57,7 +61,7 @@
         let actions = drain.handle(make_event(), now);
         for action in actions {
             carry_out(action);
-            self.notice.send_replace(notice(action));
+            self.stage.send_replace(stage_after(action));
         }
     }
 
@@ -79,10 +83,10 @@
         self.lock().takes_new_requests(now)
     }
 
-    /// Subscribes to the notices for callers.
+    /// Subscribes to the stage of the drain.
     #[must_use]
-    pub fn subscribe_notices(&self) -> watch::Receiver<DrainNotice> {
-        self.notice.subscribe()
+    pub fn subscribe_stage(&self) -> watch::Receiver<DrainStage> {
+        self.stage.subscribe()
     }
 
     fn lock(&self) -> MutexGuard<'_, Drain> {
@@ -92,11 +96,11 @@
     }
 }
 
-fn notice(action: DrainAction) -> DrainNotice {
+fn stage_after(action: DrainAction) -> DrainStage {
     match action {
-        DrainAction::NotifyCallers => DrainNotice::Leaving,
-        DrainAction::RefuseRequests => DrainNotice::Refusing,
-        DrainAction::Resume => DrainNotice::Serving,
-        DrainAction::Finish => DrainNotice::Drained,
+        DrainAction::NotifyCallers => DrainStage::Leaving,
+        DrainAction::RefuseRequests => DrainStage::Refusing,
+        DrainAction::Resume => DrainStage::Serving,
+        DrainAction::Finish => DrainStage::Drained,
     }
 }
--- a/crates/woodladder/src/agent/socket.rs
+++ b/crates/woodladder/src/agent/socket.rs
@@ -1,9 +1,9 @@
 //! The transport's UDP socket: receives envelopes, sends datagrams with a PROXY
 //! header.
 //!
-//! To the transport it looks as if it exchanged datagrams with callers
-//! directly. In fact each datagram comes from a balancer or another agent, and
-//! each one sent goes to the fabric.
+//! The transport sees only the addresses of callers. In fact each received
+//! datagram comes from a balancer or another agent, and each sent datagram goes
+//! to the fabric.
 
 use std::fmt;
 use std::future::Future;
@@ -25,8 +25,11 @@
 use super::egress::{self, Egress};
 use super::ingress::{Ingress, IngressAction};
 
-/// Longest datagram that the socket receives, in bytes: a packet of full length
-/// in its envelope.
+/// Longest datagram that the socket receives, in bytes: room for a QUIC packet
+/// of 1350 bytes, the longest that the agent itself sends, and its envelope of
+/// at most [`MAXIMUM_OVERHEAD_LENGTH`] bytes.
+///
+/// [`MAXIMUM_OVERHEAD_LENGTH`]: woodladder_core::packets::envelope::MAXIMUM_OVERHEAD_LENGTH
 pub(super) const MAXIMUM_DATAGRAM_LENGTH: u16 = 2048;
 
 /// The agent's UDP socket as the transport sees it.
@@ -57,9 +60,9 @@
         }
     }
 
-    /// Decides on the datagram in `buffer`. If the transport gets it, moves its
-    /// payload to the start of the buffer and returns the metadata for the
-    /// transport.
+    /// Decides on the datagram in `buffer`. If the transport is to receive it,
+    /// moves the payload to the start of the buffer and returns the metadata for
+    /// the transport.
     fn process_datagram(&self, buffer: &mut [u8], length: usize) -> Option<RecvMeta> {
         let received = &buffer[..length];
         let Ok((envelope, datagram)) = Envelope::decode(&self.envelope_key, received) else {
@@ -150,8 +153,8 @@
             match self.io.poll_recv_from(context, &mut buffer) {
                 Poll::Pending if filled == 0 => return Poll::Pending,
                 Poll::Pending => break,
-                // An error here reports that an earlier datagram could not be
-                // delivered to some peer.
+                // The system reports here that a datagram sent earlier could not
+                // be delivered.
                 Poll::Ready(Err(_)) => continue,
                 Poll::Ready(Ok(_)) => {}
             }
@@ -184,7 +187,8 @@
 
 type Writable = Pin<Box<dyn Future<Output = io::Result<()>> + Send + Sync>>;
 
-/// Waits until the socket is writable again; one for each connection.
+/// Waits until the socket is writable again. The transport creates one poller
+/// for each connection.
 struct WritePoller {
     socket: Arc<AgentSocket>,
     writable: Option<Writable>,
--- a/crates/woodladder/src/agent/stream.rs
+++ b/crates/woodladder/src/agent/stream.rs
@@ -1,11 +1,11 @@
 //! Adapts a QUIC connection to the interface of the HTTP/3 library.
 //!
 //! Unidirectional streams use `h3-quinn`. Request streams have their own
-//! adapter, for two reasons. The agent must learn at once that a caller has
-//! stopped a stream, even while it is not writing to it, and `h3-quinn` does
-//! not expose that. And a send stream that is dropped before its end must be
-//! reset: `quinn` finishes it, and the caller would take a truncated answer for
-//! a complete one.
+//! adapter, for two reasons. The agent must detect at once that a caller has
+//! stopped a stream, even while the agent writes nothing to that stream, and
+//! `h3-quinn` does not expose that. When a send stream is dropped before its
+//! end, `quinn` finishes it; this adapter resets it instead, because the caller
+//! would take a truncated answer for a complete one.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/woodladder/src/balancer/receive.rs
+++ b/crates/woodladder/src/balancer/receive.rs
@@ -9,8 +9,11 @@
 /// Longest payload that the system returns in one buffer, in bytes. A buffer
 /// may hold several datagrams that the system has coalesced.
 const MAXIMUM_PAYLOAD_LENGTH: usize = 65_535;
-/// Distance between the starts of two buffers, in bytes. It is not a power of
-/// two, so that these starts do not map to the same cache sets.
+/// Distance between the starts of two buffers, in bytes. A distance of 64 KiB
+/// (the longest payload, plus 1) would be a power of two, and the starts of all
+/// buffers would map to the same cache sets. The additional 1344 bytes are 21
+/// cache lines of 64 bytes, an odd number, so that the starts map to different
+/// sets.
 const BUFFER_STRIDE_BYTES: usize = MAXIMUM_PAYLOAD_LENGTH + 1 + 1344;
 
 /// A receive state with buffers for one batch.
--- a/crates/woodladder/src/control/clock.rs
+++ b/crates/woodladder/src/control/clock.rs
@@ -1,4 +1,6 @@
-//! The core's monotonic clock, based on the system's.
+//! The clock of the control plane and of the operator's commands: the time for
+//! the core's replica, from the system's monotonic clock. The agent's flows and
+//! requests have their own clock, in `agent::clock`.
 
 use std::time::Instant as SystemInstant;
 
--- a/crates/woodladder/src/control/driver.rs
+++ b/crates/woodladder/src/control/driver.rs
@@ -21,15 +21,21 @@
 
 /// Input to the driver from other tasks.
 pub(super) enum DriverInput {
+    /// The key-value service answered a request, or the request failed.
     StoreAnswer(StoreRequestId, StoreAnswer),
-    Machines(Vec<ListedMachine>),
+    /// The machine list was read.
+    MachineList(Vec<ListedMachine>),
+    /// The data path has seen this sequence in an envelope.
     SequenceSeen(Sequence),
+    /// A planned stop of this node has begun.
     Leaving,
+    /// Whether this node's target accepts new flows.
     TakesNewFlows(bool),
-    Status(oneshot::Sender<ControlPlaneStatus>),
+    /// Asks for the current state, which is sent through the channel.
+    StatusRequest(oneshot::Sender<ControlPlaneStatus>),
 }
 
-/// Owns the replica, and with it the clock, the socket and the store that its
+/// Owns the replica, and the clock, the socket and the store that the replica's
 /// actions need.
 pub(super) struct ReplicaDriver {
     node: NodeId,
@@ -87,11 +93,11 @@
             DriverInput::StoreAnswer(request, answer) => {
                 Some(ReplicaEvent::StoreAnswer { request, answer })
             }
-            DriverInput::Machines(machines) => Some(ReplicaEvent::MachineList(machines)),
+            DriverInput::MachineList(machines) => Some(ReplicaEvent::MachineList(machines)),
             DriverInput::SequenceSeen(sequence) => Some(ReplicaEvent::SequenceSeen(sequence)),
             DriverInput::Leaving => Some(ReplicaEvent::Leaving),
             DriverInput::TakesNewFlows(takes) => Some(ReplicaEvent::TakesNewFlows(takes)),
-            DriverInput::Status(reply) => {
+            DriverInput::StatusRequest(reply) => {
                 let _ = reply.send(self.status());
                 None
             }
--- a/crates/woodladder/src/control/machine_list.rs
+++ b/crates/woodladder/src/control/machine_list.rs
@@ -10,16 +10,16 @@
 use super::driver::DriverInput;
 use crate::store::{Machine, MachineListClient, MachineState};
 
-/// Pause after a failed read.
+/// Pause after a failed read, before jitter.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_secs(2);
-/// Shortest pause between two reads.
+/// Shortest pause between two reads, before jitter.
 const MINIMUM_PAUSE: Duration = Duration::from_secs(2);
 /// Approximate size of one machine's entry in the list, in bytes.
 const BYTES_PER_MACHINE: u64 = 72;
-/// Average rate that reading the list may take, in bytes per second.
+/// Maximum of the average transfer rate of the list, in bytes per second.
 const MAXIMUM_BYTES_PER_SECOND: u64 = 1024;
 
-/// Reads the list repeatedly until the node stops.
+/// Reads the list repeatedly until the replica's driver has ended.
 pub(super) async fn poll_machine_list(
     list: MachineListClient,
     own_address: SocketAddr,
@@ -33,7 +33,7 @@
                 let pause = pause_after(machines.len());
                 leaving.send_replace(lists_as_leaving(&machines, own_address));
                 let machines = machines.iter().map(listed).collect();
-                if inputs.send(DriverInput::Machines(machines)).is_err() {
+                if inputs.send(DriverInput::MachineList(machines)).is_err() {
                     return;
                 }
                 pause
@@ -47,8 +47,9 @@
     }
 }
 
-/// Pause after reading a list of this many machines. A longer list is read less
-/// often, so that the average transfer rate stays the same.
+/// Pause after reading a list of this many machines. Proportional to the length
+/// of the list, so that reading takes at most [`MAXIMUM_BYTES_PER_SECOND`] on
+/// average; at least [`MINIMUM_PAUSE`].
 fn pause_after(machines: usize) -> Duration {
     let bytes = BYTES_PER_MACHINE * u64::try_from(machines).unwrap_or(u64::MAX / BYTES_PER_MACHINE);
     Duration::from_millis(bytes * 1000 / MAXIMUM_BYTES_PER_SECOND).max(MINIMUM_PAUSE)
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control plane of a node: a UDP socket for control messages, the
 //! key-value service and the machine list, all driven by the core's replica.
-//! Nothing is stored on disk; a node that starts learns the roll in force from
-//! the key-value service or from other nodes.
+//! Nothing is stored on disk; a starting node gets the roll in force from the
+//! key-value service or from other nodes.
 
 mod clock;
 mod driver;
@@ -62,14 +62,15 @@
 /// State of a node's control plane.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlPlaneStatus {
-    /// Identifier of this run of the process.
+    /// Random identifier of the process, chosen anew at each start.
     pub node: NodeId,
-    /// Whether the node may serve: it has a roll in force and has heard from
-    /// enough peers and the key-value service that none is later, or has waited
-    /// long enough for them.
+    /// Whether the node may serve: a roll is in force, and either enough peers
+    /// have answered, the key-value service has answered or could not be read,
+    /// and no later roll is known, or the time limit for this has passed.
     pub ready: bool,
-    /// Whether the process was paused and its roll in force has not been
-    /// confirmed since.
+    /// Whether the process has been suspended by the system, and no peer and no
+    /// key-value service has confirmed since that its roll is still the one in
+    /// force. Ends by itself after [`ReplicaTuning::suspect_time`].
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: Sequence,
@@ -77,9 +78,9 @@
     pub bundle_version: Option<u64>,
     /// Digest of the snapshot in force.
     pub snapshot: Option<Digest>,
-    /// Numbers of known nodes, by state.
+    /// Numbers of nodes in the table of members, by state.
     pub members: MemberCounts,
-    /// Number of targets that are known to accept no new flows.
+    /// Number of targets that are marked as accepting no new flows.
     pub unavailable_target_count: usize,
     /// Counters since the start.
     pub counters: ReplicaCounters,
@@ -185,22 +186,22 @@
     /// Current state; `None` once the driver has ended.
     pub async fn status(&self) -> Option<ControlPlaneStatus> {
         let (reply, status) = oneshot::channel();
-        self.inputs.send(DriverInput::Status(reply)).ok()?;
+        self.inputs.send(DriverInput::StatusRequest(reply)).ok()?;
         status.await.ok()
     }
 
-    /// Tells other nodes that a planned stop has begun.
+    /// Announces to other nodes that a planned stop of this node has begun.
     pub fn announce_leaving(&self) {
         let _ = self.inputs.send(DriverInput::Leaving);
     }
 
-    /// Tells other nodes whether this node's target accepts new flows.
+    /// Announces to other nodes whether this node's target accepts new flows.
     pub fn announce_accepting_flows(&self, takes: bool) {
         let _ = self.inputs.send(DriverInput::TakesNewFlows(takes));
     }
 
-    /// Tells the replica of a sequence that the data path has seen in an
-    /// envelope.
+    /// Reports a sequence that the data path has seen in an envelope to the
+    /// replica.
     pub fn report_sequence_seen(&self, sequence: Sequence) {
         let _ = self.inputs.send(DriverInput::SequenceSeen(sequence));
     }
--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -98,7 +98,7 @@
 
 fn start_agent(
     settings: &AgentSettings,
-    directory: Arc<ArcSwap<RoutingTable>>,
+    routing_table: Arc<ArcSwap<RoutingTable>>,
     logger: &Logger,
 ) -> Result<(AgentHandle, SocketAddr), StartError> {
     let socket = bind(settings.data_listen)
@@ -125,7 +125,7 @@
         },
         certificate,
         limits: settings.limits,
-        directory,
+        routing_table,
         logger: logger.clone(),
     })
     .map_err(StartError::Agent)?;
@@ -201,25 +201,25 @@
     let number = |value: usize| u64::try_from(value).unwrap_or(u64::MAX);
     let flows = status.flows;
     let mut figures = Figures::new();
-    figures.add("busy_slots", u64::from(status.busy_slots));
-    figures.add("slots", u64::from(status.slots));
-    figures.add("effective_slots", u64::from(status.effective_slots));
-    figures.add("queued_requests", u64::from(status.queued_requests));
-    figures.add("connections", number(status.connections));
-    figures.add("open_requests", number(status.open_requests));
-    figures.add("feeds", number(status.feeds));
-    figures.add("flows_accepted_total", flows.accepted);
-    figures.add("flows_declined_total", flows.declined);
-    figures.add("flows_refused_total", flows.refused);
-    figures.add("flows_handed_on_total", flows.handed_on);
-    figures.add("packets_relayed_total", flows.relayed_datagrams);
+    figures.set("busy_slots", u64::from(status.busy_slots));
+    figures.set("slots", u64::from(status.slots));
+    figures.set("effective_slots", u64::from(status.effective_slots));
+    figures.set("queued_requests", u64::from(status.queued_requests));
+    figures.set("connections", number(status.connections));
+    figures.set("open_requests", number(status.open_requests));
+    figures.set("feeds", number(status.feeds));
+    figures.set("flows_accepted_total", flows.accepted);
+    figures.set("flows_declined_total", flows.declined);
+    figures.set("flows_refused_total", flows.refused);
+    figures.set("flows_handed_on_total", flows.handed_on);
+    figures.set("packets_relayed_total", flows.relayed_datagrams);
     for drops in &status.drops {
         let name = format!("packets_dropped_{}_total", word(drops.reason.name()));
-        figures.add(name, drops.count);
+        figures.set(name, drops.count);
     }
     for ends in &status.request_outcomes {
         let name = format!("requests_{}_total", word(ends.outcome.name()));
-        figures.add(name, ends.count);
+        figures.set(name, ends.count);
     }
     figures
 }
--- a/crates/woodladder/src/daemon/balancer.rs
+++ b/crates/woodladder/src/daemon/balancer.rs
@@ -131,11 +131,11 @@
 
 fn figures(counts: &PacketCounts) -> Figures {
     let mut figures = Figures::new();
-    figures.add("packets_received_total", counts.received);
-    figures.add("packets_forwarded_total", counts.forwarded);
+    figures.set("packets_received_total", counts.received);
+    figures.set("packets_forwarded_total", counts.forwarded);
     for reason in PacketDropReason::ALL {
         let name = format!("packets_dropped_{}_total", reason.name());
-        figures.add(name, counts.dropped(reason));
+        figures.set(name, counts.dropped(reason));
     }
     figures
 }
--- a/crates/woodladder/src/daemon/status.rs
+++ b/crates/woodladder/src/daemon/status.rs
@@ -66,37 +66,37 @@
     };
     status.figures.append(figures(&control.counters));
     let marked = u64::try_from(control.unavailable_target_count).unwrap_or(u64::MAX);
-    status.figures.add("control_marked_targets", marked);
+    status.figures.set("control_marked_targets", marked);
 }
 
 fn figures(counters: &ReplicaCounters) -> Figures {
     let mut figures = Figures::new();
-    figures.add("control_adopted_total", counters.rolls_adopted);
-    figures.add(
+    figures.set("control_adopted_total", counters.rolls_adopted);
+    figures.set(
         "control_adopted_by_delta_total",
         counters.rolls_adopted_by_delta,
     );
-    figures.add("control_messages_sent_total", counters.messages_sent);
-    figures.add(
+    figures.set("control_messages_sent_total", counters.messages_sent);
+    figures.set(
         "control_messages_received_total",
         counters.messages_received,
     );
-    figures.add("control_copy_bytes_sent_total", counters.copy_bytes_sent);
-    figures.add(
+    figures.set("control_copy_bytes_sent_total", counters.copy_bytes_sent);
+    figures.set(
         "control_copy_bytes_received_total",
         counters.copy_bytes_received,
     );
-    figures.add("control_store_reads_total", counters.store_reads);
-    figures.add(
+    figures.set("control_store_reads_total", counters.store_reads);
+    figures.set(
         "control_report_bytes_sent_total",
         counters.report_bytes_sent,
     );
-    figures.add(
+    figures.set(
         "control_accusations_total",
         counters.agents_declared_unreachable,
     );
-    figures.add("control_refutations_total", counters.own_reports_refuted);
-    figures.add("control_pauses_total", counters.pauses_detected);
-    figures.add("control_rejections_total", counters.rejections.total());
+    figures.set("control_refutations_total", counters.own_reports_refuted);
+    figures.set("control_pauses_total", counters.pauses_detected);
+    figures.set("control_rejections_total", counters.rejections.total());
     figures
 }
--- a/crates/woodladder/src/endpoint/figures.rs
+++ b/crates/woodladder/src/endpoint/figures.rs
@@ -20,11 +20,11 @@
     }
 
     /// Sets the value of a metric, replacing any earlier one.
-    pub fn add(&mut self, name: impl Into<String>, value: u64) {
+    pub fn set(&mut self, name: impl Into<String>, value: u64) {
         self.by_name.insert(name.into(), value);
     }
 
-    /// Adds all metrics of another set, replacing those of the same name.
+    /// Sets all metrics of another set, replacing those of the same name.
     pub fn append(&mut self, other: Self) {
         self.by_name.extend(other.by_name);
     }
--- a/crates/woodladder/src/endpoint/mod.rs
+++ b/crates/woodladder/src/endpoint/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! | path | answer |
 //! | --- | --- |
-//! | `/health` | 200 while every part of the process runs, otherwise 503 |
+//! | `/health` | 503 once a balancer's packet path has failed, otherwise 200 |
 //! | `/ready` | 200 when the node accepts traffic, otherwise 503 with the reason |
-//! | `/status` | JSON: role, sequence, bundle, peers, counters |
-//! | `/metrics` | the same values in the Prometheus text format |
+//! | `/status` | [`NodeStatus`] as JSON |
+//! | `/metrics` | Prometheus text: readiness, sequence, bundle version, number of known nodes, uptime, and all counters and gauges |
 
 mod figures;
 mod prometheus_text;
--- a/crates/woodladder/src/endpoint/server.rs
+++ b/crates/woodladder/src/endpoint/server.rs
@@ -34,18 +34,18 @@
 }
 
 impl StatusServer {
-    /// Listens on `address` and answers requests from `view` until it is
-    /// dropped.
+    /// Listens on `address` and serves the status that `provider` returns until
+    /// the server is dropped.
     ///
     /// volo-http's server stops accepting connections when the process gets
-    /// SIGTERM. Readiness must stay visible while a node drains, so once a stop
-    /// is requested a second server accepts on the same listening socket.
+    /// SIGTERM. Readiness must stay visible while a node drains, so a second
+    /// server accepts on the same listening socket once a stop is requested.
     ///
     /// # Errors
     /// The system's error when the address cannot be listened on.
     pub fn start(
         address: SocketAddr,
-        view: Arc<dyn StatusProvider>,
+        provider: Arc<dyn StatusProvider>,
         mut stop: StopSignal,
         log: &Logger,
     ) -> std::io::Result<Self> {
@@ -54,11 +54,11 @@
         let address = listener.local_addr()?;
         let first_incoming = incoming(&listener)?;
         let second_incoming = incoming(&listener)?;
-        let while_running = tokio::spawn(serve(first_incoming, view.clone(), log.clone()));
+        let while_running = tokio::spawn(serve(first_incoming, provider.clone(), log.clone()));
         let log = log.clone();
         let while_stopping = tokio::spawn(async move {
             stop.wait_until_requested().await;
-            serve(second_incoming, view, log).await;
+            serve(second_incoming, provider, log).await;
         });
         Ok(Self {
             address,
@@ -86,30 +86,33 @@
     Ok(DefaultIncoming::from(listener))
 }
 
-async fn serve(incoming: DefaultIncoming, view: Arc<dyn StatusProvider>, log: Logger) {
-    if let Err(problem) = Server::new(router(view)).run(incoming).await {
+async fn serve(incoming: DefaultIncoming, provider: Arc<dyn StatusProvider>, log: Logger) {
+    if let Err(problem) = Server::new(router(provider)).run(incoming).await {
         error!(log, "endpoint: cannot serve"; "error" => %problem);
     }
 }
 
-fn router(view: Arc<dyn StatusProvider>) -> Router {
-    let health_view = view.clone();
-    let ready_view = view.clone();
-    let status_view = view.clone();
+fn router(provider: Arc<dyn StatusProvider>) -> Router {
+    let health_provider = provider.clone();
+    let ready_provider = provider.clone();
+    let status_provider = provider.clone();
     Router::new()
         .route(
             "/health",
-            get(async move || health(&health_view.status().await)),
+            get(async move || health(&health_provider.status().await)),
         )
         .route(
             "/ready",
-            get(async move || ready(&ready_view.status().await)),
+            get(async move || ready(&ready_provider.status().await)),
         )
         .route(
             "/status",
-            get(async move || status(&status_view.status().await)),
+            get(async move || status(&status_provider.status().await)),
+        )
+        .route(
+            "/metrics",
+            get(async move || metrics(&provider.status().await)),
         )
-        .route("/metrics", get(async move || metrics(&view.status().await)))
 }
 
 fn health(status: &NodeStatus) -> Response<Body> {
--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -21,31 +21,32 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotReadyReason {
-    /// No bundle is in force yet.
+    /// No roll is in force yet, or the node still waits for the answers of peers
+    /// and the key-value service on whether a later roll exists.
     NoBundle,
     /// A planned stop has begun.
     Stopping,
-    /// Its target accepts no new work.
+    /// The agent is draining, or has drained: its target accepts no new flows.
     Leaving,
-    /// A part of the process has failed.
+    /// The packet path has failed. Only balancers report this reason.
     Failed,
 }
 
 /// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListenAddresses {
-    /// For datagrams that carry callers' traffic.
+    /// Address for datagrams that carry callers' traffic.
     pub data: SocketAddr,
-    /// For control messages.
+    /// Address for control messages.
     pub control: SocketAddr,
 }
 
-/// Numbers of nodes that a node knows, by state.
+/// Numbers of nodes in a node's table of members, by state.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerCounts {
-    /// All known nodes.
+    /// All nodes in the table.
     pub known: usize,
-    /// Nodes heard from recently.
+    /// Nodes from which a message has arrived recently.
     pub heard: usize,
     /// Nodes that do not answer.
     pub silent: usize,
@@ -60,7 +61,7 @@
 pub struct NodeStatus {
     /// What the node does.
     pub role: Role,
-    /// Random identifier of this run of the process.
+    /// Random identifier of the process, chosen anew at each start.
     pub node: u64,
     /// Zone that the node is in.
     pub zone: String,
@@ -68,8 +69,9 @@
     pub listening: ListenAddresses,
     /// Why the node accepts no traffic; `None` when it accepts traffic.
     pub not_ready: Option<NotReadyReason>,
-    /// Whether the process was paused and its roll in force has not been
-    /// confirmed since.
+    /// Whether the process has been suspended by the system, and no peer and no
+    /// key-value service has confirmed since that its roll is still the one in
+    /// force. Ends by itself after some time.
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: u64,
@@ -77,7 +79,7 @@
     pub bundle_version: Option<u64>,
     /// Digest of the snapshot in force.
     pub snapshot: Option<String>,
-    /// Numbers of nodes that it knows, by state.
+    /// Numbers of nodes in the table of members, by state.
     pub peers: PeerCounts,
     /// Seconds since the process started.
     pub uptime_seconds: u64,
--- a/crates/woodladder/tests/agent_support/mod.rs
+++ b/crates/woodladder/tests/agent_support/mod.rs
@@ -109,7 +109,7 @@
                 key: self.certificate.key.clone_key(),
             },
             limits,
-            directory: Arc::clone(&self.routing_table),
+            routing_table: Arc::clone(&self.routing_table),
             logger: slog::Logger::root(slog::Discard, slog::o!()),
         }
     }
--- a/crates/woodladder/tests/shared_drain.rs
+++ b/crates/woodladder/tests/shared_drain.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use woodladder::agent::{DrainNotice, SharedDrain};
+use woodladder::agent::{DrainStage, SharedDrain};
 use woodladder_core::clock::Instant;
 use woodladder_core::target::drain::{
     Activity, DEFAULT_DRAIN_GRACE, Drain, DrainEvent, DrainPhase, DrainReason,
@@ -59,5 +59,5 @@
     drain.handle(|| DrainEvent::Tick, after_grace(), |_| {});
 
     assert_eq!(drain.phase(), DrainPhase::Drained);
-    assert_eq!(*drain.subscribe_notices().borrow(), DrainNotice::Drained);
+    assert_eq!(*drain.subscribe_stage().borrow(), DrainStage::Drained);
 }
