--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -54,8 +54,9 @@
     /// Address at which other nodes reach the agent, over UDP and TCP.
     pub peer_address: SocketAddrV4,
     /// Local address of the sockets for traffic with other nodes.
-    pub peer_bind: SocketAddrV4,
-    /// Local address at which the agent receives the target's packets.
+    pub peer_bind_address: SocketAddrV4,
+    /// Local address of the socket between the agent and the target: receives the packets
+    /// that the target sends out, and sends packets to the target and to callers.
     pub outbound_address: SocketAddrV4,
     /// Address at which the target receives packets.
     pub target_address: SocketAddrV4,
@@ -65,7 +66,7 @@
     pub zone: ZoneKey,
     /// Service that the target provides.
     pub service: ServiceKey,
-    /// Balancers that get the first reports, before the agent has learned of others.
+    /// Balancers that get the first reports, before other balancers are known.
     pub seeds: Vec<NodeAddress>,
     /// Minimum time for which an idle flow stays in the table.
     pub flow_retention: Duration,
@@ -113,7 +114,7 @@
             core: RefCell::new(Agent::new(options, clock.now())),
             codec,
             clock,
-            peers: PeerTransport::open(config.peer_bind)?,
+            peers: PeerTransport::open(config.peer_bind_address)?,
             outbound_socket: datagram_socket::open(config.outbound_address)?,
             decision_log: RefCell::new(DecisionLog::new(logger.clone())),
             tick_timer: TickTimer::default(),
@@ -136,7 +137,7 @@
         store: impl Fn() -> S,
         stop: Rc<Notify>,
     ) -> io::Result<()> {
-        let listener = TcpListener::bind(self.config.peer_bind).await?;
+        let listener = TcpListener::bind(self.config.peer_bind_address).await?;
         let node = Rc::clone(&self);
         spawn_local(snapshot_exchange::serve(listener, move |request| {
             node.core.borrow().answer_snapshot(request)
@@ -189,22 +190,24 @@
         Ok(())
     }
 
-    /// Handles the target's deregistration.
+    /// Sets the target's state to leaving and reports the change to the balancers before
+    /// returning. A deregistration that may belong to an earlier start of the target
+    /// changes nothing.
     pub fn handle_deregistration(self: &Rc<Self>, incarnation: Incarnation) {
         self.core.borrow_mut().handle_deregistration(incarnation);
         self.run_core(|core, now, actions| core.tick(now, actions));
     }
 
-    /// Whether the agent knows the state of its target and has heard from a balancer.
+    /// Whether the state of the target is known and a hello of a balancer has arrived.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let core = self.core.borrow();
-        let knows_target = core.target_state() != TargetState::Unknown;
-        knows_target && core.balancers().confirmed_by_hello().next().is_some()
+        let is_target_state_known = core.target_state() != TargetState::Unknown;
+        is_target_state_known && core.balancers().confirmed_by_hello().next().is_some()
     }
 
-    /// Adds the balancers that changed settings name as seeds. Changed addresses
-    /// take effect only after a restart.
+    /// Adds the seeds of the reloaded settings. Other changed settings take effect only
+    /// after a restart.
     pub fn reload_seeds(&self, seeds: &[NodeAddress]) {
         info!(self.logger, "agent: settings reloaded"; "event" => "reloaded",
             "seeds" => seeds.len());
@@ -297,8 +300,8 @@
         }
     }
 
-    /// Sends a packet to the target, marked so that the target, when it returns the
-    /// packet, names `balancer`.
+    /// Sends a packet to the target. The packet is marked with the address of `balancer`;
+    /// a packet that the target returns still contains the mark.
     fn send_to_target(&self, balancer: NodeAddress, mut packet: Vec<u8>) {
         self.codec.mark_for_target(&mut packet, *balancer.ip());
         datagram_socket::send(&self.outbound_socket, &packet, self.config.target_address);
@@ -356,7 +359,7 @@
         }
     }
 
-    /// Makes listen probes until the core has another sign of the target.
+    /// Makes listen probes while the core needs them.
     async fn run_listen_probes(self: Rc<Self>) {
         while self.core.borrow().needs_listen_probe() {
             let listen_state = self.probe_listen_state().await;
@@ -384,10 +387,10 @@
     }
 
     fn write_log_events(&self) {
-        let (notes, dropped) = self.core.borrow_mut().take_notes();
+        let (events, dropped) = self.core.borrow_mut().take_notes();
         let now = self.clock.now();
-        for note in &notes {
-            match note {
+        for event in &events {
+            match event {
                 LogEvent::RequestAnswered { service_time, .. } => {
                     self.service_times.borrow_mut().record(*service_time);
                 }
@@ -397,10 +400,10 @@
                 _ => {}
             }
         }
-        self.decision_log.borrow_mut().write(notes, dropped, now);
+        self.decision_log.borrow_mut().write(events, dropped, now);
     }
 
-    /// Lets the core decide and executes the actions that it returns.
+    /// Calls `decide` on the core and executes the actions that the core adds.
     fn run_core(self: &Rc<Self>, decide: impl FnOnce(&mut Agent, Instant, &mut Vec<AgentAction>)) {
         let mut actions = Vec::new();
         decide(&mut self.core.borrow_mut(), self.clock.now(), &mut actions);
--- a/crates/woodladder-node/src/agent/metrics.rs
+++ b/crates/woodladder-node/src/agent/metrics.rs
@@ -2,7 +2,7 @@
 
 use woodladder_core::flow::message::TargetState;
 
-use crate::metrics::{MetricsText, u64_value, usize_value};
+use crate::metrics::{MetricsText, count_as_f64, u64_as_f64};
 
 use super::AgentNode;
 use crate::packet_codec::PacketCodec;
@@ -168,10 +168,10 @@
             "Openings and requests in the agent's queue, by kind and urgency.",
             "kind",
             [
-                ("urgent_opening", usize_value(queued.urgent_openings)),
-                ("opening", usize_value(queued.openings)),
-                ("urgent_request", usize_value(queued.urgent_requests)),
-                ("request", usize_value(queued.requests)),
+                ("urgent_opening", count_as_f64(queued.urgent_openings)),
+                ("opening", count_as_f64(queued.openings)),
+                ("urgent_request", count_as_f64(queued.urgent_requests)),
+                ("request", count_as_f64(queued.requests)),
             ],
         );
         text.add_histogram(
@@ -196,17 +196,17 @@
         text.add_gauge(
             "flows_known",
             "Flows in the flow table.",
-            usize_value(core.flow_count()),
+            count_as_f64(core.flow_count()),
         );
         text.add_gauge(
             "balancers",
             "Balancers known.",
-            usize_value(core.balancers().len()),
+            count_as_f64(core.balancers().len()),
         );
         text.add_gauge(
             "configuration_version",
             "Latest configuration version that the agent knows.",
-            u64_value(core.configuration_version()),
+            u64_as_f64(core.configuration_version()),
         );
         let is_ready = core.target_state() == TargetState::Ready;
         text.add_gauge(
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -39,12 +39,12 @@
 use crate::store::{self, Store, StoreCallStats};
 use crate::tick_timer::TickTimer;
 
-/// Pause between two checks whether a balancer that shuts down may exit.
+/// Pause between two checks of whether a balancer that shuts down may exit.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Capacity of the flow table.
 const FLOW_CAPACITY: usize = 400_000;
 /// Minimum time for which a balancer that shuts down keeps forwarding, so that routers
-/// notice that it is no longer ready.
+/// notice that the balancer is no longer ready.
 const MINIMUM_DRAIN: Duration = Duration::from_millis(1300);
 /// Time without packets from callers after which a balancer that shuts down may exit.
 const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(700);
@@ -55,7 +55,7 @@
     /// Address at which other nodes reach the balancer, over UDP and TCP.
     pub peer_address: SocketAddrV4,
     /// Local address of the sockets for traffic with other nodes.
-    pub peer_bind: SocketAddrV4,
+    pub peer_bind_address: SocketAddrV4,
     /// Local address at which the balancer receives callers' packets.
     pub caller_address: SocketAddrV4,
     /// Port at which callers receive packets.
@@ -67,7 +67,7 @@
     /// Rate of the machine's network link, in kilobits per second; `None` when it is not
     /// known.
     pub link_rate_kbps: Option<u32>,
-    /// Nodes to greet at the start, before the balancer has learned of others.
+    /// Nodes that get the first hellos, before other nodes are known.
     pub seeds: Vec<NodeAddress>,
     /// Minimum time for which an idle flow stays in the table.
     pub flow_retention: Duration,
@@ -111,7 +111,7 @@
             core: RefCell::new(Balancer::new(options, clock.now())),
             codec,
             clock,
-            peers: PeerTransport::open(config.peer_bind)?,
+            peers: PeerTransport::open(config.peer_bind_address)?,
             caller_socket: datagram_socket::open(config.caller_address)?,
             outgoing_queue: config.link_rate_kbps.map(OutgoingQueue::new),
             decision_log: RefCell::new(DecisionLog::new(logger.clone())),
@@ -134,7 +134,7 @@
         store: impl Fn() -> S,
         stop: Rc<Notify>,
     ) -> io::Result<()> {
-        let listener = TcpListener::bind(self.config.peer_bind).await?;
+        let listener = TcpListener::bind(self.config.peer_bind_address).await?;
         let node = Rc::clone(&self);
         spawn_local(snapshot_exchange::serve(listener, move |request| {
             node.core.borrow().answer_snapshot_request(request)
@@ -162,7 +162,7 @@
     }
 
     /// Starts the task that maintains the flow record. A notification on the returned
-    /// handle makes the task ask for its next call at once.
+    /// handle makes the task determine its next call at once.
     fn start_flow_record<S: Store + 'static>(self: &Rc<Self>, store: S) -> Rc<Notify> {
         let record_wakeup = Rc::new(Notify::new());
         let call_node = Rc::clone(self);
@@ -271,8 +271,8 @@
         self.core.borrow().check_ready(self.clock.now())
     }
 
-    /// Adds the nodes that changed settings name as seeds. Changed addresses take
-    /// effect only after a restart.
+    /// Adds the seeds of the reloaded settings. Other changed settings take effect only
+    /// after a restart.
     pub fn reload_seeds(self: &Rc<Self>, seeds: &[NodeAddress]) {
         info!(self.logger, "balancer: settings reloaded"; "event" => "reloaded",
             "seeds" => seeds.len());
@@ -364,9 +364,9 @@
     }
 
     fn write_log_events(&self) {
-        let (notes, dropped) = self.core.borrow_mut().take_notes();
+        let (events, dropped) = self.core.borrow_mut().take_notes();
         let now = self.clock.now();
-        self.decision_log.borrow_mut().write(notes, dropped, now);
+        self.decision_log.borrow_mut().write(events, dropped, now);
         match self.store_stats.take_reachability_change() {
             Some(true) => info!(self.logger, "store: reachable"; "event" => "store_reached"),
             Some(false) => {
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Lets the core decide and executes the actions that it returns.
+    /// Calls `decide` on the core and executes the actions that the core adds.
     fn run_core(
         self: &Rc<Self>,
         decide: impl FnOnce(&mut Balancer, Instant, &mut Vec<BalancerAction>),
@@ -419,7 +419,7 @@
         }
     }
 
-    /// Sends a message with a packet that the core has kept and now hands back.
+    /// Sends a message with a packet that the core had stored.
     fn send_stored_packet(&self, message: &PeerMessage, bytes: &[u8], to: NodeAddress) {
         match self.codec.decode_from_caller(bytes) {
             Ok(packet) => self.send_packet(message, &packet, bytes, to),
--- a/crates/woodladder-node/src/balancer/metrics.rs
+++ b/crates/woodladder-node/src/balancer/metrics.rs
@@ -3,7 +3,7 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::balancer::Balancer;
 
-use crate::metrics::{MetricsText, u64_value, usize_value};
+use crate::metrics::{MetricsText, count_as_f64, u64_as_f64};
 
 use super::BalancerNode;
 use crate::packet_codec::PacketCodec;
@@ -224,52 +224,52 @@
         text.add_gauge(
             "flow_record_flows",
             "Flows in the last flow record that was written.",
-            u64_value(recorded.last_record_flows),
+            u64_as_f64(recorded.last_record_flows),
         );
         text.add_gauge(
             "flow_record_bytes",
             "Size of the last flow record that was written, in bytes.",
-            u64_value(recorded.last_record_bytes),
+            u64_as_f64(recorded.last_record_bytes),
         );
         text.add_gauge(
             "restored_record_age_ms",
             "Age of the flow record that was read at startup, in milliseconds.",
-            u64_value(recorded.restored_record_age_ms),
+            u64_as_f64(recorded.restored_record_age_ms),
         );
         text.add_gauge(
             "flows",
             "Flows in the flow table.",
-            usize_value(core.flow_count()),
+            count_as_f64(core.flow_count()),
         );
         text.add_gauge(
             "openings_waiting",
             "Openings that wait for a target.",
-            usize_value(core.waiting_opening_count()),
+            count_as_f64(core.waiting_opening_count()),
         );
         text.add_gauge(
             "agents",
             "Agents in the directory.",
-            usize_value(core.directory().len()),
+            count_as_f64(core.directory().len()),
         );
         text.add_gauge(
             "agents_live",
             "Agents in the directory that were heard recently.",
-            usize_value(core.directory().live_count(now)),
+            count_as_f64(core.directory().live_count(now)),
         );
         text.add_gauge(
             "balancers",
             "Other balancers known.",
-            usize_value(core.peers().len()),
+            count_as_f64(core.peers().len()),
         );
         text.add_gauge(
             "configuration_version",
             "Configuration version in force.",
-            u64_value(core.routes().version()),
+            u64_as_f64(core.routes().version()),
         );
         text.add_gauge(
             "zones_excluded",
             "Zones whose targets get no new flows.",
-            usize_value(core.excluded_zones().zones.len()),
+            count_as_f64(core.excluded_zones().zones.len()),
         );
         let ready = if core.check_ready(now).is_ok() {
             1.0
@@ -300,17 +300,17 @@
                     outgoing_kbps,
                 ),
             ] {
-                text.add_gauge(name, help, u64_value(value));
+                text.add_gauge(name, help, u64_as_f64(value));
             }
             text.add_gauge(
                 "link_bulk_flows",
                 "Active flows of bulk routes.",
-                usize_value(link.active_bulk_flows()),
+                count_as_f64(link.active_bulk_flows()),
             );
             text.add_gauge(
                 "link_openings_waiting",
                 "Openings that wait for the link.",
-                usize_value(link.openings_waiting()),
+                count_as_f64(link.openings_waiting()),
             );
         }
         if let Some(queue) = &self.outgoing_queue {
@@ -318,7 +318,7 @@
             text.add_gauge(
                 "link_queue_bytes",
                 "Bytes of datagrams in the outgoing queue.",
-                usize_value(queue.queued_bytes()),
+                count_as_f64(queue.queued_bytes()),
             );
             text.add_counter(
                 "link_queued_total",
--- a/crates/woodladder-node/src/datagram_socket.rs
+++ b/crates/woodladder-node/src/datagram_socket.rs
@@ -11,7 +11,7 @@
 
 /// Pause after a failed receive.
 const FAILURE_PAUSE: Duration = Duration::from_millis(25);
-/// Maximum length of a received datagram, in bytes; the rest of a longer one is cut off.
+/// Maximum length of a received datagram, in bytes; longer datagrams are truncated.
 const MAXIMUM_DATAGRAM: usize = 4096;
 /// Requested size of a socket's receive buffer, in bytes.
 const RECEIVE_BUFFER: usize = 1 << 20;
@@ -29,7 +29,7 @@
     UdpSocket::from_std(socket.into())
 }
 
-/// Sends a datagram. It is lost without an error when the send buffer is full or the
+/// Sends a datagram. The datagram is lost without an error when the send buffer is full or the
 /// receiver is unreachable, just as the network may lose it.
 pub fn send(socket: &UdpSocket, datagram: &[u8], to: SocketAddrV4) {
     let _lost = socket.try_send_to(datagram, SocketAddr::V4(to));
--- a/crates/woodladder-node/src/decision_log.rs
+++ b/crates/woodladder-node/src/decision_log.rs
@@ -1,9 +1,9 @@
 //! Rate-limited log lines for the core's decisions.
 //!
-//! Each kind of line has a token bucket: a number of lines per second, with a reserve
-//! for bursts. Lines that are left out are counted, and the next line of the same kind
-//! states the count, so that readers know that lines are missing. Decisions by which a
-//! request fails or moves to another target have a higher limit than ordinary ones.
+//! Each kind of line has a token bucket, which limits its lines per second and allows
+//! bursts. Lines that are left out are counted, and the next line of the same kind states
+//! the count, so that readers see how many lines are missing. Decisions by which a
+//! request fails or moves to another target have a higher limit than ordinary decisions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,8 @@
 const ORDINARY_LINES_PER_SECOND: f64 = 200.0;
 /// Limit for each kind of important decision, in lines per second.
 const IMPORTANT_LINES_PER_SECOND: f64 = 400.0;
-/// Size of a burst: the lines that the limit allows in this many seconds.
+/// Capacity of a token bucket, in seconds: the bucket holds the lines that its rate allows
+/// in this time.
 const BURST_SECONDS: f64 = 4.0;
 
 /// Importance of a log line.
@@ -24,8 +25,8 @@
 pub enum Importance {
     /// A step in the normal handling of a request.
     Ordinary,
-    /// A request fails or moves to another target, or the node's knowledge of other nodes,
-    /// targets or settings changes.
+    /// A request fails or moves to another target, or the state that the node has recorded
+    /// of other nodes, targets or settings changes.
     Important,
 }
 
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Writes the line of a change in what the node knows of other nodes, targets or
+    /// Logs a change in the state that the node has recorded of other nodes, targets or
     /// settings.
     fn log_state_change(&self, event_name: &'static str, event: &LogEvent, left_out: u64) {
         let log = &self.logger;
@@ -433,7 +434,7 @@
     }
 }
 
-/// Converts to milliseconds, with a fraction.
+/// Converts a duration to milliseconds, with a fraction.
 fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
--- a/crates/woodladder-node/src/http.rs
+++ b/crates/woodladder-node/src/http.rs
@@ -17,9 +17,9 @@
 
 /// Maximum length of a request's body, in bytes.
 const MAXIMUM_BODY_LENGTH: usize = 64 << 10;
-/// Time after which a connection is closed, even while requests use it.
+/// Time after which a connection is closed, even while a request is in progress.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum number of open connections of one listener; further ones are closed at once.
+/// Maximum number of open connections of one listener; further connections are closed at once.
 const MAXIMUM_CONNECTIONS: usize = 256;
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/woodladder-node/src/log.rs
+++ b/crates/woodladder-node/src/log.rs
@@ -1,5 +1,6 @@
 //! The log of a node: one JSON object per line on standard output. A separate thread
-//! writes it; records that arrive while its queue is full are dropped and counted.
+//! writes the log; records that arrive while the thread's queue is full are dropped and
+//! counted.
 
 use std::sync::Mutex;
 
@@ -9,7 +10,7 @@
 /// Maximum number of records that wait for the writer thread.
 const QUEUE_LENGTH: usize = 2048;
 
-/// Keeps the log open; dropping it writes the records that still wait.
+/// Keeps the log open. Dropping this guard writes the records that are still queued.
 pub struct LogGuard {
     _writer: slog_async::AsyncGuard,
 }
--- a/crates/woodladder-node/src/metrics.rs
+++ b/crates/woodladder-node/src/metrics.rs
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Adds a gauge that says for each optional mechanism whether it is active.
+    /// Adds a gauge that is 1 for each active optional mechanism: flow location, request
+    /// ordering and link pacing.
     pub fn add_mechanisms(&mut self, active: ActiveMechanisms) {
         let mechanisms = [
             ("locates_flows", active.locates_flows),
@@ -135,14 +136,14 @@
     }
 }
 
-/// Converts a count to the type of metric values; infinity when it needs more than 32
-/// bits.
-pub(crate) fn usize_value(value: usize) -> f64 {
+/// Converts a count to f64, the type of metric values. Counts above `u32::MAX` become
+/// infinity, because u32 is the widest integer that std converts to f64 without loss.
+pub(crate) fn count_as_f64(value: usize) -> f64 {
     u32::try_from(value).map_or(f64::INFINITY, f64::from)
 }
 
-/// Converts a number to the type of metric values; exact up to 2^53.
+/// Converts a number to f64, the type of metric values; exact up to 2^53.
 #[allow(clippy::cast_precision_loss)]
-pub(crate) fn u64_value(value: u64) -> f64 {
+pub(crate) fn u64_as_f64(value: u64) -> f64 {
     value as f64
 }
--- a/crates/woodladder-node/src/node_clock.rs
+++ b/crates/woodladder-node/src/node_clock.rs
@@ -4,8 +4,8 @@
 
 use woodladder_core::clock::Instant;
 
-/// Time that the clock shows when the process starts. It is above zero so that earlier
-/// instants can be expressed: a caller may have sent the first copy of a packet before
+/// Time that the clock shows when the process starts. The time is above zero so that
+/// earlier instants can be expressed: a caller may have sent the first copy of a packet before
 /// the process started.
 const INITIAL_TIME: Duration = Duration::from_secs(3600);
 
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Returns the machine's wall-clock time in milliseconds since the Unix epoch. It may
-    /// be wrong and may jump.
+    /// Returns the machine's wall-clock time in milliseconds since the Unix epoch. This
+    /// clock may be wrong and may jump.
     #[must_use]
     pub fn unix_time_ms(&self) -> u64 {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/woodladder-node/src/packet_codec.rs
+++ b/crates/woodladder-node/src/packet_codec.rs
@@ -8,10 +8,11 @@
 /// A packet that came from a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetPacket {
-    /// The packet; when the target returned a packet, the one that its caller sent.
+    /// The packet that the target sent; when the target returned a packet, the packet that
+    /// its caller had sent.
     pub packet: FlowPacket,
-    /// Balancer that a returned packet is marked with; `None` when the target did not
-    /// return a packet but sent one of its own.
+    /// Balancer that a returned packet is marked with; `None` when the target sent
+    /// a packet of its own.
     pub returned_to: Option<Ipv4Addr>,
 }
 
@@ -56,8 +57,8 @@
     /// Returns [`PacketError`] when the bytes are not a valid packet.
     fn decode_from_target(&self, bytes: &[u8]) -> Result<TargetPacket, PacketError>;
 
-    /// Marks a packet for the target, so that the target names `balancer` when it
-    /// returns the packet.
+    /// Marks a packet for the target with the address of `balancer`. A packet that the target
+    /// returns contains this address.
     fn mark_for_target(&self, bytes: &mut [u8], balancer: Ipv4Addr);
 
     /// Removes all marks, which restores the packet that the sender wrote.
@@ -67,7 +68,7 @@
     fn encode_reset(&self, reset: &CallerReset) -> Vec<u8>;
 
     /// Returns the kind of the answer that begins in this packet; `None` when no answer
-    /// begins in it.
+    /// begins in this packet.
     fn answer_kind(&self, bytes: &[u8]) -> Option<AnswerKind>;
 
     /// Returns the identifier of the request in this packet; `None` when the packet
--- a/crates/woodladder-node/src/peer_transport.rs
+++ b/crates/woodladder-node/src/peer_transport.rs
@@ -13,8 +13,7 @@
 use crate::datagram_socket;
 use crate::metrics::MetricsText;
 
-/// Interval at which a node logs its counters. One line per interval is less than a
-/// thousandth of what the rate limit of a kind of log line allows.
+/// Interval at which a node logs its counters.
 pub const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Counters for one kind of message.
@@ -135,7 +134,7 @@
     totals: &TotalsByKind,
     value: impl Fn(&MessageTotals) -> u64,
 ) -> [(&'static str, u64); MESSAGE_KINDS.len()] {
-    std::array::from_fn(|kind| (MESSAGE_KINDS[kind], value(&totals[kind])))
+    std::array::from_fn(|kind_index| (MESSAGE_KINDS[kind_index], value(&totals[kind_index])))
 }
 
 /// Formats the counters of each kind that occurred as `KIND=MESSAGES/BYTES`.
--- a/crates/woodladder-node/src/snapshot_exchange.rs
+++ b/crates/woodladder-node/src/snapshot_exchange.rs
@@ -21,10 +21,12 @@
 const MAXIMUM_REQUEST_LENGTH: usize = 64;
 /// Maximum length of an answer, in bytes.
 const MAXIMUM_ANSWER_LENGTH: usize = 8 << 20;
-/// Maximum number of exchanges that a node answers at the same time. When a whole cluster
-/// starts, all nodes ask the few that the settings name; a node that is refused asks the
-/// next one that it hears from. Without a limit a small machine runs out of file
-/// descriptors at about 4,000 nodes: with 300 nodes, 168 exchanges at once were seen.
+/// Maximum number of exchanges that a node answers at the same time; limits the file
+/// descriptors that the node uses. When a whole cluster starts, all nodes send their requests
+/// to the few seeds; a node whose request is refused sends its next request to another node
+/// from which it has received a message. Without a limit, 168 exchanges at the same time
+/// were seen in a cluster of 300 nodes, and a small machine would run out of file
+/// descriptors in a cluster of about 4,000 nodes.
 pub const MAXIMUM_EXCHANGES: usize = 128;
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/woodladder-node/src/store.rs
+++ b/crates/woodladder-node/src/store.rs
@@ -48,8 +48,9 @@
     }
 }
 
-/// Maintains the balancer's entry in the store, while `should_register` says so, until
-/// the process ends. `shutdown` wakes the task for the end of the registration.
+/// Maintains the balancer's entry in the store, while `should_register` returns true, until
+/// the process ends. A notification on `shutdown` ends the current pause, so that the
+/// registration can end at once.
 pub async fn maintain_registration(
     mut store: impl Store,
     clock: NodeClock,
@@ -88,8 +89,8 @@
     need: impl Fn() -> ListNeed,
     mut on_listed: impl FnMut(&[NodeAddress]),
 ) {
-    /// Interval at which the need is checked, because it changes with the balancers
-    /// that the node hears from.
+    /// Interval at which `need` is called again, because its result changes with the
+    /// balancers whose messages arrive at the node.
     const NEED_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
     loop {
         discovery.set_need(need(), clock.now());
@@ -106,8 +107,8 @@
 }
 
 /// Maintains a balancer's flow record in the store until the process ends. `next_call`
-/// returns the next call, `on_reply` gets each reply, and `wakeup` makes the task ask for
-/// the next call at once.
+/// returns the next call, `on_reply` gets each reply, and a notification on `wakeup` makes
+/// the task call `next_call` at once.
 pub async fn maintain_flow_record(
     mut store: impl Store,
     clock: NodeClock,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Counters of calls to the store, and whether it is reachable, for logs and metrics.
+/// Counters of calls to the store, and whether the store is reachable, for logs and metrics.
 #[derive(Debug, Default)]
 pub struct StoreCallStats {
     replies: std::cell::Cell<ReplyStats>,
--- a/crates/woodladder-node/tests/tick_timer.rs
+++ b/crates/woodladder-node/tests/tick_timer.rs
@@ -1,4 +1,4 @@
-//! When a node's next tick is due.
+//! Tests of the time at which a node's next tick is due.
 
 use std::cell::Cell;
 use std::rc::Rc;
