--- a/crates/woodladder/src/command/fleet_report.rs
+++ b/crates/woodladder/src/command/fleet_report.rs
@@ -28,7 +28,7 @@
     pub(super) fn run(&self) -> Result<(), Failure> {
         let lines = explain::read_directory(&self.logs)
             .map_err(|error| Failure::Refused(error.to_string()))?;
-        let report = fleet_report::report(&lines);
+        let report = fleet_report::compute_report(&lines);
         if self.json {
             return print_json(&report);
         }
--- a/crates/woodladder/src/explain/mod.rs
+++ b/crates/woodladder/src/explain/mod.rs
@@ -1,9 +1,9 @@
-//! One request or flow, explained from the logs of all nodes.
+//! Explains what happened to one request or flow, from the logs of all nodes.
 //!
-//! Agents see the request's identifier and the flow that carries it; balancers
-//! see flows only. The lines of both are joined by the flow, put in order by
-//! time, and completed by what the nodes concerned came to believe at that
-//! time.
+//! Agents log the identifier of a request and the flow that carries it;
+//! balancers log flows only. The lines of both are joined by flow and sorted
+//! by time. State changes that the same nodes logged around that time, such as
+//! a lost agent or a new configuration, are added as context.
 
 mod reader;
 mod verdict;
@@ -14,10 +14,12 @@
 pub use reader::{LogError, read_directory};
 pub use verdict::Verdict;
 
-/// Milliseconds before and after a flow's lines whose beliefs are shown.
-const SURROUNDINGS_MS: i64 = 2500;
-/// Events that change what a node believes.
-const BELIEFS: [&str; 11] = [
+/// State changes are shown from this many milliseconds before a flow's first
+/// line to as many after its last.
+const CONTEXT_WINDOW_MS: i64 = 2500;
+/// Events that change a node's own state or its view of agents, targets, the
+/// store and the configuration.
+const STATE_CHANGE_EVENTS: [&str; 11] = [
     "agent_found",
     "agent_lost",
     "agent_stopped",
@@ -31,77 +33,80 @@
     "stopping",
 ];
 
-/// One line of a log.
+/// One log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LogLine {
-    /// Time of day in milliseconds.
+    /// Unix time in milliseconds.
     pub at_ms: i64,
-    /// Node that wrote it.
+    /// Node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// All fields.
+    /// All fields of the line.
     pub fields: Value,
 }
 
-/// What the logs say of one request or flow.
+/// What the logs tell about one request or flow.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
-    /// What was asked for.
+    /// Request identifier, flow or caller address that was looked up.
     pub key: String,
-    /// Flows that carried it.
+    /// Flows that carried the request, or that match the key.
     pub flows: Vec<String>,
-    /// Its lines in the order of time.
+    /// Log lines of these flows, sorted by time.
     pub lines: Vec<LogLine>,
-    /// What nodes concerned came to believe meanwhile.
+    /// State changes that the same nodes, or nodes that follow the same agents,
+    /// logged around that time.
     pub surroundings: Vec<LogLine>,
-    /// What became of it.
+    /// Outcome of the request or flow.
     pub verdict: Verdict,
-    /// What the logs do not hold.
+    /// Messages about log lines that are missing.
     pub missing: Vec<String>,
 }
 
 impl LogLine {
-    /// A field as text.
+    /// The text of a field; `None` when the field is absent or not a string.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 }
 
-/// Explains a request's identifier, a flow, or a caller's address and port;
-/// `None` when no line names it.
+/// Explains the request or flow that `key` names: a request identifier, a
+/// flow, or a caller's address and port. `None` when no line names the key.
 #[must_use]
 pub fn explain(key: &str, lines: &[LogLine]) -> Option<Explanation> {
-    let flows = flows_of(key, lines);
-    let mut own: Vec<LogLine> = lines
+    let flows = matching_flows(key, lines);
+    let mut flow_lines: Vec<LogLine> = lines
         .iter()
         .filter(|line| {
             line.text("flow")
-                .is_some_and(|flow| flows.iter().any(|it| it == flow))
+                .is_some_and(|flow| flows.iter().any(|matching| matching == flow))
         })
         .cloned()
         .collect();
-    if own.is_empty() {
+    if flow_lines.is_empty() {
         return None;
     }
-    own.sort_by_key(|line| line.at_ms);
-    let surroundings = surroundings(&own, lines);
-    // A request with a line of its own has reached a target.
-    let is_delivered = own.iter().any(|line| line.text("request") == Some(key));
-    let waiting = Verdict::of_waiting(&own).filter(|_| !is_delivered);
-    let verdict = waiting.unwrap_or_else(|| Verdict::of(&own, &surroundings));
+    flow_lines.sort_by_key(|line| line.at_ms);
+    let surroundings = state_changes_around(&flow_lines, lines);
+    // A request's identifier is logged only once the request reached a target.
+    let is_delivered = flow_lines
+        .iter()
+        .any(|line| line.text("request") == Some(key));
+    let queued = Verdict::of_queued(&flow_lines).filter(|_| !is_delivered);
+    let verdict = queued.unwrap_or_else(|| Verdict::from_lines(&flow_lines, &surroundings));
     Some(Explanation {
         key: key.to_owned(),
-        missing: missing(&own, lines),
+        missing: describe_missing_lines(&flow_lines, lines),
         flows,
-        lines: own,
+        lines: flow_lines,
         surroundings,
         verdict,
     })
 }
 
-fn flows_of(key: &str, lines: &[LogLine]) -> Vec<String> {
+fn matching_flows(key: &str, lines: &[LogLine]) -> Vec<String> {
     let mut flows: Vec<String> = lines
         .iter()
         .filter(|line| {
@@ -116,48 +121,60 @@
     flows
 }
 
-/// Lines of beliefs about nodes that the flow's lines name, near in time.
-fn surroundings(own: &[LogLine], lines: &[LogLine]) -> Vec<LogLine> {
-    let first = own.first().map_or(0, |line| line.at_ms) - SURROUNDINGS_MS;
-    let last = own.last().map_or(0, |line| line.at_ms) + SURROUNDINGS_MS;
-    let mut near: Vec<LogLine> = lines
+/// State changes within the context window that concern the nodes or agents
+/// that the flow's lines name, sorted by time.
+fn state_changes_around(flow_lines: &[LogLine], lines: &[LogLine]) -> Vec<LogLine> {
+    let first = flow_lines.first().map_or(0, |line| line.at_ms) - CONTEXT_WINDOW_MS;
+    let last = flow_lines.last().map_or(0, |line| line.at_ms) + CONTEXT_WINDOW_MS;
+    let mut changes: Vec<LogLine> = lines
         .iter()
-        .filter(|line| BELIEFS.contains(&line.event.as_str()))
+        .filter(|line| STATE_CHANGE_EVENTS.contains(&line.event.as_str()))
         .filter(|line| (first..=last).contains(&line.at_ms))
-        .filter(|line| concerns(line, own))
+        .filter(|line| concerns_flow(line, flow_lines))
         .cloned()
         .collect();
-    near.sort_by_key(|line| line.at_ms);
-    near
+    changes.sort_by_key(|line| line.at_ms);
+    changes
 }
 
-fn concerns(line: &LogLine, own: &[LogLine]) -> bool {
+/// Whether a state change is about an agent that the flow's lines name or, when
+/// it names no agent, comes from a node that wrote one of them.
+fn concerns_flow(line: &LogLine, flow_lines: &[LogLine]) -> bool {
     let agent = line.text("agent");
-    own.iter().any(|mine| {
-        let same_node = mine.node == line.node;
+    flow_lines.iter().any(|flow_line| {
+        let is_same_node = flow_line.node == line.node;
         match agent {
-            Some(agent) => mine.text("agent") == Some(agent),
-            None => same_node,
+            Some(agent) => flow_line.text("agent") == Some(agent),
+            None => is_same_node,
         }
     })
 }
 
-fn missing(own: &[LogLine], lines: &[LogLine]) -> Vec<String> {
+fn describe_missing_lines(flow_lines: &[LogLine], lines: &[LogLine]) -> Vec<String> {
     let mut missing = Vec::new();
-    let has = |event: &str| own.iter().any(|line| line.event == event);
+    let has = |event: &str| flow_lines.iter().any(|line| line.event == event);
     if !has("flow_sent") && !has("flow_sent_again") && !has("search_started") {
-        missing.push("no balancer's line: its log is not here, or its budget was used up".into());
+        missing.push(
+            "no line of a balancer: its log is not among the files, or its log budget was used up"
+                .into(),
+        );
     }
     if !has("flow_offered") && !has("request_delivered") {
-        missing.push("no agent's line: its log is not here, or no packet reached an agent".into());
+        missing.push(
+            "no line of an agent: its log is not among the files, or no packet reached an agent"
+                .into(),
+        );
     }
-    for (node, left_out) in left_out(lines) {
-        missing.push(format!("{node} left out {left_out} lines for its budget"));
+    for (node, count) in left_out_lines_by_node(lines) {
+        missing.push(format!(
+            "{node} left out {count} lines because its log budget was used up"
+        ));
     }
     missing
 }
 
-fn left_out(lines: &[LogLine]) -> Vec<(String, u64)> {
+/// Number of lines that each node left out of its log, by node.
+fn left_out_lines_by_node(lines: &[LogLine]) -> Vec<(String, u64)> {
     let mut totals = std::collections::BTreeMap::<String, u64>::new();
     for line in lines {
         let count = line.fields.get("left_out").and_then(Value::as_u64);
--- a/crates/woodladder/src/explain/reader.rs
+++ b/crates/woodladder/src/explain/reader.rs
@@ -1,5 +1,6 @@
-//! Reads log files of JSON lines. Text before a line's first brace, such as a
-//! time and a name that a collector has added, is passed over.
+//! Reads log files that hold one JSON object on each line. Text before a
+//! line's first brace, such as a time and a host name that a log collector
+//! added, is skipped.
 
 use std::fmt;
 use std::fs;
@@ -13,9 +14,9 @@
 /// Why logs cannot be read.
 #[derive(Debug)]
 pub enum LogError {
-    /// A file or directory cannot be read.
+    /// This file or directory cannot be read.
     Unreadable(PathBuf, io::Error),
-    /// No line of any file is a log line.
+    /// No file at this path has a line that is a node's log line.
     NoLines(PathBuf),
 }
 
@@ -24,7 +25,7 @@
         match self {
             Self::Unreadable(path, error) => write!(formatter, "{}: {error}", path.display()),
             Self::NoLines(path) => {
-                write!(formatter, "{}: no log lines are here", path.display())
+                write!(formatter, "{}: no log lines found", path.display())
             }
         }
     }
@@ -32,16 +33,17 @@
 
 impl std::error::Error for LogError {}
 
-/// Reads every file of a directory, or one file.
+/// Reads the log lines of one file or of every file in a directory; other
+/// lines are skipped.
 ///
 /// # Errors
 /// [`LogError`] when a file cannot be read or none has a log line.
 pub fn read_directory(path: &Path) -> Result<Vec<LogLine>, LogError> {
     let mut lines = Vec::new();
-    for file in files(path)? {
+    for file in list_files(path)? {
         let bytes = fs::read(&file).map_err(|error| LogError::Unreadable(file, error))?;
         let text = String::from_utf8_lossy(&bytes);
-        lines.extend(text.lines().filter_map(read_line));
+        lines.extend(text.lines().filter_map(parse_line));
     }
     if lines.is_empty() {
         return Err(LogError::NoLines(path.to_owned()));
@@ -49,7 +51,7 @@
     Ok(lines)
 }
 
-fn files(path: &Path) -> Result<Vec<PathBuf>, LogError> {
+fn list_files(path: &Path) -> Result<Vec<PathBuf>, LogError> {
     let unreadable = |error| LogError::Unreadable(path.to_owned(), error);
     if path.is_file() {
         return Ok(vec![path.to_owned()]);
@@ -65,13 +67,13 @@
     Ok(files)
 }
 
-fn read_line(text: &str) -> Option<LogLine> {
+fn parse_line(text: &str) -> Option<LogLine> {
     let fields: Value = serde_json::from_str(text.get(text.find('{')?..)?).ok()?;
     let time = fields.get("ts")?.as_str()?;
-    let at: std::time::SystemTime = humantime::parse_rfc3339_weak(time).ok()?;
-    let since = at.duration_since(std::time::UNIX_EPOCH).ok()?;
+    let time: std::time::SystemTime = humantime::parse_rfc3339_weak(time).ok()?;
+    let since_epoch = time.duration_since(std::time::UNIX_EPOCH).ok()?;
     Some(LogLine {
-        at_ms: i64::try_from(since.as_millis()).ok()?,
+        at_ms: i64::try_from(since_epoch.as_millis()).ok()?,
         node: fields.get("node")?.as_str()?.to_owned(),
         event: fields.get("event")?.as_str()?.to_owned(),
         fields,
--- a/crates/woodladder/src/explain/verdict.rs
+++ b/crates/woodladder/src/explain/verdict.rs
@@ -1,4 +1,4 @@
-//! What became of a request or flow, as far as the logs tell.
+//! The outcome of a request or flow, as far as the logs show it.
 
 use std::fmt;
 
@@ -6,10 +6,10 @@
 
 use super::LogLine;
 
-/// Time within which a node writes the line of a decision.
-const WRITTEN_WITHIN_MS: i64 = 100;
+/// Longest time in milliseconds between a decision and the log line about it.
+const LOG_DELAY_MS: i64 = 100;
 
-/// The outcome.
+/// The outcome of a request or flow.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Verdict {
@@ -18,51 +18,53 @@
         /// Node beside the target.
         node: String,
     },
-    /// The flow was reset by a balancer.
+    /// A balancer reset the flow.
     Reset {
-        /// Node that reset it.
+        /// Balancer that reset the flow.
         node: String,
-        /// Why.
+        /// Reason that the balancer logged.
         reason: String,
-        /// Whether nothing of the request has run.
+        /// Whether it is certain that no part of the request has run.
         retry_is_safe: bool,
     },
-    /// It reached the target, and no answer is on record.
+    /// The request reached the target, and no answer is logged.
     DeliveredWithoutAnswer {
         /// Node beside the target.
         node: String,
-        /// What happened to the target meanwhile, when it is known.
+        /// How the target was lost meanwhile, when a node logged that.
         cause: Option<String>,
     },
-    /// It waited beside its target until its timeout and was dropped without having run.
+    /// The agent queued the request until its timeout and dropped it without
+    /// running it.
     GivenUp {
         /// Node beside the target.
         node: String,
-        /// What it waited behind.
+        /// Work that was ahead of the request when it was queued.
         behind: String,
     },
-    /// It waits beside its target, and nothing later is on record.
+    /// The agent queued the request, and nothing later is logged.
     Waiting {
         /// Node beside the target.
         node: String,
-        /// What it waits behind.
+        /// Work that was ahead of the request when it was queued.
         behind: String,
     },
-    /// It waited for a target and none took it.
+    /// The flow waited for a target, and none accepted it.
     NoTarget,
-    /// It was sent to an agent, and nothing else is on record.
+    /// The flow was sent to an agent, and nothing else is logged.
     SentOnly,
 }
 
 impl Verdict {
-    /// The verdict of a flow's lines.
+    /// The outcome that a flow's lines, sorted by time, and the state changes
+    /// around them show.
     #[must_use]
-    pub fn of(own: &[LogLine], surroundings: &[LogLine]) -> Self {
-        let last = |event: &str| own.iter().rev().find(|line| line.event == event);
+    pub fn from_lines(flow_lines: &[LogLine], surroundings: &[LogLine]) -> Self {
+        let last = |event: &str| flow_lines.iter().rev().find(|line| line.event == event);
         let delivered = last("request_delivered");
         let answered = last("request_answered");
         if let Some(reset) = last("flow_reset") {
-            return Self::reset(reset);
+            return Self::from_reset(reset);
         }
         match (delivered, answered) {
             (Some(delivered), Some(answered)) if answered.at_ms >= delivered.at_ms => {
@@ -72,67 +74,75 @@
             }
             (Some(delivered), _) => Self::DeliveredWithoutAnswer {
                 node: delivered.node.clone(),
-                cause: loss_of_target(surroundings),
+                cause: describe_target_loss(surroundings),
             },
             (None, _) if last("flow_without_target").is_some() => Self::NoTarget,
             _ => Self::SentOnly,
         }
     }
 
-    /// The verdict of the last request of a flow's lines, when it waits beside its target
-    /// or was dropped there. Lines of what waits are in their order among themselves;
-    /// the line of a request that reaches its target may come before them.
+    /// The outcome of the last request in a flow's lines, when its agent has it
+    /// queued or dropped it from the queue; `None` otherwise. Lines about the queue
+    /// are in order among themselves. A `request_delivered` line may be out of order
+    /// with them, so it counts as later only when [`LOG_DELAY_MS`] have passed.
     #[must_use]
-    pub fn of_waiting(own: &[LogLine]) -> Option<Self> {
-        const COURSE: [&str; 3] = ["request_queued", "queued_work_released", "request_given_up"];
-        let is_course = |line: &&LogLine| COURSE.contains(&line.event.as_str());
-        let queued = own.iter().rev().find(|line| line.event == COURSE[0])?;
-        let last = own.iter().rev().find(is_course)?;
-        let is_delivered = own.iter().any(|line| {
-            line.event == "request_delivered" && line.at_ms > last.at_ms + WRITTEN_WITHIN_MS
+    pub fn of_queued(flow_lines: &[LogLine]) -> Option<Self> {
+        const QUEUE_EVENTS: [&str; 3] =
+            ["request_queued", "queued_work_released", "request_given_up"];
+        let is_queue_event = |line: &&LogLine| QUEUE_EVENTS.contains(&line.event.as_str());
+        let queued = flow_lines
+            .iter()
+            .rev()
+            .find(|line| line.event == QUEUE_EVENTS[0])?;
+        let last = flow_lines.iter().rev().find(is_queue_event)?;
+        let is_delivered = flow_lines.iter().any(|line| {
+            line.event == "request_delivered" && line.at_ms > last.at_ms + LOG_DELAY_MS
         });
-        if is_delivered || last.event == COURSE[1] {
+        if is_delivered || last.event == QUEUE_EVENTS[1] {
             return None;
         }
-        let (node, behind) = (queued.node.clone(), behind(queued));
-        Some(if last.event == COURSE[2] {
+        let (node, behind) = (queued.node.clone(), describe_work_ahead(queued));
+        Some(if last.event == QUEUE_EVENTS[2] {
             Self::GivenUp { node, behind }
         } else {
             Self::Waiting { node, behind }
         })
     }
 
-    fn reset(line: &LogLine) -> Self {
-        let safe = line.fields.get("retry_is_safe");
+    fn from_reset(line: &LogLine) -> Self {
+        let retry_is_safe = line.fields.get("retry_is_safe");
         Self::Reset {
             node: line.node.clone(),
             reason: line.text("reason").unwrap_or("unknown").to_owned(),
-            retry_is_safe: safe.and_then(serde_json::Value::as_bool).unwrap_or(false),
+            retry_is_safe: retry_is_safe
+                .and_then(serde_json::Value::as_bool)
+                .unwrap_or(false),
         }
     }
 }
 
-/// What the line of a request that had to wait says of the work before it.
-fn behind(queued: &LogLine) -> String {
+/// The work that was ahead of a queued request, from its `request_queued` line.
+fn describe_work_ahead(queued: &LogLine) -> String {
     let count = |name: &str| {
         let value = queued.fields.get(name).and_then(serde_json::Value::as_u64);
         value.unwrap_or(0)
     };
-    let at_work = count("busy") + count("opening");
+    let running_or_expected = count("busy") + count("opening");
     format!(
-        "{at_work} at work or expected, {} waiting, {} of them urgent",
+        "{running_or_expected} running or expected, {} queued, {} of them urgent",
         count("queued").saturating_sub(1),
         count("urgent_waiting"),
     )
 }
 
-fn loss_of_target(surroundings: &[LogLine]) -> Option<String> {
-    const LOSSES: [&str; 3] = ["agent_lost", "target_replaced", "agent_stopped"];
+/// The first line that reports the loss of the target, as text.
+fn describe_target_loss(surroundings: &[LogLine]) -> Option<String> {
+    const TARGET_LOSS_EVENTS: [&str; 3] = ["agent_lost", "target_replaced", "agent_stopped"];
     let line = surroundings
         .iter()
-        .find(|line| LOSSES.contains(&line.event.as_str()))?;
+        .find(|line| TARGET_LOSS_EVENTS.contains(&line.event.as_str()))?;
     Some(format!(
-        "{} saw {} of {}",
+        "{} logged {} for {}",
         line.node,
         line.event,
         line.text("agent").unwrap_or("an agent")
@@ -156,7 +166,7 @@
                 write!(formatter, "reset by {node}: {reason}; {safety}")
             }
             Self::DeliveredWithoutAnswer { node, cause } => {
-                write!(formatter, "delivered at {node}, no answer on record")?;
+                write!(formatter, "delivered at {node}, no answer logged")?;
                 match cause {
                     Some(cause) => write!(formatter, "; {cause}"),
                     None => formatter.write_str(" (answers are logged at level debug)"),
@@ -164,14 +174,14 @@
             }
             Self::GivenUp { node, behind } => write!(
                 formatter,
-                "waited at {node} until its timeout and was dropped, nothing has run; \
-                 before it: {behind}"
+                "queued at {node} until its timeout and dropped, nothing has run; \
+                 ahead of it: {behind}"
             ),
             Self::Waiting { node, behind } => {
-                write!(formatter, "waits at {node}; before it: {behind}")
+                write!(formatter, "queued at {node}; ahead of it: {behind}")
             }
-            Self::NoTarget => formatter.write_str("no target took the flow in time"),
-            Self::SentOnly => formatter.write_str("sent to an agent; nothing else is on record"),
+            Self::NoTarget => formatter.write_str("no target accepted the flow in time"),
+            Self::SentOnly => formatter.write_str("sent to an agent; nothing else is logged"),
         }
     }
 }
--- a/crates/woodladder/src/fleet_report.rs
+++ b/crates/woodladder/src/fleet_report.rs
@@ -1,5 +1,5 @@
-//! What a whole fleet exchanged, and how fast news reached all of it, from the
-//! logs of its nodes.
+//! The traffic that the nodes of a fleet exchanged, and how fast changes reached
+//! all of them, from their logs.
 
 use std::collections::BTreeMap;
 
@@ -7,100 +7,103 @@
 
 use crate::explain::LogLine;
 
-/// Event of the lines with a node's totals by kind of message.
-const MESSAGES: &str = "messages_exchanged";
-/// Event of the lines with a node's calls of the store by kind.
-const STORE_CALLS: &str = "store_calls";
-/// Events that tell of news, each with the field that says which.
-const NEWS: [(&str, &str); 3] = [
+/// Event of the lines that give a node's message totals by kind.
+const MESSAGES_EVENT: &str = "messages_exchanged";
+/// Event of the lines that give a node's store call totals by kind.
+const STORE_CALLS_EVENT: &str = "store_calls";
+/// Events that a node logs when a change reaches it, each with the field that
+/// identifies the change.
+const CHANGE_EVENTS: [(&str, &str); 3] = [
     ("configuration_adopted", "version"),
     ("agent_lost", "agent"),
     ("agent_found", "agent"),
 ];
 
-/// The report.
+/// Traffic totals and propagation times of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetReport {
-    /// Totals by role, direction and kind.
-    pub totals: Vec<Total>,
-    /// How news spread, in the order of [`NEWS`] and of what they tell.
-    pub spreads: Vec<Spread>,
+    /// Traffic totals by role, direction and kind.
+    pub totals: Vec<TrafficTotal>,
+    /// Propagation of each change, in the order of [`CHANGE_EVENTS`], then by
+    /// subject.
+    pub spreads: Vec<Propagation>,
 }
 
-/// What all nodes of one role exchanged of one kind.
+/// Messages or store calls of one kind, for all nodes of one role.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Total {
+pub struct TrafficTotal {
     /// Role of the nodes.
     pub role: String,
-    /// `sent`, `received`, or `calls` to the store.
+    /// `sent` or `received` for messages, `calls` for store calls.
     pub direction: &'static str,
     /// Kind of message or call.
     pub kind: String,
-    /// Nodes that exchanged any.
+    /// Number of nodes that logged this kind.
     pub nodes: usize,
-    /// Messages or calls of all of them.
+    /// Messages or calls of all nodes.
     pub count: u64,
-    /// Bytes of all of them; zero for calls.
+    /// Bytes of all nodes; zero for store calls.
     pub bytes: u64,
-    /// Messages or calls of the node with most.
+    /// Messages or calls of the node with the most.
     pub most: u64,
 }
 
-/// How one piece of news reached the nodes.
+/// How fast one change reached the nodes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Spread {
-    /// The event.
+pub struct Propagation {
+    /// Event that a node logs when the change reaches it.
     pub event: &'static str,
-    /// What it tells of: a version or an agent.
+    /// The configuration version or agent that the change is about.
     pub subject: String,
-    /// Nodes that it reached.
+    /// Number of nodes that the change reached.
     pub nodes: usize,
-    /// Milliseconds from the first node to the middle one.
+    /// Median delay after the first node, in milliseconds.
     pub median_ms: i64,
-    /// The same to the 99th of a hundred.
+    /// 99th percentile of the delay after the first node, in milliseconds.
     pub late_ms: i64,
-    /// The same to the last.
+    /// Delay of the last node after the first, in milliseconds.
     pub last_ms: i64,
 }
 
-/// Messages and bytes of one kind.
+/// Messages or calls of one kind, and their bytes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Amount {
     count: u64,
     bytes: u64,
 }
 
-/// A role, a direction and a kind.
-type Row = (String, &'static str, String);
+/// Role, direction and kind of a total.
+type TotalKey = (String, &'static str, String);
 
-/// Works the report out.
+/// Computes the report from log lines.
 #[must_use]
-pub fn report(lines: &[LogLine]) -> FleetReport {
+pub fn compute_report(lines: &[LogLine]) -> FleetReport {
     FleetReport {
-        totals: totals(lines),
-        spreads: NEWS
+        totals: sum_totals(lines),
+        spreads: CHANGE_EVENTS
             .iter()
-            .flat_map(|(event, field)| spreads(lines, event, field))
+            .flat_map(|(event, field)| measure_propagation(lines, event, field))
             .collect(),
     }
 }
 
-fn totals(lines: &[LogLine]) -> Vec<Total> {
-    let mut by_node: BTreeMap<(Row, &str), Vec<Amount>> = BTreeMap::new();
+/// Traffic totals over all nodes, sorted by role, direction and kind.
+fn sum_totals(lines: &[LogLine]) -> Vec<TrafficTotal> {
+    let mut by_node: BTreeMap<(TotalKey, &str), Vec<Amount>> = BTreeMap::new();
     for line in lines {
-        for (direction, kind, amount) in amounts(line) {
-            let row = (role(line), direction, kind);
+        for (direction, kind, amount) in parse_amounts(line) {
+            let key = (role_of(line), direction, kind);
             by_node
-                .entry((row, line.node.as_str()))
+                .entry((key, line.node.as_str()))
                 .or_default()
                 .push(amount);
         }
     }
-    let mut rows: BTreeMap<Row, Total> = BTreeMap::new();
-    for ((row, _), amounts) in by_node {
-        let amount = over_restarts(&amounts);
-        let (role, direction, kind) = row.clone();
-        let total = rows.entry(row).or_insert(Total {
+    let mut totals: BTreeMap<TotalKey, TrafficTotal> = BTreeMap::new();
+    for ((key, _), amounts) in by_node {
+        let amount = sum_across_restarts(&amounts);
+        let (role, direction, kind) = key.clone();
+        let total = totals.entry(key).or_insert(TrafficTotal {
             role,
             direction,
             kind,
@@ -114,45 +117,47 @@
         total.bytes += amount.bytes;
         total.most = total.most.max(amount.count);
     }
-    rows.into_values().collect()
+    totals.into_values().collect()
 }
 
-/// Totals of a node start from nothing with each of its processes: the last value
-/// of each is added.
-fn over_restarts(amounts: &[Amount]) -> Amount {
+/// Sums the totals of one node, in the order of its log. They restart at zero
+/// with each process, so a lower count marks a restart, and the last value of
+/// each process is added.
+fn sum_across_restarts(amounts: &[Amount]) -> Amount {
     let mut sum = Amount::default();
-    let mut former = Amount::default();
+    let mut previous = Amount::default();
     for amount in amounts {
-        if amount.count < former.count {
-            sum.count += former.count;
-            sum.bytes += former.bytes;
+        if amount.count < previous.count {
+            sum.count += previous.count;
+            sum.bytes += previous.bytes;
         }
-        former = *amount;
+        previous = *amount;
     }
     Amount {
-        count: sum.count + former.count,
-        bytes: sum.bytes + former.bytes,
+        count: sum.count + previous.count,
+        bytes: sum.bytes + previous.bytes,
     }
 }
 
-/// The part of a line's text before its colon.
-fn role(line: &LogLine) -> String {
+/// Role of the node that wrote a line: the prefix of the line's message.
+fn role_of(line: &LogLine) -> String {
     let text = line.fields.get("msg").and_then(|text| text.as_str());
     let role = text.and_then(|text| text.split_once(": "));
     role.map_or("node", |(role, _)| role).to_owned()
 }
 
-fn amounts(line: &LogLine) -> Vec<(&'static str, String, Amount)> {
+/// Direction, kind and amount of each total that a line gives.
+fn parse_amounts(line: &LogLine) -> Vec<(&'static str, String, Amount)> {
     let directions: &[(&'static str, &str)] = match line.event.as_str() {
-        MESSAGES => &[("sent", "sent"), ("received", "received")],
-        STORE_CALLS => &[("calls", "calls")],
+        MESSAGES_EVENT => &[("sent", "sent"), ("received", "received")],
+        STORE_CALLS_EVENT => &[("calls", "calls")],
         _ => &[],
     };
     let mut amounts = Vec::new();
     for (direction, field) in directions {
         let text = line.fields.get(*field).and_then(|text| text.as_str());
         for word in text.unwrap_or_default().split_whitespace() {
-            if let Some((kind, amount)) = read_amount(word) {
+            if let Some((kind, amount)) = parse_amount(word) {
                 amounts.push((*direction, kind, amount));
             }
         }
@@ -160,8 +165,8 @@
     amounts
 }
 
-/// Reads `KIND=COUNT` or `KIND=COUNT/BYTES`.
-fn read_amount(word: &str) -> Option<(String, Amount)> {
+/// Parses `KIND=COUNT` or `KIND=COUNT/BYTES`.
+fn parse_amount(word: &str) -> Option<(String, Amount)> {
     let (kind, figures) = word.split_once('=')?;
     let (count, bytes) = figures.split_once('/').unwrap_or((figures, "0"));
     let amount = Amount {
@@ -171,25 +176,27 @@
     Some((kind.to_owned(), amount))
 }
 
-fn spreads(lines: &[LogLine], event: &'static str, field: &str) -> Vec<Spread> {
-    let mut heard: BTreeMap<String, BTreeMap<&str, i64>> = BTreeMap::new();
+/// Propagation of each change that this event reports, by the change's subject.
+fn measure_propagation(lines: &[LogLine], event: &'static str, field: &str) -> Vec<Propagation> {
+    let mut first_times: BTreeMap<String, BTreeMap<&str, i64>> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.event == event) {
         let Some(subject) = line.fields.get(field) else {
             continue;
         };
         let subject = subject.as_str().map_or(subject.to_string(), str::to_owned);
-        let first = heard
+        let first = first_times
             .entry(subject)
             .or_default()
             .entry(&line.node)
             .or_insert(line.at_ms);
         *first = line.at_ms.min(*first);
     }
-    let spread = |(subject, nodes): (String, BTreeMap<&str, i64>)| {
+    let propagation = |(subject, nodes): (String, BTreeMap<&str, i64>)| {
         let mut times: Vec<i64> = nodes.into_values().collect();
         times.sort_unstable();
-        let after_first = |part: usize| times[(times.len() - 1) * part / 100] - times[0];
-        Spread {
+        let after_first =
+            |percentile: usize| times[(times.len() - 1) * percentile / 100] - times[0];
+        Propagation {
             event,
             subject,
             nodes: times.len(),
@@ -198,5 +205,5 @@
             last_ms: after_first(100),
         }
     };
-    heard.into_iter().map(spread).collect()
+    first_times.into_iter().map(propagation).collect()
 }
--- a/crates/woodladder/src/lib.rs
+++ b/crates/woodladder/src/lib.rs
@@ -1,4 +1,5 @@
-//! Shells round the decision logic: daemons and the command line.
+//! Daemons and command line of the load balancer: the I/O around the decision
+//! logic of `woodladder-core`.
 
 pub mod agent;
 pub mod balancer;
--- a/crates/woodladder/src/log.rs
+++ b/crates/woodladder/src/log.rs
@@ -1,59 +1,59 @@
-//! Logs: structured, to standard error, by an asynchronous drain.
+//! Structured logging to standard error through an asynchronous slog drain.
 //!
-//! Messages are short sentences that start with the fixed prefix of their
-//! part, such as `balancer: ` or `control: `.
+//! Messages are short sentences that start with the fixed prefix of the
+//! component that logs them, such as `balancer: ` or `control: `.
 
 use slog::{Drain, Level, Logger, o};
 use slog_async::OverflowStrategy;
 
-/// Records that may wait for the drain before further ones are dropped and
-/// counted.
+/// Records that may wait for the asynchronous drain. Records beyond these are
+/// dropped, and their number is logged.
 const QUEUE_LENGTH: usize = 4096;
 
-/// Least severe records that are written.
+/// Minimum severity of the records that are written.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogLevel {
-    /// Every step of every part.
+    /// Every step of every component.
     Trace,
     /// Steps of the control traffic.
     Debug,
     /// Starts, stops and changes of configuration.
     #[default]
     Info,
-    /// Faults of others that were dealt with.
+    /// Failures of other nodes or services that were handled.
     Warning,
-    /// Faults that need the operators.
+    /// Failures that need an operator.
     Error,
 }
 
-/// Form of a log record.
+/// Output format of log records.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Terminal,
     /// One JSON object on each line.
     Json,
 }
 
-/// What is logged and in which form.
+/// Which records are logged, and in which format.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LogSettings {
-    /// Least severe records that are written.
+    /// Minimum severity of the records that are written.
     pub level: LogLevel,
-    /// Form of a record.
+    /// Output format of the records.
     pub format: LogFormat,
 }
 
-/// Writes the records that still wait when it is dropped.
+/// Flushes the queued records when it is dropped.
 pub struct LogGuard {
     _drain: slog_async::AsyncGuard,
 }
 
 impl LogLevel {
-    /// The level with this name.
+    /// The level with this name, as the setting `log_level` spells it.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "trace" => Some(Self::Trace),
             "debug" => Some(Self::Debug),
@@ -76,9 +76,9 @@
 }
 
 impl LogFormat {
-    /// The format with this name.
+    /// The format with this name, as the setting `log_format` spells it.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "terminal" => Some(Self::Terminal),
             "json" => Some(Self::Json),
@@ -87,28 +87,31 @@
     }
 }
 
-/// Opens the log on standard error. Records that cannot be written, such as
-/// when nobody reads them any more, are lost; the process goes on.
+/// Creates a logger that writes to standard error. Records that cannot be
+/// written, for example because the reader closed the pipe, are discarded, and
+/// the process continues.
 pub fn open(settings: LogSettings) -> (Logger, LogGuard) {
     match settings.format {
         LogFormat::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build();
-            detached(drain.ignore_res(), settings.level)
+            asynchronous_logger(drain.ignore_res(), settings.level)
         }
         LogFormat::Json => {
             let drain = slog_json::Json::default(std::io::stderr());
-            detached(std::sync::Mutex::new(drain).ignore_res(), settings.level)
+            asynchronous_logger(std::sync::Mutex::new(drain).ignore_res(), settings.level)
         }
     }
 }
 
-/// A log that writes nothing.
+/// A logger that writes nothing.
 pub fn discarding_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-fn detached<D>(drain: D, level: LogLevel) -> (Logger, LogGuard)
+/// A logger that queues records for a thread of its own, which writes them to
+/// `drain`.
+fn asynchronous_logger<D>(drain: D, level: LogLevel) -> (Logger, LogGuard)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
--- a/crates/woodladder/src/settings/value.rs
+++ b/crates/woodladder/src/settings/value.rs
@@ -145,10 +145,10 @@
 
 /// A log level.
 pub fn log_level(text: &str) -> Result<LogLevel, &'static str> {
-    LogLevel::named(text).ok_or(RULE_LEVEL)
+    LogLevel::from_name(text).ok_or(RULE_LEVEL)
 }
 
 /// A log format.
 pub fn log_format(text: &str) -> Result<LogFormat, &'static str> {
-    LogFormat::named(text).ok_or(RULE_FORMAT)
+    LogFormat::from_name(text).ok_or(RULE_FORMAT)
 }
--- a/crates/woodladder/tests/explain.rs
+++ b/crates/woodladder/tests/explain.rs
@@ -1,14 +1,14 @@
-//! From a request's identifier to its cause, for three kinds of failure. The
-//! lines are as nodes write them.
+//! Explanations of requests that failed, waited or were answered, from log
+//! lines in the form that nodes write.
 
 use std::fs;
 
 use woodladder::explain::{Explanation, LogError, Verdict, explain, read_directory};
 
 const FLOW: &str = "100.64.0.7:40001>198.18.0.1:443";
-const OTHER: &str = "100.64.0.9:40009>198.18.0.1:443";
+const OTHER_FLOW: &str = "100.64.0.9:40009>198.18.0.1:443";
 
-/// A log line at a time in milliseconds.
+/// A log line at this time of the test, with the prefix that a log collector adds.
 fn line(milliseconds: u32, node: &str, event: &str, fields: &str) -> String {
     let (seconds, rest) = (milliseconds / 1000, milliseconds % 1000);
     format!(
@@ -36,9 +36,9 @@
     explain(key, &lines)
 }
 
-/// The request was at work when its target's machine lost power.
+/// The target's machine lost power while the request was running.
 #[test]
-fn a_request_whose_target_died_names_the_loss() {
+fn a_request_whose_agent_was_lost_names_the_loss() {
     let balancer = [
         flow_line(1000, "edge-1", "flow_sent", ",\"agent\":\"10.0.0.9:7000\""),
         line(
@@ -73,7 +73,7 @@
     assert_eq!(
         explanation.surroundings.len(),
         1,
-        "the other agent is none of its business"
+        "the loss of another agent is not included"
     );
     let Verdict::DeliveredWithoutAnswer { node, cause } = explanation.verdict else {
         panic!("{:?}", explanation.verdict);
@@ -82,13 +82,13 @@
     assert!(
         cause
             .expect("a cause")
-            .contains("agent_lost of 10.0.0.9:7000")
+            .contains("agent_lost for 10.0.0.9:7000")
     );
 }
 
-/// The route was dropped by a change of the configuration.
+/// A new configuration removed the route of the service.
 #[test]
-fn a_request_reset_at_a_change_of_configuration_names_the_version() {
+fn a_request_reset_after_a_configuration_change_shows_that_change() {
     let balancer = [
         line(
             900,
@@ -116,13 +116,13 @@
         explanation
             .missing
             .iter()
-            .any(|it| it.contains("no agent's line"))
+            .any(|text| text.contains("no line of an agent"))
     );
 }
 
-/// A request on an open flow waited beside its target; what it waited behind is named.
+/// The agent queued a request on an open flow; the work ahead of it is reported.
 #[test]
-fn a_request_that_waits_beside_its_target_names_what_it_waits_behind() {
+fn a_queued_request_names_the_work_ahead_of_it() {
     let queued = flow_line(
         1000,
         "side-1",
@@ -144,7 +144,7 @@
             .verdict
     };
     let node = "side-1".to_owned();
-    let behind = "3 at work or expected, 4 waiting, 3 of them urgent".to_owned();
+    let behind = "3 running or expected, 4 queued, 3 of them urgent".to_owned();
     let waiting = Verdict::Waiting {
         node: node.clone(),
         behind: behind.clone(),
@@ -152,18 +152,24 @@
     assert_eq!(verdict(FLOW, &[&queued]), waiting);
     let dropped = Verdict::GivenUp { node, behind };
     assert_eq!(verdict(FLOW, &[&queued, &given_up]), dropped);
-    let course = [&queued, &delivered, &released];
+    let delivered_lines = [&queued, &delivered, &released];
     for key in [FLOW, "a1b2"] {
-        let reached = verdict(key, &course);
-        assert!(matches!(reached, Verdict::DeliveredWithoutAnswer { .. }));
+        let delivered_verdict = verdict(key, &delivered_lines);
+        assert!(matches!(
+            delivered_verdict,
+            Verdict::DeliveredWithoutAnswer { .. }
+        ));
     }
-    let of_another = verdict("a1b2", &[&delivered, &released, &queued]);
-    assert!(matches!(of_another, Verdict::DeliveredWithoutAnswer { .. }));
+    let with_later_request_queued = verdict("a1b2", &[&delivered, &released, &queued]);
+    assert!(matches!(
+        with_later_request_queued,
+        Verdict::DeliveredWithoutAnswer { .. }
+    ));
 }
 
-/// Every target was full, and the opening waited in vain.
+/// Every target was full until the opening's waiting time was over.
 #[test]
-fn a_request_refused_for_load_names_the_wait() {
+fn a_request_without_a_free_target_names_the_reset() {
     let balancer = [
         flow_line(1000, "edge-1", "flow_without_target", ",\"known\":7"),
         flow_line(
@@ -182,7 +188,7 @@
 }
 
 #[test]
-fn an_answered_request_is_told_apart() {
+fn an_answered_request_is_reported_as_answered() {
     let agent = [
         flow_line(1005, "side-1", "request_delivered", ",\"request\":\"a1b2\""),
         flow_line(1050, "side-1", "request_answered", ",\"service_ms\":45.0"),
@@ -190,7 +196,7 @@
             1060,
             "side-1",
             "request_delivered",
-            &format!(",\"flow\":\"{OTHER}\",\"request\":\"c3\""),
+            &format!(",\"flow\":\"{OTHER_FLOW}\",\"request\":\"c3\""),
         ),
     ];
     let files = [("side.log", agent.concat())];
@@ -200,7 +206,7 @@
 }
 
 #[test]
-fn what_is_nowhere_is_said_so() {
+fn unknown_keys_and_missing_logs_are_reported() {
     let files = [("side.log", line(1, "side-1", "started", ""))];
     assert_eq!(explained("a1b2", &files), None);
     let empty = tempfile::tempdir().expect("a directory");
@@ -224,13 +230,14 @@
         explanation
             .missing
             .iter()
-            .any(|it| it.contains("edge-1 left out 12 lines"))
+            .any(|text| text.contains("edge-1 left out 12 lines"))
     );
 }
 
-/// The target crashed with the request at work and began again under its name.
+/// The target crashed while the request was running and restarted under the
+/// same name.
 #[test]
-fn a_request_whose_target_began_again_names_the_replacement() {
+fn a_request_whose_target_restarted_names_the_replacement() {
     let replaced = |agent: &str| {
         let fields = format!(",\"agent\":\"{agent}\",\"ended\":\"80aa\",\"flows_reset\":12");
         line(1700, "edge-1", "target_replaced", &fields)
@@ -246,7 +253,7 @@
     let explanation = explained("a1b2", &files).expect("known");
     assert_eq!(explanation.surroundings.len(), 1);
     let text = explanation.verdict.to_string();
-    assert!(text.contains("target_replaced of 10.0.0.9:7000"), "{text}");
+    assert!(text.contains("target_replaced for 10.0.0.9:7000"), "{text}");
     let reset = ",\"reason\":\"target_ended\",\"retry_is_safe\":false";
     let with_reset = [
         balancer.concat(),
--- a/crates/woodladder/tests/fleet_report.rs
+++ b/crates/woodladder/tests/fleet_report.rs
@@ -1,9 +1,10 @@
-//! Totals and the spread of news from log lines as nodes write them.
+//! Traffic totals and propagation times, from log lines in the form that nodes
+//! write.
 
 use std::fs;
 
 use woodladder::explain::{LogLine, read_directory};
-use woodladder::fleet_report::{Spread, Total, report};
+use woodladder::fleet_report::{Propagation, TrafficTotal, compute_report};
 
 fn line(milliseconds: u32, node: &str, text: &str, event: &str, fields: &str) -> String {
     format!(
@@ -18,7 +19,7 @@
     read_directory(directory.path()).expect("log lines")
 }
 
-fn exchanged(milliseconds: u32, node: &str, sent: &str) -> String {
+fn messages_exchanged(milliseconds: u32, node: &str, sent: &str) -> String {
     let fields = format!("\"sent\":\"{sent}\",\"received\":\"\"");
     let text = "agent: messages exchanged";
     line(milliseconds, node, text, "messages_exchanged", &fields)
@@ -27,13 +28,13 @@
 #[test]
 fn the_last_totals_of_each_process_are_added() {
     let lines = read(&[
-        exchanged(100, "side-1", "report=10/800 accepted=1/40"),
-        exchanged(200, "side-1", "report=20/1600 accepted=1/40"),
-        // It has started again.
-        exchanged(300, "side-1", "report=5/400"),
-        exchanged(300, "side-2", "report=7/560"),
+        messages_exchanged(100, "side-1", "report=10/800 accepted=1/40"),
+        messages_exchanged(200, "side-1", "report=20/1600 accepted=1/40"),
+        // side-1 has restarted.
+        messages_exchanged(300, "side-1", "report=5/400"),
+        messages_exchanged(300, "side-2", "report=7/560"),
     ]);
-    let total = |kind: &str, nodes, count, bytes, most| Total {
+    let total = |kind: &str, nodes, count, bytes, most| TrafficTotal {
         role: "agent".to_owned(),
         direction: "sent",
         kind: kind.to_owned(),
@@ -46,11 +47,11 @@
         total("accepted", 1, 1, 40, 1),
         total("report", 2, 32, 2560, 25),
     ];
-    assert_eq!(report(&lines).totals, expected);
+    assert_eq!(compute_report(&lines).totals, expected);
 }
 
 #[test]
-fn news_is_counted_from_the_first_node_that_has_it() {
+fn propagation_is_measured_from_the_first_node_that_has_a_change() {
     let adopted = |milliseconds, node| {
         let text = "node: configuration adopted";
         line(
@@ -65,10 +66,10 @@
         adopted(140, "edge-2"),
         adopted(100, "edge-1"),
         adopted(350, "side-1"),
-        // What a node hears again is no news.
+        // Only a node's first line about a change counts.
         adopted(900, "edge-1"),
     ]);
-    let expected = Spread {
+    let expected = Propagation {
         event: "configuration_adopted",
         subject: "7".to_owned(),
         nodes: 3,
@@ -76,5 +77,5 @@
         late_ms: 40,
         last_ms: 250,
     };
-    assert_eq!(report(&lines).spreads, vec![expected]);
+    assert_eq!(compute_report(&lines).spreads, vec![expected]);
 }
