--- a/crates/woodladder/src/command/bundle.rs
+++ b/crates/woodladder/src/command/bundle.rs
@@ -14,7 +14,7 @@
 use super::failure::Failure;
 use super::key_file::read_key;
 use super::output::print_json;
-use crate::settings::public_key;
+use crate::settings::parse_public_key;
 
 pub(super) const HELP: &str = "Examples:
   woodladder bundle new --out bundle.toml
@@ -41,7 +41,7 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// Public key that a signed bundle must bear; may be given several times
-        #[arg(long = "trusted-key", value_name = "HEX", value_parser = public_key)]
+        #[arg(long = "trusted-key", value_name = "HEX", value_parser = parse_public_key)]
         trusted_keys: Vec<PublicKey>,
         /// Print the findings as JSON
         #[arg(long)]
--- a/crates/woodladder/src/command/check_settings.rs
+++ b/crates/woodladder/src/command/check_settings.rs
@@ -6,7 +6,7 @@
 use woodladder_core::finding::Findings;
 
 use super::failure::Failure;
-use crate::settings::{AgentSettings, BalancerSettings, Layers, OperatorSettings};
+use crate::settings::{AgentSettings, BalancerSettings, OperatorSettings, SettingsLayers};
 
 pub(super) const HELP: &str = "Examples:
   woodladder check-settings --role balancer balancer.toml
@@ -34,7 +34,9 @@
 impl CheckSettingsCommand {
     pub(super) fn run(self) -> Result<(), Failure> {
         let mut findings = Findings::new();
-        let layers = Layers::new().file(&self.file, &mut findings).environment();
+        let layers = SettingsLayers::new()
+            .file(&self.file, &mut findings)
+            .environment();
         match self.role {
             SettingsRole::Balancer => BalancerSettings::read(&layers, findings).map(drop)?,
             SettingsRole::Agent => AgentSettings::read(&layers, findings).map(drop)?,
--- a/crates/woodladder/src/command/runtime.rs
+++ b/crates/woodladder/src/command/runtime.rs
@@ -7,15 +7,15 @@
 use woodladder_core::finding::Findings;
 
 use super::failure::Failure;
-use crate::settings::{Layers, OperatorFlags, OperatorSettings};
+use crate::settings::{OperatorFlags, OperatorSettings, SettingsLayers};
 
-/// Layers of a settings file, the environment and flags.
+/// SettingsLayers of a settings file, the environment and flags.
 pub(super) fn layers(
     file: Option<&Path>,
     flags: &impl Serialize,
     findings: &mut Findings,
-) -> Layers {
-    let mut layers = Layers::new();
+) -> SettingsLayers {
+    let mut layers = SettingsLayers::new();
     if let Some(file) = file {
         layers = layers.file(file, findings);
     }
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -9,18 +9,18 @@
 use woodladder_core::identifier::{ServiceId, TargetId};
 use woodladder_core::target::drain::MAXIMUM_DRAIN_GRACE;
 
-use super::layer::Layers;
+use super::layer::SettingsLayers;
 use super::node::NodeSettings;
-use super::reader::Reader;
+use super::reader::SettingsReader;
 use super::value;
 use crate::agent::{self, CertificateError, Limits};
 
 const DEFAULT_WORKERS: usize = 2;
-/// As long as a removed target stays resolvable: a stream may last a week, and
-/// a planned stop must not cut it.
+/// The time for which a removed target can still be resolved. A stream may last a
+/// week, and a planned stop must not cut it.
 const DEFAULT_DRAIN_TIMEOUT: Duration = DEFAULT_LINGER;
 
-const RULE_DRAIN_GRACE: &str = "a leaving target takes no request after 4 seconds";
+const RULE_DRAIN_GRACE: &str = "a leaving target accepts requests for at most 4 seconds";
 const RULE_CERTIFICATE: &str =
     "either tls_certificate and tls_key are both set, or server_names has an entry";
 
@@ -29,47 +29,48 @@
 pub struct AgentSettings {
     /// Settings shared with balancers.
     pub node: NodeSettings,
-    /// Address for envelopes from balancers and other agents.
+    /// Listen address for enveloped datagrams from balancers and other agents.
     pub data_listen: SocketAddr,
-    /// Target that the agent stands before.
+    /// Target that the agent serves.
     pub target: TargetId,
     /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Address of the back end, for HTTP/1.1.
+    /// Address of the back end, which speaks HTTP/1.1.
     pub back_end: SocketAddr,
-    /// Path of the back end's health endpoint, if it is to be asked.
+    /// Path of the back end's health endpoint; absent when the agent is not to
+    /// poll one.
     pub health_path: Option<String>,
-    /// Addresses of the fabric that take datagrams towards callers.
+    /// Addresses of the network fabric that datagrams to callers are sent to.
     pub fabric_egress: Vec<SocketAddr>,
-    /// What callers are shown as certificate.
-    pub certificate: Certificate,
-    /// Bounds on work.
+    /// Source of the certificate that callers are shown.
+    pub certificate: CertificateSource,
+    /// Limits on requests, connections and times.
     pub limits: Limits,
-    /// Threads of the data path and control together.
+    /// Number of threads for the data path and the control plane together.
     pub worker_threads: usize,
-    /// Longest time that a planned stop waits for open streams.
+    /// Longest time for which a planned stop waits for open streams to end.
     pub drain_timeout: Duration,
 }
 
-/// Certificate that callers are shown.
+/// Where the certificate that callers are shown comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Certificate {
-    /// PEM files of the certificate chain and its private key.
+pub enum CertificateSource {
+    /// PEM files.
     Files {
-        /// Certificate chain.
+        /// File with the certificate chain.
         chain: PathBuf,
-        /// Private key.
+        /// File with the certificate's private key.
         key: PathBuf,
     },
-    /// A certificate for these names, made and signed by the agent itself.
+    /// A self-signed certificate that the agent creates for these names.
     SelfSigned(Vec<String>),
 }
 
-impl Certificate {
-    /// Reads the files, or makes the certificate.
+impl CertificateSource {
+    /// Reads the files or creates the self-signed certificate.
     ///
     /// # Errors
-    /// [`CertificateError`] when a file or a name cannot be used.
+    /// [`CertificateError`] when a file cannot be read or a name is invalid.
     pub fn load(&self) -> Result<agent::Certificate, CertificateError> {
         match self {
             Self::Files { chain, key } => agent::Certificate::from_pem_files(chain, key),
@@ -82,26 +83,30 @@
     /// Reads the settings from the layers.
     ///
     /// # Errors
-    /// `findings` when a layer could not be read, otherwise every fault.
-    pub fn read(layers: &Layers, findings: Findings) -> Result<Self, Findings> {
+    /// `findings` when a layer could not be read, otherwise all findings.
+    pub fn read(layers: &SettingsLayers, findings: Findings) -> Result<Self, Findings> {
         if !findings.is_empty() {
             return Err(findings);
         }
-        let mut reader = Reader::new(layers);
+        let mut reader = SettingsReader::new(layers);
         let node = NodeSettings::read(&mut reader);
-        let data_listen = reader.required("data_listen", value::listen_address);
-        let target = reader.required("target", value::identifier);
-        let service = reader.required("service", value::identifier);
-        let back_end = reader.required("back_end", value::peer_address);
-        let health_path = reader.optional("health_path", value::url_path);
-        let fabric_egress = reader.required_list("fabric_egress", value::peer_address);
+        let data_listen = reader.required("data_listen", value::parse_listen_address);
+        let target = reader.required("target", value::parse_identifier);
+        let service = reader.required("service", value::parse_identifier);
+        let back_end = reader.required("back_end", value::parse_peer_address);
+        let health_path = reader.optional("health_path", value::parse_url_path);
+        let fabric_egress = reader.required_list("fabric_egress", value::parse_peer_address);
         let certificate = read_certificate(&mut reader);
         let limits = read_limits(&mut reader);
-        let worker_threads = reader.defaulted("worker_threads", DEFAULT_WORKERS, value::count);
-        let drain_timeout =
-            reader.defaulted("drain_timeout", DEFAULT_DRAIN_TIMEOUT, value::duration);
+        let worker_threads =
+            reader.optional_or("worker_threads", DEFAULT_WORKERS, value::parse_count);
+        let drain_timeout = reader.optional_or(
+            "drain_timeout",
+            DEFAULT_DRAIN_TIMEOUT,
+            value::parse_duration,
+        );
         let findings = reader.finish();
-        let complete = (|| {
+        let settings = (|| {
             Some(Self {
                 node: node?,
                 data_listen: data_listen?,
@@ -116,40 +121,42 @@
                 drain_timeout,
             })
         })();
-        match complete {
+        match settings {
             Some(settings) if findings.is_empty() => Ok(settings),
             _ => Err(findings),
         }
     }
 }
 
-fn read_certificate(reader: &mut Reader<'_>) -> Option<Certificate> {
-    let chain = reader.optional("tls_certificate", value::path);
-    let key = reader.optional("tls_key", value::path);
-    let names = reader.list("server_names", value::server_name);
+fn read_certificate(reader: &mut SettingsReader<'_>) -> Option<CertificateSource> {
+    let chain = reader.optional("tls_certificate", value::parse_path);
+    let key = reader.optional("tls_key", value::parse_path);
+    let names = reader.list("server_names", value::parse_server_name);
     match (chain, key) {
-        (Some(chain), Some(key)) if names.is_empty() => Some(Certificate::Files { chain, key }),
-        (None, None) if !names.is_empty() => Some(Certificate::SelfSigned(names)),
+        (Some(chain), Some(key)) if names.is_empty() => {
+            Some(CertificateSource::Files { chain, key })
+        }
+        (None, None) if !names.is_empty() => Some(CertificateSource::SelfSigned(names)),
         _ => {
-            let problem = "leaves the certificate unclear".to_owned();
-            reader.fault("tls_certificate", problem, RULE_CERTIFICATE);
+            let problem = "does not determine the certificate".to_owned();
+            reader.add_finding("tls_certificate", problem, RULE_CERTIFICATE);
             None
         }
     }
 }
 
-fn read_limits(reader: &mut Reader<'_>) -> Limits {
+fn read_limits(reader: &mut SettingsReader<'_>) -> Limits {
     let default = Limits::default();
-    let slots = reader.defaulted("slots", default.slots, value::count);
-    let queue = reader.defaulted("queue", default.queue, value::count);
-    let connections = reader.defaulted("connections", default.connections, value::count);
-    let streams_per_connection = reader.defaulted(
+    let slots = reader.optional_or("slots", default.slots, value::parse_count);
+    let queue = reader.optional_or("queue", default.queue, value::parse_count);
+    let connections = reader.optional_or("connections", default.connections, value::parse_count);
+    let streams_per_connection = reader.optional_or(
         "streams_per_connection",
         default.streams_per_connection,
-        value::count,
+        value::parse_count,
     );
-    let slow_start = reader.defaulted("slow_start", true, value::switch);
-    let mut duration = |key, default| reader.defaulted(key, default, value::duration);
+    let slow_start = reader.optional_or("slow_start", true, value::parse_boolean);
+    let mut duration = |key, default| reader.optional_or(key, default, value::parse_duration);
     let limits = Limits {
         slots,
         queue,
@@ -164,7 +171,7 @@
     };
     if limits.drain_grace > MAXIMUM_DRAIN_GRACE {
         let problem = format!("{:?} is not accepted", limits.drain_grace);
-        reader.fault("drain_grace", problem, RULE_DRAIN_GRACE);
+        reader.add_finding("drain_grace", problem, RULE_DRAIN_GRACE);
     }
     limits
 }
--- a/crates/woodladder/src/settings/balancer.rs
+++ b/crates/woodladder/src/settings/balancer.rs
@@ -7,9 +7,9 @@
 use woodladder_core::packets::hop_list::MAXIMUM_HOPS;
 use woodladder_core::packets::router::DEFAULT_HOPS;
 
-use super::layer::Layers;
+use super::layer::SettingsLayers;
 use super::node::NodeSettings;
-use super::reader::Reader;
+use super::reader::SettingsReader;
 use super::value;
 
 const DEFAULT_WORKERS: usize = 1;
@@ -17,24 +17,25 @@
 const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(2);
 const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-const RULE_HOPS: &str = "a flow has 1 to 4 candidates";
+const RULE_HOPS: &str = "a flow has 1 to 4 candidate targets";
 
 /// Settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
     /// Settings shared with agents.
     pub node: NodeSettings,
-    /// Address for datagrams from the fabric.
+    /// Listen address for datagrams from the network fabric.
     pub data_listen: SocketAddr,
-    /// Threads that forward datagrams, each with a socket of its own.
+    /// Number of threads that forward datagrams, each with a socket of its own.
     pub worker_threads: usize,
-    /// Bytes asked for as each data socket's receive and send buffer.
+    /// Size in bytes that is requested for the receive buffer and for the send
+    /// buffer of each data socket.
     pub socket_buffer: usize,
-    /// Candidates named for each new flow.
+    /// Number of candidate targets for each new flow.
     pub hops: usize,
-    /// Least time that forwarding goes on after a stop is asked for.
+    /// Shortest time for which forwarding continues after a stop is requested.
     pub stop_grace: Duration,
-    /// Longest time that a planned stop waits for traffic to cease.
+    /// Longest time for which a planned stop waits for traffic to cease.
     pub stop_timeout: Duration,
 }
 
@@ -42,21 +43,25 @@
     /// Reads the settings from the layers.
     ///
     /// # Errors
-    /// `findings` when a layer could not be read, otherwise every fault.
-    pub fn read(layers: &Layers, findings: Findings) -> Result<Self, Findings> {
+    /// `findings` when a layer could not be read, otherwise all findings.
+    pub fn read(layers: &SettingsLayers, findings: Findings) -> Result<Self, Findings> {
         if !findings.is_empty() {
             return Err(findings);
         }
-        let mut reader = Reader::new(layers);
+        let mut reader = SettingsReader::new(layers);
         let node = NodeSettings::read(&mut reader);
-        let data_listen = reader.required("data_listen", value::listen_address);
-        let worker_threads = reader.defaulted("worker_threads", DEFAULT_WORKERS, value::count);
-        let socket_buffer = reader.defaulted("socket_buffer", DEFAULT_SOCKET_BUFFER, value::count);
-        let hops = reader.defaulted("hops", DEFAULT_HOPS, value::count);
-        let stop_grace = reader.defaulted("stop_grace", DEFAULT_STOP_GRACE, value::duration);
-        let stop_timeout = reader.defaulted("stop_timeout", DEFAULT_STOP_TIMEOUT, value::duration);
+        let data_listen = reader.required("data_listen", value::parse_listen_address);
+        let worker_threads =
+            reader.optional_or("worker_threads", DEFAULT_WORKERS, value::parse_count);
+        let socket_buffer =
+            reader.optional_or("socket_buffer", DEFAULT_SOCKET_BUFFER, value::parse_count);
+        let hops = reader.optional_or("hops", DEFAULT_HOPS, value::parse_count);
+        let stop_grace =
+            reader.optional_or("stop_grace", DEFAULT_STOP_GRACE, value::parse_duration);
+        let stop_timeout =
+            reader.optional_or("stop_timeout", DEFAULT_STOP_TIMEOUT, value::parse_duration);
         if hops > MAXIMUM_HOPS {
-            reader.fault("hops", format!("`{hops}` is not accepted"), RULE_HOPS);
+            reader.add_finding("hops", format!("`{hops}` is not accepted"), RULE_HOPS);
         }
         let findings = reader.finish();
         let (Some(node), Some(data_listen), true) = (node, data_listen, findings.is_empty()) else {
--- a/crates/woodladder/src/settings/flags.rs
+++ b/crates/woodladder/src/settings/flags.rs
@@ -1,5 +1,5 @@
-//! Flags that override settings. Every setting has one; values are checked
-//! together with those of the other layers.
+//! Command-line flags that override settings. Every setting has a flag. Values
+//! are checked together with those of the other layers.
 
 use std::path::PathBuf;
 
@@ -9,17 +9,17 @@
 /// Flags of the log.
 #[derive(Args, Clone, Debug, Default, Serialize)]
 pub struct LogFlags {
-    /// Least severe log records to write: trace, debug, info, warning, error
+    /// Minimum severity of log records: trace, debug, info, warning, error
     #[arg(long, value_name = "LEVEL")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub log_level: Option<String>,
-    /// Form of log records: terminal, json
+    /// Output format of log records: terminal, json
     #[arg(long, value_name = "FORMAT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub log_format: Option<String>,
 }
 
-/// Flags that name the platform's services and other nodes.
+/// Flags for the addresses of the platform's services and of other nodes.
 #[derive(Args, Clone, Debug, Default, Serialize)]
 pub struct PlatformFlags {
     /// Address of the key-value service; may be given several times
@@ -30,7 +30,7 @@
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub machine_list: Option<String>,
-    /// Control address of a node to ask first; may be given several times
+    /// Control address of a node to contact first; may be given several times
     #[arg(long = "seed", value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub seeds: Vec<String>,
@@ -43,19 +43,19 @@
     #[arg(long, value_name = "FILE", env = "WOODLADDER_SETTINGS")]
     #[serde(skip)]
     pub settings: Option<PathBuf>,
-    /// Address for control datagrams among nodes
+    /// Listen address for control datagrams from other nodes
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control_listen: Option<String>,
-    /// Address that other nodes send control datagrams to, when it is another
+    /// Address that other nodes send control datagrams to, when it is not the listen address
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control_advertise: Option<String>,
-    /// Address for status, health and metrics over HTTP
+    /// Listen address of the HTTP server for status, health and metrics
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub http_listen: Option<String>,
-    /// Address for datagrams of callers
+    /// Listen address for callers' datagrams
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_listen: Option<String>,
@@ -63,7 +63,7 @@
     #[arg(long, value_name = "NAME")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Region of the zone; the zone's name when not set
+    /// Region of the zone; defaults to the zone's name
     #[arg(long, value_name = "NAME")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub region: Option<String>,
@@ -79,11 +79,11 @@
     #[arg(long, value_name = "HEX")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cluster_key: Option<String>,
-    /// Key that routing tokens are issued under
+    /// Key for issuing and accepting routing tokens
     #[arg(long, value_name = "NUMBER:HEX")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub token_key_current: Option<String>,
-    /// Key that routing tokens are still accepted under
+    /// Previous key, for which routing tokens are still accepted
     #[arg(long, value_name = "NUMBER:HEX")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub token_key_previous: Option<String>,
@@ -100,23 +100,23 @@
     #[command(flatten)]
     #[serde(flatten)]
     pub node: NodeFlags,
-    /// Threads that forward datagrams
+    /// Number of threads that forward datagrams
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub worker_threads: Option<String>,
-    /// Bytes asked for as each data socket's buffers
+    /// Size in bytes to request for each buffer of a data socket
     #[arg(long, value_name = "BYTES")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub socket_buffer: Option<String>,
-    /// Candidates named for each new flow
+    /// Number of candidate targets for each new flow
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hops: Option<String>,
-    /// Least time that forwarding goes on after a stop is asked for
+    /// Shortest time for which forwarding continues after a stop is requested
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub stop_grace: Option<String>,
-    /// Longest time that a planned stop waits for traffic to cease
+    /// Longest time for which a planned stop waits for traffic to cease
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub stop_timeout: Option<String>,
@@ -129,11 +129,11 @@
     #[command(flatten)]
     #[serde(flatten)]
     pub node: NodeFlags,
-    /// Threads of the data path and control together
+    /// Number of threads for the data path and the control plane together
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub worker_threads: Option<String>,
-    /// Identifier of the target that the agent stands before
+    /// Identifier of the target that the agent serves
     #[arg(long, value_name = "ID")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target: Option<String>,
@@ -145,11 +145,11 @@
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub back_end: Option<String>,
-    /// Path of the back end's health endpoint; 503 there means leaving
+    /// Path of the back end's health endpoint; status 503 means that the target is leaving
     #[arg(long, value_name = "PATH")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub health_path: Option<String>,
-    /// Address of the fabric towards callers; may be given several times
+    /// Address of the network fabric to send datagrams for callers to; may be given several times
     #[arg(long, value_name = "IP:PORT")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub fabric_egress: Vec<String>,
@@ -161,27 +161,27 @@
     #[arg(long, value_name = "FILE")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tls_key: Option<String>,
-    /// Name for a self-signed certificate; may be given several times
+    /// Server name for a self-signed certificate; may be given several times
     #[arg(long = "server-name", value_name = "NAME")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub server_names: Vec<String>,
-    /// Requests that the back end runs at the same time
+    /// Number of requests that the back end runs at the same time
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slots: Option<String>,
-    /// Requests that may wait for a slot
+    /// Maximum number of requests queued for a slot
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub queue: Option<String>,
-    /// Connections of callers, and connections to the back end, each
+    /// Maximum number of callers' connections, and of connections to the back end
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections: Option<String>,
-    /// Requests that one caller's connection may have open
+    /// Maximum number of open requests on one caller's connection
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub streams_per_connection: Option<String>,
-    /// Time without any packet after which a caller's connection ends
+    /// Time without packets after which a caller's connection is closed
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle_timeout: Option<String>,
@@ -189,23 +189,23 @@
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub keep_alive: Option<String>,
-    /// Longest time for a whole answer when the caller names no deadline
+    /// Longest time for a whole answer when the caller gives no deadline
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_timeout: Option<String>,
-    /// Shortest time after which a caller whose request was not run may ask again
+    /// Shortest time after which a caller may retry a request that was not run
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub minimum_retry_after: Option<String>,
-    /// Whether slots come into use one after another after a start
+    /// Whether slots come into use one after another after the start
     #[arg(long, value_name = "BOOL")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slow_start: Option<String>,
-    /// How long requests on open connections are taken after leaving begins
+    /// Time for which requests on open connections are accepted after the target begins to leave
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub drain_grace: Option<String>,
-    /// Longest time that a planned stop waits for open streams
+    /// Longest time for which a planned stop waits for open streams to end
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub drain_timeout: Option<String>,
@@ -234,15 +234,15 @@
     #[arg(long, value_name = "FILE")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub signing_key: Option<String>,
-    /// Name of the operator, shown to others
+    /// Name of the operator, shown to other operators
     #[arg(long, value_name = "NAME")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub operator: Option<String>,
-    /// Time between two looks at the nodes
+    /// Interval between status requests to the nodes
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub poll: Option<String>,
-    /// Longest time to wait for the nodes
+    /// Longest time to wait until all nodes have a bundle in force
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub timeout: Option<String>,
--- a/crates/woodladder/src/settings/layer.rs
+++ b/crates/woodladder/src/settings/layer.rs
@@ -1,4 +1,5 @@
-//! Layers of settings and where each value comes from.
+//! Merges the layers of settings and keeps track of where each value comes
+//! from.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,25 +11,28 @@
 use toml::Spanned;
 use woodladder_core::finding::{Finding, Findings, Place};
 
-/// Prefix of the environment variables that override settings.
+/// Prefix of environment variables that override settings.
 pub const ENVIRONMENT_PREFIX: &str = "WOODLADDER_";
 
-/// Environment variable that names the settings file itself.
+/// Name, after the prefix, of the environment variable that gives the path of the
+/// settings file. It is not a setting, so the environment layer leaves it out.
 const FILE_VARIABLE_KEY: &str = "settings";
 
 const RULE_READABLE: &str = "the settings file must exist and be readable";
 const RULE_TOML: &str = "the settings file must be valid TOML";
 const RULE_FLAGS: &str = "flags must be representable as settings";
 
-/// All layers of settings, merged.
+/// The merged layers of settings.
 #[derive(Default)]
-pub struct Layers {
+pub struct SettingsLayers {
     figment: Figment,
-    lines: BTreeMap<String, usize>,
-    file: Option<String>,
+    /// Line number of each key in the settings file.
+    line_numbers: BTreeMap<String, usize>,
+    /// Name of the settings file.
+    file_name: Option<String>,
 }
 
-/// One layer: a name for messages and its values by key.
+/// One layer: its name, which findings show, and its values by key.
 struct Layer {
     name: String,
     values: Dict,
@@ -44,14 +48,15 @@
     }
 }
 
-impl Layers {
-    /// No settings at all.
+impl SettingsLayers {
+    /// Empty settings, without any layer.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds the layer of a TOML file.
+    /// Adds a layer with the values of a TOML file. A file that cannot be read or
+    /// parsed adds a finding and no layer.
     #[must_use]
     pub fn file(self, path: &Path, findings: &mut Findings) -> Self {
         let name = path.display().to_string();
@@ -59,22 +64,23 @@
             Ok(text) => self.toml(&name, &text, findings),
             Err(error) => {
                 let place = file_place(&name, None);
-                findings.push(fault(place, error.to_string(), RULE_READABLE));
+                findings.push(finding(place, error.to_string(), RULE_READABLE));
                 self
             }
         }
     }
 
-    /// Adds the layer of a TOML text that was read from the file `name`.
+    /// Adds a layer with the values of a TOML text; `name` is the file that
+    /// findings show.
     #[must_use]
     pub fn toml(mut self, name: &str, text: &str, findings: &mut Findings) -> Self {
         match toml::from_str::<BTreeMap<Spanned<String>, toml::Value>>(text) {
             Ok(table) => {
-                self.file = Some(name.to_owned());
+                self.file_name = Some(name.to_owned());
                 let mut values = Dict::new();
                 for (key, value) in table {
-                    let line = line_of(text, key.span().start);
-                    self.lines.insert(key.get_ref().clone(), line);
+                    let line = line_number(text, key.span().start);
+                    self.line_numbers.insert(key.get_ref().clone(), line);
                     if let Ok(value) = Value::serialize(value) {
                         values.insert(key.into_inner(), value);
                     }
@@ -82,15 +88,15 @@
                 self.merge(name.to_owned(), values)
             }
             Err(error) => {
-                let line = error.span().map(|span| line_of(text, span.start));
+                let line = error.span().map(|span| line_number(text, span.start));
                 let place = file_place(name, line);
-                findings.push(fault(place, error.message().to_owned(), RULE_TOML));
+                findings.push(finding(place, error.message().to_owned(), RULE_TOML));
                 self
             }
         }
     }
 
-    /// Adds the layer of this process's environment variables.
+    /// Adds a layer with the values of this process's environment variables.
     #[must_use]
     pub fn environment(self) -> Self {
         let variables = Env::prefixed(ENVIRONMENT_PREFIX).ignore(&[FILE_VARIABLE_KEY]);
@@ -101,7 +107,8 @@
         self.merge("environment".to_owned(), values)
     }
 
-    /// Adds the layer of command-line flags; absent flags are left out.
+    /// Adds a layer with the values of command-line flags; absent flags are left
+    /// out.
     #[must_use]
     pub fn flags(self, flags: &impl Serialize, findings: &mut Findings) -> Self {
         let Ok(Value::Dict(_, values)) = Value::serialize(flags) else {
@@ -109,13 +116,13 @@
                 key: Some("flags".to_owned()),
                 ..Place::default()
             };
-            findings.push(fault(place, "cannot be read".to_owned(), RULE_FLAGS));
+            findings.push(finding(place, "cannot be read".to_owned(), RULE_FLAGS));
             return self;
         };
         self.merge("flags".to_owned(), values)
     }
 
-    /// Every key that some layer sets.
+    /// Every key that at least one layer sets.
     #[must_use]
     pub fn keys(&self) -> Vec<String> {
         match self.figment.extract::<BTreeMap<String, Value>>() {
@@ -124,21 +131,26 @@
         }
     }
 
-    /// The value of a key in the topmost layer that sets it.
+    /// The value of a key, from the last layer that sets it.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<Value> {
         self.figment.find_value(key).ok()
     }
 
-    /// Where the value of a key comes from.
+    /// The layer and, in the settings file, the line that the value of a key
+    /// comes from.
     #[must_use]
-    pub fn place(&self, key: &str) -> Place {
+    pub fn locate(&self, key: &str) -> Place {
         let source = self.figment.find_metadata(key);
         let name = source.map(|metadata| metadata.name.to_string());
-        let from_file = name.is_none() || name == self.file;
+        let is_from_file = name.is_none() || name == self.file_name;
         Place {
-            file: if from_file { self.file.clone() } else { name },
-            line: self.lines.get(key).copied().filter(|_| from_file),
+            file: if is_from_file {
+                self.file_name.clone()
+            } else {
+                name
+            },
+            line: self.line_numbers.get(key).copied().filter(|_| is_from_file),
             key: Some(key.to_owned()),
         }
     }
@@ -157,7 +169,7 @@
     }
 }
 
-fn fault(place: Place, problem: String, rule: &'static str) -> Finding {
+fn finding(place: Place, problem: String, rule: &'static str) -> Finding {
     Finding {
         place,
         problem,
@@ -165,8 +177,8 @@
     }
 }
 
-/// Line number, counted from one, of a byte offset.
-fn line_of(text: &str, offset: usize) -> usize {
+/// Number of the line, counted from one, that holds this byte offset.
+fn line_number(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().iter().take(offset);
     before.filter(|byte| **byte == b'\n').count() + 1
 }
--- a/crates/woodladder/src/settings/operator.rs
+++ b/crates/woodladder/src/settings/operator.rs
@@ -7,9 +7,9 @@
 use woodladder_core::packets::keyed_tag::TagKey;
 use woodladder_core::signature::TrustedKeys;
 
-use super::layer::Layers;
+use super::layer::SettingsLayers;
 use super::node::{PlatformSettings, read_log};
-use super::reader::Reader;
+use super::reader::SettingsReader;
 use super::value;
 use crate::log::{LogLevel, LogSettings};
 
@@ -20,21 +20,21 @@
 /// Settings of the operator's commands.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// The platform's services and nodes to ask.
+    /// Addresses of the platform's services and of nodes.
     pub platform: PlatformSettings,
-    /// Operators whose signatures nodes accept.
+    /// Public keys of the operators whose signatures nodes accept.
     pub trusted_keys: TrustedKeys,
-    /// Key shared by all nodes.
+    /// Key that all nodes share.
     pub cluster_key: TagKey,
-    /// File that holds the operator's secret key.
+    /// File with the operator's secret key.
     pub signing_key: Option<PathBuf>,
-    /// Name of the operator, shown to others who roll at the same time.
+    /// Name of the operator, shown to other operators who roll at the same time.
     pub operator: String,
-    /// Time between two questions to a node that has not answered.
+    /// Interval between status requests to a node that has not answered.
     pub poll: Duration,
-    /// Longest time that `roll` waits for the nodes.
+    /// Longest time for which `roll` waits until all nodes have the bundle in force.
     pub timeout: Duration,
-    /// What is logged.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
@@ -42,19 +42,20 @@
     /// Reads the settings from the layers.
     ///
     /// # Errors
-    /// `findings` when a layer could not be read, otherwise every fault.
-    pub fn read(layers: &Layers, findings: Findings) -> Result<Self, Findings> {
+    /// `findings` when a layer could not be read, otherwise all findings.
+    pub fn read(layers: &SettingsLayers, findings: Findings) -> Result<Self, Findings> {
         if !findings.is_empty() {
             return Err(findings);
         }
-        let mut reader = Reader::new(layers);
+        let mut reader = SettingsReader::new(layers);
         let platform = PlatformSettings::read(&mut reader);
-        let trusted_keys = reader.required_list("trusted_keys", value::public_key);
-        let cluster_key = reader.required("cluster_key", value::tag_key);
-        let signing_key = reader.optional("signing_key", value::path);
-        let operator = reader.defaulted("operator", DEFAULT_OPERATOR.to_owned(), value::name);
-        let poll = reader.defaulted("poll", DEFAULT_POLL, value::duration);
-        let timeout = reader.defaulted("timeout", DEFAULT_TIMEOUT, value::duration);
+        let trusted_keys = reader.required_list("trusted_keys", value::parse_public_key);
+        let cluster_key = reader.required("cluster_key", value::parse_tag_key);
+        let signing_key = reader.optional("signing_key", value::parse_path);
+        let operator =
+            reader.optional_or("operator", DEFAULT_OPERATOR.to_owned(), value::parse_name);
+        let poll = reader.optional_or("poll", DEFAULT_POLL, value::parse_duration);
+        let timeout = reader.optional_or("timeout", DEFAULT_TIMEOUT, value::parse_duration);
         let log = read_log(&mut reader, LogLevel::Warning);
         let findings = reader.finish();
         let (Some(cluster_key), true) = (cluster_key, findings.is_empty()) else {
--- a/crates/woodladder/src/settings/value.rs
+++ b/crates/woodladder/src/settings/value.rs
@@ -1,4 +1,5 @@
-//! Parsers of single settings; each error is the rule that was broken.
+//! Parsers of single settings. The error of a parser is the rule that the text
+//! breaks.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,10 +12,9 @@
 
 use crate::log::{LogFormat, LogLevel};
 
-const RULE_ADDRESS: &str = "an address is an IP number and a port, such as 10.0.0.1:7000";
-const RULE_REACHABLE: &str =
-    "the address is the IP number that others reach the node at, and a port";
-const RULE_PEER_ADDRESS: &str = "a peer's address is an IP number and a port above zero";
+const RULE_ADDRESS: &str = "an address is an IP address and a port, such as 10.0.0.1:7000";
+const RULE_REACHABLE: &str = "the address is an IP address that other nodes can reach, and a port";
+const RULE_PEER_ADDRESS: &str = "a peer's address is an IP address and a port above zero";
 const RULE_NAME: &str = "a name has 1 to 64 letters, digits, dots, dashes or underscores";
 const RULE_TAG_KEY: &str = "a shared key is 32 hexadecimal digits (16 bytes)";
 const RULE_TOKEN_KEY: &str =
@@ -26,20 +26,21 @@
 const RULE_SERVER_NAME: &str = "a server name is 1 to 253 characters without spaces";
 const RULE_URL_PATH: &str = "a path of a URL begins with / and has no spaces";
 const RULE_PATH: &str = "a path must not be empty";
-const RULE_SWITCH: &str = "the value is true or false";
+const RULE_BOOLEAN: &str = "the value is true or false";
 const RULE_LEVEL: &str = "a log level is one of trace, debug, info, warning, error";
 const RULE_FORMAT: &str = "a log format is one of terminal, json";
 
-const LONGEST_NAME: usize = 64;
-const LONGEST_SERVER_NAME: usize = 253;
+const MAXIMUM_NAME_LENGTH: usize = 64;
+const MAXIMUM_SERVER_NAME_LENGTH: usize = 253;
 
-/// An address to listen on; port zero lets the system choose.
-pub fn listen_address(text: &str) -> Result<SocketAddr, &'static str> {
+/// Parses an address to listen on; with port zero the system chooses the port.
+pub fn parse_listen_address(text: &str) -> Result<SocketAddr, &'static str> {
     text.parse().map_err(|_| RULE_ADDRESS)
 }
 
-/// An address to listen on that others use as it is written.
-pub fn reachable_listen_address(text: &str) -> Result<SocketAddr, &'static str> {
+/// Parses an address to listen on that other nodes use as it stands, so its IP
+/// address must not be unspecified, such as 0.0.0.0.
+pub fn parse_reachable_listen_address(text: &str) -> Result<SocketAddr, &'static str> {
     let address: SocketAddr = text.parse().map_err(|_| RULE_REACHABLE)?;
     if address.ip().is_unspecified() {
         return Err(RULE_REACHABLE);
@@ -47,8 +48,8 @@
     Ok(address)
 }
 
-/// An address of another process.
-pub fn peer_address(text: &str) -> Result<SocketAddr, &'static str> {
+/// Parses the address of another process.
+pub fn parse_peer_address(text: &str) -> Result<SocketAddr, &'static str> {
     let address: SocketAddr = text.parse().map_err(|_| RULE_PEER_ADDRESS)?;
     if address.port() == 0 || address.ip().is_unspecified() {
         return Err(RULE_PEER_ADDRESS);
@@ -56,99 +57,99 @@
     Ok(address)
 }
 
-/// A name of a zone, service or operator.
-pub fn name(text: &str) -> Result<String, &'static str> {
+/// Parses the name of a zone, region or operator.
+pub fn parse_name(text: &str) -> Result<String, &'static str> {
     let allowed = |symbol: char| symbol.is_ascii_alphanumeric() || ".-_".contains(symbol);
-    if text.is_empty() || text.len() > LONGEST_NAME || !text.chars().all(allowed) {
+    if text.is_empty() || text.len() > MAXIMUM_NAME_LENGTH || !text.chars().all(allowed) {
         return Err(RULE_NAME);
     }
     Ok(text.to_owned())
 }
 
-/// A key shared by the nodes.
-pub fn tag_key(text: &str) -> Result<TagKey, &'static str> {
+/// Parses a key that all nodes share.
+pub fn parse_tag_key(text: &str) -> Result<TagKey, &'static str> {
     let mut secret = [0; TAG_KEY_LENGTH];
     hex::decode_to_slice(text, &mut secret).map_err(|_| RULE_TAG_KEY)?;
     Ok(TagKey::new(secret))
 }
 
-/// A key for routing tokens, with its number.
-pub fn token_key(text: &str) -> Result<TokenKey, &'static str> {
+/// Parses a key for routing tokens, with its number.
+pub fn parse_token_key(text: &str) -> Result<TokenKey, &'static str> {
     let (number, secret) = text.split_once(':').ok_or(RULE_TOKEN_KEY)?;
     let number: u8 = number.parse().map_err(|_| RULE_TOKEN_KEY)?;
     if number > MAXIMUM_KEY_NUMBER {
         return Err(RULE_TOKEN_KEY);
     }
-    let key = tag_key(secret).map_err(|_| RULE_TOKEN_KEY)?;
+    let key = parse_tag_key(secret).map_err(|_| RULE_TOKEN_KEY)?;
     Ok(TokenKey { number, key })
 }
 
-/// An operator's public key.
-pub fn public_key(text: &str) -> Result<PublicKey, &'static str> {
+/// Parses an operator's public key.
+pub fn parse_public_key(text: &str) -> Result<PublicKey, &'static str> {
     let mut key = [0; KEY_LENGTH];
     hex::decode_to_slice(text, &mut key).map_err(|_| RULE_PUBLIC_KEY)?;
     Ok(PublicKey(key))
 }
 
-/// A duration with its unit.
-pub fn duration(text: &str) -> Result<Duration, &'static str> {
+/// Parses a duration with its unit.
+pub fn parse_duration(text: &str) -> Result<Duration, &'static str> {
     humantime::parse_duration(text).map_err(|_| RULE_DURATION)
 }
 
-/// A count above zero.
-pub fn count<T: FromStr + Default + PartialEq>(text: &str) -> Result<T, &'static str> {
+/// Parses a count above zero.
+pub fn parse_count<T: FromStr + Default + PartialEq>(text: &str) -> Result<T, &'static str> {
     match text.parse::<T>() {
         Ok(count) if count != T::default() => Ok(count),
         _ => Err(RULE_COUNT),
     }
 }
 
-/// A numeric identifier.
-pub fn identifier(text: &str) -> Result<u32, &'static str> {
+/// Parses a numeric identifier above zero.
+pub fn parse_identifier(text: &str) -> Result<u32, &'static str> {
     match text.parse() {
         Ok(0) | Err(_) => Err(RULE_IDENTIFIER),
         Ok(identifier) => Ok(identifier),
     }
 }
 
-/// A name that a certificate is made for.
-pub fn server_name(text: &str) -> Result<String, &'static str> {
-    let spaced = text.contains(char::is_whitespace);
-    if text.is_empty() || text.len() > LONGEST_SERVER_NAME || spaced {
+/// Parses a server name for a self-signed certificate.
+pub fn parse_server_name(text: &str) -> Result<String, &'static str> {
+    let has_spaces = text.contains(char::is_whitespace);
+    if text.is_empty() || text.len() > MAXIMUM_SERVER_NAME_LENGTH || has_spaces {
         return Err(RULE_SERVER_NAME);
     }
     Ok(text.to_owned())
 }
 
-/// A path to a file.
-pub fn path(text: &str) -> Result<PathBuf, &'static str> {
+/// Parses the path of a file.
+pub fn parse_path(text: &str) -> Result<PathBuf, &'static str> {
     if text.is_empty() {
         return Err(RULE_PATH);
     }
     Ok(PathBuf::from(text))
 }
 
-/// A path of a URL.
-pub fn url_path(text: &str) -> Result<String, &'static str> {
-    let plain = text.chars().all(|letter| letter.is_ascii_graphic());
-    if text.starts_with('/') && plain {
+/// Parses the path of a URL.
+pub fn parse_url_path(text: &str) -> Result<String, &'static str> {
+    let is_graphic = text.chars().all(|symbol| symbol.is_ascii_graphic());
+    if text.starts_with('/') && is_graphic {
         Ok(text.to_owned())
     } else {
         Err(RULE_URL_PATH)
     }
 }
 
-/// Whether something is on.
-pub fn switch(text: &str) -> Result<bool, &'static str> {
-    text.parse().map_err(|_| RULE_SWITCH)
+/// Parses a flag that is on or off.
+pub fn parse_boolean(text: &str) -> Result<bool, &'static str> {
+    text.parse().map_err(|_| RULE_BOOLEAN)
 }
 
-/// A log level.
-pub fn log_level(text: &str) -> Result<LogLevel, &'static str> {
+/// Parses a log level.
+pub fn parse_log_level(text: &str) -> Result<LogLevel, &'static str> {
     LogLevel::from_name(text).ok_or(RULE_LEVEL)
 }
 
-/// A log format.
-pub fn log_format(text: &str) -> Result<LogFormat, &'static str> {
+/// Parses a log format.
+pub fn parse_log_format(text: &str) -> Result<LogFormat, &'static str> {
     LogFormat::from_name(text).ok_or(RULE_FORMAT)
 }
--- a/crates/woodladder/tests/layers.rs
+++ b/crates/woodladder/tests/layers.rs
@@ -1,7 +1,10 @@
-//! Layers of settings: what wins, and where a fault is said to lie.
+//! Layers of settings: which layer takes precedence, and where findings are
+//! located.
 
 use woodladder::log::LogLevel;
-use woodladder::settings::{Layers, LogFlags, OperatorFlags, OperatorSettings, PlatformFlags};
+use woodladder::settings::{
+    LogFlags, OperatorFlags, OperatorSettings, PlatformFlags, SettingsLayers,
+};
 use woodladder_core::finding::Findings;
 
 const FILE: &str = r#"
@@ -27,9 +30,9 @@
 }
 
 #[test]
-fn flags_win_over_the_file_and_leave_the_rest() -> Result<(), Findings> {
+fn flags_override_the_file_and_keep_its_other_settings() -> Result<(), Findings> {
     let mut findings = Findings::new();
-    let layers = Layers::new()
+    let layers = SettingsLayers::new()
         .toml("operator.toml", FILE, &mut findings)
         .flags(&flags("error"), &mut findings);
     let settings = OperatorSettings::read(&layers, findings)?;
@@ -41,9 +44,9 @@
 }
 
 #[test]
-fn a_fault_names_the_layer_that_it_comes_from() {
+fn a_finding_names_the_layer_that_it_comes_from() {
     let mut findings = Findings::new();
-    let layers = Layers::new()
+    let layers = SettingsLayers::new()
         .toml(
             "operator.toml",
             &FILE.replace("operator =", "poll ="),
--- a/crates/woodladder/tests/settings.rs
+++ b/crates/woodladder/tests/settings.rs
@@ -1,17 +1,17 @@
-//! Settings files: accepted ones give settings, and refused ones give all
-//! findings that their `.findings` file lists. A file's name starts with the
-//! role that it is for.
+//! Checks the settings files of `cases/settings`: files under `good` are
+//! accepted, and files under `bad` give exactly the findings of their
+//! `.findings` file. A file's name starts with the role that it is for.
 
 use std::path::Path;
 
-use woodladder::settings::{AgentSettings, BalancerSettings, Layers, OperatorSettings};
+use woodladder::settings::{AgentSettings, BalancerSettings, OperatorSettings, SettingsLayers};
 use woodladder_core::finding::Findings;
 
 fn check(path: &Path) -> datatest_stable::Result<Result<(), Findings>> {
     let text = std::fs::read_to_string(path)?;
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let mut findings = Findings::new();
-    let layers = Layers::new().toml("settings.toml", &text, &mut findings);
+    let layers = SettingsLayers::new().toml("settings.toml", &text, &mut findings);
     Ok(match name.split('-').next() {
         Some("balancer") => BalancerSettings::read(&layers, findings).map(drop),
         Some("agent") => AgentSettings::read(&layers, findings).map(drop),
