--- a/crates/woodladder/src/store/consul.rs
+++ b/crates/woodladder/src/store/consul.rs
@@ -1,4 +1,4 @@
-//! The key-value service over the HTTP interface that Consul published.
+//! Client of the key-value service over Consul's HTTP interface.
 //!
 //! Source: HashiCorp, "Consul HTTP API", sections "KV store" and "Blocking
 //! queries".
@@ -18,20 +18,22 @@
     MAXIMUM_STORED_VALUE_LENGTH, StoreAnswer, StoreIndex, StoreKey, StoreOperation,
 };
 
-use super::http::{Answer, Ask, client, exchange};
+use super::http::{Request, Response, build_client, send};
 use super::{ServiceError, Store};
 
-/// Time for an answer that does not block.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest time that the service is asked to hold a blocking read.
-const WATCH_WAIT: Duration = Duration::from_secs(55);
+/// Time limit for the response to a request that does not block.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest time for which the service is asked to hold a blocking read.
+const BLOCKING_READ_WAIT: Duration = Duration::from_secs(55);
 
 /// Client of a key-value service that speaks Consul's HTTP interface.
 pub struct ConsulStore {
     client: Client,
     addresses: Vec<SocketAddr>,
-    preferred: AtomicUsize,
-    answer_timeout: Duration,
+    /// Index of the address to try first, modulo the number of addresses.
+    preferred_index: AtomicUsize,
+    /// Time limit for the response to a request that does not block.
+    response_timeout: Duration,
     logger: Logger,
 }
 
@@ -43,24 +45,24 @@
 }
 
 impl ConsulStore {
-    /// A client that asks these addresses in turn until one can be reached.
+    /// A client that tries these addresses in turn until one can be reached.
     ///
     /// # Errors
-    /// [`ServiceError::Unreachable`] when the HTTP client cannot be made.
+    /// [`ServiceError::Unreachable`] when the HTTP client cannot be built.
     pub fn new(addresses: Vec<SocketAddr>, logger: Logger) -> Result<Self, ServiceError> {
         Ok(Self {
-            client: client()?,
+            client: build_client()?,
             addresses,
-            preferred: AtomicUsize::new(0),
-            answer_timeout: ANSWER_TIMEOUT,
+            preferred_index: AtomicUsize::new(0),
+            response_timeout: RESPONSE_TIMEOUT,
             logger,
         })
     }
 
-    /// Waits this long for an answer that does not block.
+    /// Sets the time limit for the response to a request that does not block.
     #[must_use]
-    pub fn with_answer_timeout(mut self, timeout: Duration) -> Self {
-        self.answer_timeout = timeout;
+    pub fn with_response_timeout(mut self, timeout: Duration) -> Self {
+        self.response_timeout = timeout;
         self
     }
 
@@ -71,19 +73,23 @@
     ) -> Result<StoreAnswer, ServiceError> {
         let path = key_path(key);
         let (path, timeout) = match wait {
-            None => (path, self.answer_timeout),
+            None => (path, self.response_timeout),
             Some(index) => (
-                format!("{path}?index={}&wait={}s", index.0, WATCH_WAIT.as_secs()),
-                WATCH_WAIT + self.answer_timeout,
+                format!(
+                    "{path}?index={}&wait={}s",
+                    index.0,
+                    BLOCKING_READ_WAIT.as_secs()
+                ),
+                BLOCKING_READ_WAIT + self.response_timeout,
             ),
         };
-        let ask = Ask {
+        let request = Request {
             method: Method::GET,
             path,
             body: Vec::new(),
             timeout,
         };
-        read_answer(&self.ask(&ask).await?)
+        parse_read_response(&self.send_to_any(&request).await?)
     }
 
     async fn compare_and_swap(
@@ -92,40 +98,43 @@
         expected: StoreIndex,
         value: &[u8],
     ) -> Result<StoreAnswer, ServiceError> {
-        let ask = Ask {
+        let request = Request {
             method: Method::PUT,
             path: format!("{}?cas={}", key_path(key), expected.0),
             body: value.to_vec(),
-            timeout: self.answer_timeout,
+            timeout: self.response_timeout,
         };
-        swap_answer(&self.ask(&ask).await?)
+        parse_write_response(&self.send_to_any(&request).await?)
     }
 
-    /// Sends a request to the first address that can be reached. Once a
-    /// request may have arrived anywhere it is not sent again.
-    async fn ask(&self, ask: &Ask) -> Result<Answer, ServiceError> {
-        let start = self.preferred.load(Ordering::Relaxed);
-        let mut last = ServiceError::Unreachable("no address".to_owned());
+    /// Sends a request to the first address that can be reached. Once the request
+    /// may have reached an address, it is not sent again.
+    async fn send_to_any(&self, request: &Request) -> Result<Response, ServiceError> {
+        let start = self.preferred_index.load(Ordering::Relaxed);
+        let mut last_error = ServiceError::Unreachable("no address".to_owned());
         for offset in 0..self.addresses.len() {
-            let position = start.wrapping_add(offset) % self.addresses.len();
-            match exchange(&self.client, self.addresses[position], ask).await {
-                Err(ServiceError::Unreachable(reason)) => last = ServiceError::Unreachable(reason),
-                answered => {
-                    self.prefer(position, &answered);
-                    return answered;
+            let index = start.wrapping_add(offset) % self.addresses.len();
+            match send(&self.client, self.addresses[index], request).await {
+                Err(ServiceError::Unreachable(reason)) => {
+                    last_error = ServiceError::Unreachable(reason);
+                }
+                result => {
+                    self.update_preferred(index, &result);
+                    return result;
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Begins with the address that answered, or after one that did not.
-    fn prefer(&self, position: usize, answered: &Result<Answer, ServiceError>) {
-        let next = match answered {
-            Err(ServiceError::NoAnswer(_)) => position + 1,
-            _ => position,
+    /// The next request tries this address first when it responded, and the one
+    /// after it when it did not.
+    fn update_preferred(&self, index: usize, result: &Result<Response, ServiceError>) {
+        let next = match result {
+            Err(ServiceError::NoResponse(_)) => index + 1,
+            _ => index,
         };
-        self.preferred.store(next, Ordering::Relaxed);
+        self.preferred_index.store(next, Ordering::Relaxed);
     }
 }
 
@@ -142,7 +151,7 @@
         };
         result.unwrap_or_else(|error| {
             debug!(self.logger, "store: no answer"; "reason" => %error);
-            answer_to(&error)
+            answer_for_error(&error)
         })
     }
 }
@@ -151,59 +160,61 @@
     format!("/v1/kv/{}", key.path())
 }
 
-/// What a failed request means for the request.
-fn answer_to(error: &ServiceError) -> StoreAnswer {
+/// What a failed request says about its effect.
+fn answer_for_error(error: &ServiceError) -> StoreAnswer {
     match error {
         ServiceError::Unreachable(_) => StoreAnswer::Unreachable,
         ServiceError::RateLimited { retry_after } => StoreAnswer::RateLimited {
             retry_after: *retry_after,
         },
-        ServiceError::Status(status) if is_refusal(*status) => StoreAnswer::Unreachable,
-        ServiceError::NoAnswer(_) | ServiceError::Status(_) | ServiceError::Malformed(_) => {
+        ServiceError::Status(status) if is_rejection(*status) => StoreAnswer::Unreachable,
+        ServiceError::NoResponse(_) | ServiceError::Status(_) | ServiceError::Malformed(_) => {
             StoreAnswer::Unknown
         }
     }
 }
 
-/// Whether the service refused the request itself and so did nothing.
-fn is_refusal(status: u16) -> bool {
+/// Whether the service rejected the request as invalid, so that it had no
+/// effect.
+fn is_rejection(status: u16) -> bool {
     StatusCode::from_u16(status).is_ok_and(|status| status.is_client_error())
 }
 
-fn swap_answer(answer: &Answer) -> Result<StoreAnswer, ServiceError> {
-    if answer.status != StatusCode::OK {
-        return Err(ServiceError::Status(answer.status.as_u16()));
+fn parse_write_response(response: &Response) -> Result<StoreAnswer, ServiceError> {
+    if response.status != StatusCode::OK {
+        return Err(ServiceError::Status(response.status.as_u16()));
     }
-    match answer.body.trim_ascii() {
+    match response.body.trim_ascii() {
         b"true" => Ok(StoreAnswer::Written),
         b"false" => Ok(StoreAnswer::Conflict),
-        _ => Err(ServiceError::Malformed("answer to a write")),
+        _ => Err(ServiceError::Malformed("response to a write")),
     }
 }
 
-fn read_answer(answer: &Answer) -> Result<StoreAnswer, ServiceError> {
-    match answer.status {
-        StatusCode::OK => stored_value(&answer.body),
+fn parse_read_response(response: &Response) -> Result<StoreAnswer, ServiceError> {
+    match response.status {
+        StatusCode::OK => parse_stored_value(&response.body),
         StatusCode::NOT_FOUND => Ok(StoreAnswer::NotFound),
         status => Err(ServiceError::Status(status.as_u16())),
     }
 }
 
-fn stored_value(body: &[u8]) -> Result<StoreAnswer, ServiceError> {
+/// Parses the first entry of a read's response.
+fn parse_stored_value(body: &[u8]) -> Result<StoreAnswer, ServiceError> {
     let entries: Vec<StoredEntry> =
         serde_json::from_slice(body).map_err(|_| ServiceError::Malformed("list of entries"))?;
-    let stored = entries
+    let entry = entries
         .into_iter()
         .next()
         .ok_or(ServiceError::Malformed("list of entries"))?;
     let value = STANDARD
-        .decode(stored.value.unwrap_or_default())
+        .decode(entry.value.unwrap_or_default())
         .map_err(|_| ServiceError::Malformed("value"))?;
     if value.len() > MAXIMUM_STORED_VALUE_LENGTH {
         return Err(ServiceError::Malformed("value"));
     }
     Ok(StoreAnswer::Value {
-        index: StoreIndex(stored.modify_index),
+        index: StoreIndex(entry.modify_index),
         value,
     })
 }
--- a/crates/woodladder/src/store/http.rs
+++ b/crates/woodladder/src/store/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with a service of the platform.
+//! HTTP requests to the platform's services.
 
 use std::error::Error as _;
 use std::net::SocketAddr;
@@ -15,26 +15,27 @@
 
 use super::ServiceError;
 
-/// Longest body that is read: the longest value in base64, and some more.
-const MAXIMUM_BODY: usize = MAXIMUM_STORED_VALUE_LENGTH / 3 * 4 + 64 * 1024;
+/// Longest response body that is read, in bytes: the longest stored value in
+/// base64, and 64 KiB for the JSON around it.
+const MAXIMUM_BODY_LENGTH: usize = MAXIMUM_STORED_VALUE_LENGTH / 3 * 4 + 64 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An answer with its whole body.
-pub(super) struct Answer {
+/// A response with its complete body.
+pub(super) struct Response {
     pub(super) status: StatusCode,
     pub(super) body: Bytes,
 }
 
-/// One request.
-pub(super) struct Ask {
+/// A request.
+pub(super) struct Request {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Vec<u8>,
     pub(super) timeout: Duration,
 }
 
-/// A client for short exchanges.
-pub(super) fn client() -> Result<Client, ServiceError> {
+/// Builds an HTTP client with a connect timeout.
+pub(super) fn build_client() -> Result<Client, ServiceError> {
     let mut builder = Client::builder();
     builder.set_connect_timeout(CONNECT_TIMEOUT);
     builder
@@ -42,65 +43,67 @@
         .map_err(|error| ServiceError::Unreachable(error.to_string()))
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// [`ServiceError::Unreachable`] and [`ServiceError::RateLimited`] mean that the
-/// request had no effect; the other errors leave it open.
-pub(super) async fn exchange(
+/// request had no effect. After the other errors it may have had one.
+pub(super) async fn send(
     client: &Client,
     address: SocketAddr,
-    ask: &Ask,
-) -> Result<Answer, ServiceError> {
-    let exchange = exchange_unbounded(client, address, ask);
-    match tokio::time::timeout(ask.timeout, exchange).await {
+    request: &Request,
+) -> Result<Response, ServiceError> {
+    let response = send_without_timeout(client, address, request);
+    match tokio::time::timeout(request.timeout, response).await {
         Ok(result) => result,
-        Err(_) => Err(ServiceError::NoAnswer("timed out".to_owned())),
+        Err(_) => Err(ServiceError::NoResponse("timed out".to_owned())),
     }
 }
 
-async fn exchange_unbounded(
+async fn send_without_timeout(
     client: &Client,
     address: SocketAddr,
-    ask: &Ask,
-) -> Result<Answer, ServiceError> {
-    let uri = format!("http://{address}{}", ask.path);
+    request: &Request,
+) -> Result<Response, ServiceError> {
+    let uri = format!("http://{address}{}", request.path);
     let response = client
-        .request(ask.method.clone(), uri)
-        .body(Body::from(ask.body.clone()))
+        .request(request.method.clone(), uri)
+        .body(Body::from(request.body.clone()))
         .send::<Body>()
         .await
-        .map_err(|error| failure(&error))?;
+        .map_err(|error| classify_error(&error))?;
     let (parts, body) = response.into_parts();
     if parts.status == StatusCode::TOO_MANY_REQUESTS {
-        let retry_after = retry_after(&parts.headers);
+        let retry_after = parse_retry_after(&parts.headers);
         return Err(ServiceError::RateLimited { retry_after });
     }
-    let body = Limited::new(body, MAXIMUM_BODY)
+    let body = Limited::new(body, MAXIMUM_BODY_LENGTH)
         .collect()
         .await
-        .map_err(|error| ServiceError::NoAnswer(error.to_string()))?
+        .map_err(|error| ServiceError::NoResponse(error.to_string()))?
         .to_bytes();
-    Ok(Answer {
+    Ok(Response {
         status: parts.status,
         body,
     })
 }
 
-/// The client does not tell a connection that could not be made from one that
-/// broke by the kind of its error. It passes the system's error on as it is in
-/// the first case only.
-fn failure(error: &ClientError) -> ServiceError {
-    let not_connected = error
+/// Tells a connection that could not be made from one that broke.
+///
+/// The kind of the client's error does not distinguish them. Its direct source is
+/// the system's I/O error only when no connection could be made.
+fn classify_error(error: &ClientError) -> ServiceError {
+    let is_not_connected = error
         .source()
         .is_some_and(|source| source.is::<std::io::Error>());
     match error.kind() {
         ErrorKind::Connect | ErrorKind::Builder => ServiceError::Unreachable(error.to_string()),
-        _ if not_connected => ServiceError::Unreachable(error.to_string()),
-        _ => ServiceError::NoAnswer(error.to_string()),
+        _ if is_not_connected => ServiceError::Unreachable(error.to_string()),
+        _ => ServiceError::NoResponse(error.to_string()),
     }
 }
 
-fn retry_after(headers: &HeaderMap) -> Option<Duration> {
+/// The `Retry-After` header when it gives a number of seconds.
+fn parse_retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
 }
--- a/crates/woodladder/src/store/machine_list.rs
+++ b/crates/woodladder/src/store/machine_list.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's list of machines.
+//! Client of the platform's machine list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use volo_http::client::Client;
 
 use super::ServiceError;
-use super::http::{Ask, client, exchange};
+use super::http::{Request, build_client, send};
 
 const PATH: &str = "/machines";
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One machine, as the platform lists it. The list lags: a machine in it may
-/// be gone, and one that is not in it may run.
+/// One entry of the machine list. The list lags behind: a listed machine may be
+/// gone, and a running machine may not be listed yet.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 pub struct Machine {
-    /// Control address of the node on it.
+    /// Control address of the node on the machine.
     pub address: SocketAddr,
-    /// What the node does.
+    /// Role of the node.
     pub role: MachineRole,
-    /// Whether the machine is about to go.
+    /// Whether the machine is in use or about to be removed.
     pub state: MachineState,
 }
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineRole {
-    /// Forwards datagrams.
+    /// Forwards callers' datagrams to agents.
     Balancer,
-    /// Stands beside a back end.
+    /// Runs beside one back end and serves its target.
     Agent,
 }
 
@@ -41,46 +41,46 @@
 pub enum MachineState {
     /// In use.
     Live,
-    /// About to go.
+    /// About to be removed.
     Leaving,
 }
 
-/// Client of the list of machines.
+/// Client of the machine list.
 pub struct MachineListClient {
     client: Client,
     address: SocketAddr,
 }
 
 impl MachineListClient {
-    /// A client of the list at this address.
+    /// A client of the machine list at this address.
     ///
     /// # Errors
     /// [`ServiceError::Unreachable`] when the HTTP client cannot be built.
     pub fn new(address: SocketAddr) -> Result<Self, ServiceError> {
         Ok(Self {
-            client: client()?,
+            client: build_client()?,
             address,
         })
     }
 
-    /// Reads the list. Entries that cannot be understood are left out, so that
-    /// one of them does not hide the others.
+    /// Reads the list. Malformed entries are left out, so that one of them does
+    /// not hide the others.
     ///
     /// # Errors
-    /// [`ServiceError`] when there is no answer or it cannot be understood.
+    /// [`ServiceError`] when there is no response or it is malformed.
     pub async fn read(&self) -> Result<Vec<Machine>, ServiceError> {
-        let ask = Ask {
+        let request = Request {
             method: Method::GET,
             path: PATH.to_owned(),
             body: Vec::new(),
-            timeout: ANSWER_TIMEOUT,
+            timeout: RESPONSE_TIMEOUT,
         };
-        let answer = exchange(&self.client, self.address, &ask).await?;
-        if answer.status != StatusCode::OK {
-            return Err(ServiceError::Status(answer.status.as_u16()));
+        let response = send(&self.client, self.address, &request).await?;
+        if response.status != StatusCode::OK {
+            return Err(ServiceError::Status(response.status.as_u16()));
         }
-        let entries: Vec<serde_json::Value> = serde_json::from_slice(&answer.body)
-            .map_err(|_| ServiceError::Malformed("list of machines"))?;
+        let entries: Vec<serde_json::Value> = serde_json::from_slice(&response.body)
+            .map_err(|_| ServiceError::Malformed("machine list"))?;
         let machines = entries.into_iter().map(serde_json::from_value);
         Ok(machines.filter_map(Result::ok).collect())
     }
--- a/crates/woodladder/src/store/mod.rs
+++ b/crates/woodladder/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! Clients of the platform's services: key-value service and machine list.
+//! Clients of the platform's services: the key-value service and the machine
+//! list.
 
 mod consul;
 mod http;
@@ -16,26 +17,26 @@
 /// A key-value service with compare-and-swap and blocking reads.
 #[async_trait]
 pub trait Store: Send + Sync {
-    /// Carries a request out. The answer says of a write whether it took
-    /// effect, did not, or may have.
+    /// Performs an operation. The answer to a write says whether the write took
+    /// effect, did not take effect, or may have taken effect.
     async fn perform(&self, operation: &StoreOperation) -> StoreAnswer;
 }
 
-/// Why a service of the platform gave no usable answer.
+/// Why a service of the platform gave no usable response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ServiceError {
-    /// No connection; the request never reached it.
+    /// No connection could be made; the request never reached the service.
     Unreachable(String),
-    /// It asks for a pause; the request had no effect.
+    /// The service limits the rate of requests; the request had no effect.
     RateLimited {
-        /// How long to wait, when it says so.
+        /// Time to wait before the next request, when the service gives one.
         retry_after: Option<Duration>,
     },
-    /// No whole answer in time, or the connection broke.
-    NoAnswer(String),
-    /// It answered with this HTTP status.
+    /// No complete response arrived in time, or the connection broke.
+    NoResponse(String),
+    /// The service responded with this HTTP status.
     Status(u16),
-    /// Its answer cannot be understood.
+    /// This part of the response is malformed.
     Malformed(&'static str),
 }
 
@@ -43,12 +44,14 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(reason) => write!(formatter, "cannot be reached ({reason})"),
-            Self::RateLimited { retry_after: None } => formatter.write_str("asks for a pause"),
+            Self::RateLimited { retry_after: None } => {
+                formatter.write_str("limits the request rate")
+            }
             Self::RateLimited {
-                retry_after: Some(pause),
-            } => write!(formatter, "asks for a pause of {pause:?}"),
-            Self::NoAnswer(reason) => write!(formatter, "gave no whole answer ({reason})"),
-            Self::Status(status) => write!(formatter, "answered with status {status}"),
+                retry_after: Some(time),
+            } => write!(formatter, "limits the request rate; retry after {time:?}"),
+            Self::NoResponse(reason) => write!(formatter, "gave no complete response ({reason})"),
+            Self::Status(status) => write!(formatter, "responded with status {status}"),
             Self::Malformed(part) => write!(formatter, "gave a malformed {part}"),
         }
     }
--- a/crates/woodladder/tests/store.rs
+++ b/crates/woodladder/tests/store.rs
@@ -1,5 +1,5 @@
-//! The client of the key-value service against canned HTTP answers: what each
-//! one says about a write.
+//! The clients of the key-value service and the machine list against canned HTTP
+//! responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,18 +14,19 @@
 
 const VALUE: &[u8] = b"roll";
 
-/// Answers one request with these bytes and closes; gives the request back.
-async fn serve_once(answer: &str) -> std::io::Result<(SocketAddr, oneshot::Receiver<String>)> {
+/// Listens for one request, responds with these bytes and closes the connection.
+/// Returns the address and a receiver of the request.
+async fn serve_once(response: &str) -> std::io::Result<(SocketAddr, oneshot::Receiver<String>)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let (asked, request) = oneshot::channel();
-    let answer = answer.to_owned();
+    let (request_sender, request) = oneshot::channel();
+    let response = response.to_owned();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await?;
         let mut buffer = vec![0; 4096];
         let length = stream.read(&mut buffer).await?;
-        let _ = asked.send(String::from_utf8_lossy(&buffer[..length]).into_owned());
-        stream.write_all(answer.as_bytes()).await?;
+        let _ = request_sender.send(String::from_utf8_lossy(&buffer[..length]).into_owned());
+        stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await
     });
     Ok((address, request))
@@ -33,17 +34,17 @@
 
 fn client(addresses: Vec<SocketAddr>) -> ConsulStore {
     ConsulStore::new(addresses, woodladder::log::discarding_logger())
-        .expect("a client without I/O")
-        .with_answer_timeout(Duration::from_secs(2))
+        .expect("client is built without I/O")
+        .with_response_timeout(Duration::from_secs(2))
 }
 
-/// A whole answer with this body.
-fn ok(body: &str) -> String {
+/// A complete response with status 200 and this body.
+fn ok_response(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-fn swap() -> StoreOperation {
+fn write() -> StoreOperation {
     StoreOperation::CompareAndSwap {
         key: StoreKey::Current,
         expected: StoreIndex(7),
@@ -58,13 +59,13 @@
     }
 }
 
-async fn answer_to(operation: &StoreOperation, answer: &str) -> std::io::Result<StoreAnswer> {
-    let (address, _request) = serve_once(answer).await?;
+async fn answer_to(operation: &StoreOperation, response: &str) -> std::io::Result<StoreAnswer> {
+    let (address, _request) = serve_once(response).await?;
     Ok(client(vec![address]).perform(operation).await)
 }
 
 #[tokio::test]
-async fn a_write_is_told_apart_as_written_refused_or_unknown() -> std::io::Result<()> {
+async fn a_write_counts_as_written_without_effect_or_unknown() -> std::io::Result<()> {
     let cases = [
         (
             "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ntrue",
@@ -98,16 +99,16 @@
             },
         ),
     ];
-    for (answer, expected) in cases {
-        assert_eq!(answer_to(&swap(), answer).await?, expected, "{answer}");
+    for (response, expected) in cases {
+        assert_eq!(answer_to(&write(), response).await?, expected, "{response}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_write_names_the_index_that_it_expects() -> std::io::Result<()> {
+async fn a_write_sends_the_index_that_it_expects() -> std::io::Result<()> {
     let (address, request) = serve_once("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ntrue").await?;
-    client(vec![address]).perform(&swap()).await;
+    client(vec![address]).perform(&write()).await;
     let request = request.await.unwrap_or_default();
     assert!(
         request.starts_with("PUT /v1/kv/woodladder/current?cas=7 "),
@@ -117,21 +118,21 @@
 }
 
 #[tokio::test]
-async fn an_address_that_refuses_the_connection_is_passed_over() -> std::io::Result<()> {
+async fn an_address_that_refuses_the_connection_is_skipped() -> std::io::Result<()> {
     let closed = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
     assert_eq!(
-        client(vec![closed]).perform(&swap()).await,
+        client(vec![closed]).perform(&write()).await,
         StoreAnswer::Unreachable
     );
     let (open, _request) = serve_once("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ntrue").await?;
-    let answer = client(vec![closed, open]).perform(&swap()).await;
+    let answer = client(vec![closed, open]).perform(&write()).await;
     assert_eq!(answer, StoreAnswer::Written);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_read_gives_the_value_and_its_index() -> std::io::Result<()> {
-    let found = ok(r#"[{"Key":"a","Flags":0,"ModifyIndex":12,"Value":"cm9sbA=="}]"#);
+async fn a_read_returns_the_value_and_its_index() -> std::io::Result<()> {
+    let found = ok_response(r#"[{"Key":"a","Flags":0,"ModifyIndex":12,"Value":"cm9sbA=="}]"#);
     let value = StoreAnswer::Value {
         index: StoreIndex(12),
         value: VALUE.to_vec(),
@@ -154,9 +155,9 @@
 }
 
 #[tokio::test]
-async fn the_machine_list_is_read_as_far_as_it_can_be_understood()
+async fn malformed_entries_of_the_machine_list_are_left_out()
 -> Result<(), Box<dyn std::error::Error>> {
-    let body = ok(
+    let body = ok_response(
         r#"[{"address":"10.0.0.1:7001","role":"agent","state":"leaving"},
             {"address":"machine.example:7001","role":"agent","state":"live"}]"#,
     );
