--- a/crates/woodladder/src/daemon/balancer.rs
+++ b/crates/woodladder/src/daemon/balancer.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// [`StartError`] when it cannot start.
 pub async fn run(settings: BalancerSettings, logger: Logger) -> Result<(), StartError> {
-    let mut stop = StopSignal::from_process().map_err(StartError::Signals)?;
+    let mut stop = StopSignal::on_process_signals().map_err(StartError::Signals)?;
     let view = Arc::new(start(&settings, &stop, &logger).await?);
     let http_listen = settings.node.http_listen;
     let endpoint = StatusServer::start(http_listen, view.clone(), stop.clone(), &logger)
--- a/crates/woodladder/src/daemon/status.rs
+++ b/crates/woodladder/src/daemon/status.rs
@@ -43,7 +43,7 @@
         if let Some(control) = self.control.status().await {
             fill(&mut status, &control);
         }
-        if self.stop.is_asked() {
+        if self.stop.is_requested() {
             status.not_ready = Some(NotReadyReason::Stopping);
         }
         status
--- a/crates/woodladder/src/process/mod.rs
+++ b/crates/woodladder/src/process/mod.rs
@@ -1,5 +1,5 @@
-//! Life of the process: why it cannot start, what asks it to stop, and how it
-//! ends.
+//! Life cycle of the process: errors at the start, requests to stop, and exit
+//! codes.
 
 mod exit;
 mod start_error;
--- a/crates/woodladder/src/process/start_error.rs
+++ b/crates/woodladder/src/process/start_error.rs
@@ -13,14 +13,14 @@
     Listen {
         /// Setting that names the address.
         setting: &'static str,
-        /// The address.
+        /// Address that cannot be listened on.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// Signal handlers cannot be installed.
     Signals(std::io::Error),
-    /// A client of the platform's services cannot be made.
+    /// A client of the platform's services cannot be built.
     PlatformClient(ServiceError),
     /// The certificate or its key cannot be used.
     Certificate(CertificateError),
@@ -29,7 +29,7 @@
 }
 
 impl StartError {
-    /// An address cannot be listened on.
+    /// The error for an address that cannot be listened on.
     #[must_use]
     pub fn listen(setting: &'static str, address: SocketAddr, error: std::io::Error) -> Self {
         Self::Listen {
@@ -49,7 +49,10 @@
                 error,
             } => write!(formatter, "{setting}: cannot listen on {address}: {error}"),
             Self::Signals(error) => write!(formatter, "cannot handle signals: {error}"),
-            Self::PlatformClient(error) => write!(formatter, "cannot make a client: {error}"),
+            Self::PlatformClient(error) => write!(
+                formatter,
+                "cannot build a client of the platform's services: {error}"
+            ),
             Self::Agent(error) => write!(formatter, "cannot start the agent: {error}"),
             Self::Certificate(error) => write!(formatter, "cannot use the certificate: {error}"),
         }
--- a/crates/woodladder/src/process/stop.rs
+++ b/crates/woodladder/src/process/stop.rs
@@ -1,34 +1,42 @@
-//! The signals that ask the process to stop.
+//! Requests for a planned stop, from process signals or from the program itself.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// Tells every part of the process when a planned stop is asked for.
+/// Tells the parts of the process that a planned stop has been requested. Each
+/// part holds a clone.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
-    asked: watch::Receiver<bool>,
+    is_requested: watch::Receiver<bool>,
 }
 
-/// Asks for a planned stop.
+/// Requests a planned stop from all holders of the [`StopSignal`].
 #[derive(Clone, Debug)]
 pub struct StopSwitch {
-    asked: watch::Sender<bool>,
+    is_requested: watch::Sender<bool>,
 }
 
 impl StopSignal {
-    /// A signal and the switch that sets it.
+    /// A stop signal and the switch that sets it.
     #[must_use]
     pub fn new() -> (StopSwitch, Self) {
         let (sender, receiver) = watch::channel(false);
-        (StopSwitch { asked: sender }, Self { asked: receiver })
+        (
+            StopSwitch {
+                is_requested: sender,
+            },
+            Self {
+                is_requested: receiver,
+            },
+        )
     }
 
-    /// A signal that SIGTERM, SIGINT and SIGHUP set. SIGHUP is among them
-    /// because volo-http's server stops at each of the three.
+    /// A stop signal that SIGTERM, SIGINT and SIGHUP set. SIGHUP is included
+    /// because volo-http's server stops on any of the three.
     ///
     /// # Errors
-    /// The system's error when handlers cannot be installed.
-    pub fn from_process() -> std::io::Result<Self> {
+    /// The operating system's error when the handlers cannot be installed.
+    pub fn on_process_signals() -> std::io::Result<Self> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut hang_up = signal(SignalKind::hangup())?;
@@ -45,23 +53,28 @@
         Ok(signal)
     }
 
-    /// Whether a stop has been asked for.
+    /// Whether a stop has been requested.
     #[must_use]
-    pub fn is_asked(&self) -> bool {
-        *self.asked.borrow()
+    pub fn is_requested(&self) -> bool {
+        *self.is_requested.borrow()
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until a stop is requested.
     pub async fn wait_until_requested(&mut self) {
-        if self.asked.wait_for(|asked| *asked).await.is_err() {
+        if self
+            .is_requested
+            .wait_for(|is_requested| *is_requested)
+            .await
+            .is_err()
+        {
             std::future::pending::<()>().await;
         }
     }
 }
 
 impl StopSwitch {
-    /// Asks for the stop; further calls change nothing.
+    /// Requests the stop; further calls have no effect.
     pub fn stop(&self) {
-        self.asked.send_replace(true);
+        self.is_requested.send_replace(true);
     }
 }
