--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -1,4 +1,5 @@
-//! The agent as a process: data path, control, endpoints, planned stop.
+//! The agent process: data path, control plane, HTTP server for status and
+//! planned stop.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -21,28 +22,28 @@
 use crate::process::{StartError, StopSignal};
 use crate::settings::AgentSettings;
 
-/// Bytes asked for as the data socket's buffers.
-const SOCKET_BUFFER: usize = 4 * 1024 * 1024;
-/// Time from the announcement that the agent leaves until it may end.
-const ANNOUNCEMENT_TIME: Duration = Duration::from_secs(2);
-/// Interval of looking for sequences that balancers stated.
-const SEQUENCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Size in bytes that is requested for each buffer of the data socket.
+const SOCKET_BUFFER_BYTES: usize = 4 * 1024 * 1024;
+/// Shortest time from the announcement that the agent leaves until it closes.
+const LEAVE_ANNOUNCEMENT_TIME: Duration = Duration::from_secs(2);
+/// Interval at which the newest sequence in balancers' datagrams is read.
+const SEQUENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the endpoints tell about an agent.
-struct AgentView {
-    source: StatusSource,
+/// The parts of a running agent, which give its status to the HTTP server.
+struct RunningAgent {
+    status_source: StatusSource,
     agent: AgentHandle,
 }
 
 #[async_trait]
-impl StatusProvider for AgentView {
+impl StatusProvider for RunningAgent {
     async fn status(&self) -> NodeStatus {
-        let mut status = self.source.status().await;
+        let mut status = self.status_source.status().await;
         let agent = self.agent.status();
         if status.not_ready.is_none() && agent.drain_phase != DrainPhase::Serving {
             status.not_ready = Some(NotReadyReason::Leaving);
         }
-        status.figures.append(figures(&agent));
+        status.figures.append(collect_figures(&agent));
         status
     }
 }
@@ -53,21 +54,21 @@
 /// [`StartError`] when it cannot start.
 pub async fn run(settings: AgentSettings, logger: Logger) -> Result<(), StartError> {
     let mut stop = StopSignal::on_process_signals().map_err(StartError::Signals)?;
-    let view = Arc::new(start(&settings, &stop, &logger).await?);
+    let running = Arc::new(start(&settings, &stop, &logger).await?);
     let http_listen = settings.node.http_listen;
-    let endpoint = StatusServer::start(http_listen, view.clone(), stop.clone(), &logger)
+    let server = StatusServer::start(http_listen, running.clone(), stop.clone(), &logger)
         .map_err(|error| StartError::listen("http_listen", http_listen, error))?;
     info!(logger, "agent: running";
-        "data" => %view.source.data,
-        "control" => %view.source.control.address(),
-        "http" => %endpoint.address());
+        "data" => %running.status_source.data_address,
+        "control" => %running.status_source.control.address(),
+        "http" => %server.address());
     tokio::select! {
         () = stop.wait_until_requested() => {}
-        () = report_sequences(&view) => {}
-        () = follow_machine_list(&view) => {}
+        () = report_sequences(&running) => {}
+        () = follow_machine_list(&running) => {}
     }
-    view.source.control.announce_leaving();
-    drain(&settings, &view.agent, &logger).await;
+    running.status_source.control.announce_leaving();
+    drain(&settings, &running.agent, &logger).await;
     Ok(())
 }
 
@@ -75,35 +76,39 @@
     settings: &AgentSettings,
     stop: &StopSignal,
     logger: &Logger,
-) -> Result<AgentView, StartError> {
-    let directory = Arc::new(ArcSwap::from_pointee(RoutingTable::default()));
-    let (agent, data) = start_agent(settings, directory.clone(), logger)?;
+) -> Result<RunningAgent, StartError> {
+    let routing_table = Arc::new(ArcSwap::from_pointee(RoutingTable::default()));
+    let (agent, data_address) = start_agent(settings, routing_table.clone(), logger)?;
     let role = membership::Role::Agent;
-    let served = Some(ServedTarget {
+    let served_target = Some(ServedTarget {
         target: settings.target,
         run: run_number(),
     });
-    let install = install(directory);
-    let config = ControlPlaneConfig::from_settings(&settings.node, role, served, install, logger)?;
-    let source = StatusSource {
+    let installer = build_table_installer(routing_table);
+    let config =
+        ControlPlaneConfig::from_settings(&settings.node, role, served_target, installer, logger)?;
+    let status_source = StatusSource {
         role: Role::Agent,
         zone: settings.node.zone.clone(),
-        data,
-        started: Instant::now(),
+        data_address,
+        started_at: Instant::now(),
         stop: stop.clone(),
         control: ControlPlane::start(config).await?,
     };
-    Ok(AgentView { source, agent })
+    Ok(RunningAgent {
+        status_source,
+        agent,
+    })
 }
 
 fn start_agent(
     settings: &AgentSettings,
-    directory: Arc<ArcSwap<RoutingTable>>,
+    routing_table: Arc<ArcSwap<RoutingTable>>,
     logger: &Logger,
 ) -> Result<(AgentHandle, SocketAddr), StartError> {
-    let socket = bind(settings.data_listen)
+    let socket = bind_data_socket(settings.data_listen)
         .map_err(|error| StartError::listen("data_listen", settings.data_listen, error))?;
-    let data = socket
+    let data_address = socket
         .local_addr()
         .map_err(|error| StartError::listen("data_listen", settings.data_listen, error))?;
     let certificate = settings
@@ -125,66 +130,72 @@
         },
         certificate,
         limits: settings.limits,
-        directory,
+        directory: routing_table,
         logger: logger.clone(),
     })
     .map_err(StartError::Agent)?;
-    Ok((agent, data))
+    Ok((agent, data_address))
 }
 
-fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
+fn bind_data_socket(address: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
-    SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER)?;
-    SockRef::from(&socket).set_send_buffer_size(SOCKET_BUFFER)?;
+    SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES)?;
+    SockRef::from(&socket).set_send_buffer_size(SOCKET_BUFFER_BYTES)?;
     Ok(socket)
 }
 
-fn install(directory: Arc<ArcSwap<RoutingTable>>) -> RoutingTableInstaller {
-    Box::new(move |latest| directory.store(Arc::clone(latest)))
+/// The callback with which the control plane gives the agent a new routing table.
+fn build_table_installer(routing_table: Arc<ArcSwap<RoutingTable>>) -> RoutingTableInstaller {
+    Box::new(move |latest| routing_table.store(Arc::clone(latest)))
 }
 
-/// Milliseconds since the Unix epoch: a later start has a greater number. The
-/// protocol bears a clock that was set back.
+/// The Unix time in milliseconds, so that a later start has a greater number. The
+/// protocol tolerates a clock that was set back.
 fn run_number() -> RunNumber {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let milliseconds = since_epoch.unwrap_or_default().as_millis();
     RunNumber(u64::try_from(milliseconds).unwrap_or_default())
 }
 
-/// Tells the replica of sequences that balancers have and this node has not.
-async fn report_sequences(view: &AgentView) {
-    let mut ticks = interval(SEQUENCE_INTERVAL);
-    let mut reported = view.agent.status().newest_sequence_seen;
+/// Reports to the control plane each new sequence that balancers' datagrams name,
+/// so that it fetches a configuration that this node does not have yet.
+async fn report_sequences(running: &RunningAgent) {
+    let mut ticks = interval(SEQUENCE_POLL_INTERVAL);
+    let mut reported = running.agent.status().newest_sequence_seen;
     loop {
         ticks.tick().await;
-        let seen = view.agent.status().newest_sequence_seen;
+        let seen = running.agent.status().newest_sequence_seen;
         if seen > reported {
-            view.source.control.report_sequence_seen(seen);
+            running.status_source.control.report_sequence_seen(seen);
             reported = seen;
         }
     }
 }
 
-/// Drains while the machine list says that this machine is leaving.
-async fn follow_machine_list(view: &AgentView) {
-    let mut leaving = view.source.control.subscribe_listed_leaving();
+/// Drains the agent while the machine list has this machine as leaving.
+async fn follow_machine_list(running: &RunningAgent) {
+    let mut leaving = running.status_source.control.subscribe_listed_leaving();
     while leaving.changed().await.is_ok() {
         if *leaving.borrow_and_update() {
-            view.source.control.announce_accepting_flows(false);
-            view.agent.begin_drain(DrainReason::MachineList);
+            running
+                .status_source
+                .control
+                .announce_accepting_flows(false);
+            running.agent.begin_drain(DrainReason::MachineList);
         } else {
-            view.agent.withdraw_drain(DrainReason::MachineList);
-            view.source.control.announce_accepting_flows(true);
+            running.agent.withdraw_drain(DrainReason::MachineList);
+            running.status_source.control.announce_accepting_flows(true);
         }
     }
     std::future::pending::<()>().await;
 }
 
-/// Takes nothing new and waits for the last stream to end, and until other
-/// nodes know: flows that they still send here are handed on meanwhile.
+/// Drains the agent and closes it when the last stream has ended, but not before
+/// other nodes know that it leaves: flows that they still send here are handed on
+/// until then.
 async fn drain(settings: &AgentSettings, agent: &AgentHandle, logger: &Logger) {
     info!(logger, "agent: stopping as planned"; "timeout" => ?settings.drain_timeout);
-    let announced = tokio::time::Instant::now();
+    let announced_at = tokio::time::Instant::now();
     agent.begin_drain(DrainReason::Signal);
     if timeout(settings.drain_timeout, agent.wait_until_drained())
         .await
@@ -192,39 +203,39 @@
     {
         warn!(logger, "agent: stopped with streams still open");
     }
-    sleep_until(announced + ANNOUNCEMENT_TIME).await;
+    sleep_until(announced_at + LEAVE_ANNOUNCEMENT_TIME).await;
     agent.close().await;
     info!(logger, "agent: stopped");
 }
 
-fn figures(status: &AgentStatus) -> Figures {
-    let number = |value: usize| u64::try_from(value).unwrap_or(u64::MAX);
+fn collect_figures(status: &AgentStatus) -> Figures {
+    let to_u64 = |value: usize| u64::try_from(value).unwrap_or(u64::MAX);
     let flows = status.flows;
     let mut figures = Figures::new();
     figures.add("busy_slots", u64::from(status.busy_slots));
     figures.add("slots", u64::from(status.slots));
     figures.add("effective_slots", u64::from(status.effective_slots));
     figures.add("queued_requests", u64::from(status.queued_requests));
-    figures.add("connections", number(status.connections));
-    figures.add("open_requests", number(status.open_requests));
-    figures.add("feeds", number(status.feeds));
+    figures.add("connections", to_u64(status.connections));
+    figures.add("open_requests", to_u64(status.open_requests));
+    figures.add("feeds", to_u64(status.feeds));
     figures.add("flows_accepted_total", flows.accepted);
     figures.add("flows_declined_total", flows.declined);
     figures.add("flows_refused_total", flows.refused);
     figures.add("flows_handed_on_total", flows.handed_on);
     figures.add("packets_relayed_total", flows.relayed_datagrams);
     for drops in &status.drops {
-        let name = format!("packets_dropped_{}_total", word(drops.reason.name()));
+        let name = format!("packets_dropped_{}_total", metric_word(drops.reason.name()));
         figures.add(name, drops.count);
     }
     for ends in &status.request_outcomes {
-        let name = format!("requests_{}_total", word(ends.outcome.name()));
+        let name = format!("requests_{}_total", metric_word(ends.outcome.name()));
         figures.add(name, ends.count);
     }
     figures
 }
 
-/// A word as the names of figures have it.
-fn word(text: &str) -> String {
+/// A name with dashes as the names of metrics spell it, with underscores.
+fn metric_word(text: &str) -> String {
     text.replace('-', "_")
 }
--- a/crates/woodladder/src/daemon/balancer.rs
+++ b/crates/woodladder/src/daemon/balancer.rs
@@ -1,4 +1,5 @@
-//! The balancer as a process: packet path, control, endpoints, planned stop.
+//! The balancer process: packet path, control plane, HTTP server for status and
+//! planned stop.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,23 +18,23 @@
 use crate::process::{StartError, StopSignal};
 use crate::settings::BalancerSettings;
 
-/// Traffic counts as ceased when no datagram came for this long.
+/// Traffic has ceased when no datagram arrived for this time.
 const QUIET_PERIOD: Duration = Duration::from_millis(500);
 
-/// What the endpoints tell about a balancer.
-struct BalancerView {
-    source: StatusSource,
+/// The parts of a running balancer, which give its status to the HTTP server.
+struct RunningBalancer {
+    status_source: StatusSource,
     path: PacketPath,
 }
 
 #[async_trait]
-impl StatusProvider for BalancerView {
+impl StatusProvider for RunningBalancer {
     async fn status(&self) -> NodeStatus {
-        let mut status = self.source.status().await;
+        let mut status = self.status_source.status().await;
         if self.path.has_failed() {
             status.not_ready = Some(NotReadyReason::Failed);
         }
-        status.figures.append(figures(&self.path.counts()));
+        status.figures.append(collect_figures(&self.path.counts()));
         status
     }
 }
@@ -44,17 +45,17 @@
 /// [`StartError`] when it cannot start.
 pub async fn run(settings: BalancerSettings, logger: Logger) -> Result<(), StartError> {
     let mut stop = StopSignal::on_process_signals().map_err(StartError::Signals)?;
-    let view = Arc::new(start(&settings, &stop, &logger).await?);
+    let running = Arc::new(start(&settings, &stop, &logger).await?);
     let http_listen = settings.node.http_listen;
-    let endpoint = StatusServer::start(http_listen, view.clone(), stop.clone(), &logger)
+    let server = StatusServer::start(http_listen, running.clone(), stop.clone(), &logger)
         .map_err(|error| StartError::listen("http_listen", http_listen, error))?;
     info!(logger, "balancer: running";
-        "data" => %view.path.address(),
-        "control" => %view.source.control.address(),
-        "http" => %endpoint.address());
+        "data" => %running.path.address(),
+        "control" => %running.status_source.control.address(),
+        "http" => %server.address());
     stop.wait_until_requested().await;
-    view.source.control.announce_leaving();
-    drain(&settings, &view.path, &logger).await;
+    running.status_source.control.announce_leaving();
+    drain(&settings, &running.path, &logger).await;
     Ok(())
 }
 
@@ -62,21 +63,24 @@
     settings: &BalancerSettings,
     stop: &StopSignal,
     logger: &Logger,
-) -> Result<BalancerView, StartError> {
+) -> Result<RunningBalancer, StartError> {
     let router = Arc::new(ArcSwapOption::empty());
     let path = start_packet_path(settings, router.clone(), logger)?;
-    let install = install(settings, router);
+    let installer = build_table_installer(settings, router);
     let role = membership::Role::Balancer;
-    let config = ControlPlaneConfig::from_settings(&settings.node, role, None, install, logger)?;
-    let source = StatusSource {
+    let config = ControlPlaneConfig::from_settings(&settings.node, role, None, installer, logger)?;
+    let status_source = StatusSource {
         role: Role::Balancer,
         zone: settings.node.zone.clone(),
-        data: path.address(),
-        started: Instant::now(),
+        data_address: path.address(),
+        started_at: Instant::now(),
         stop: stop.clone(),
         control: ControlPlane::start(config).await?,
     };
-    Ok(BalancerView { source, path })
+    Ok(RunningBalancer {
+        status_source,
+        path,
+    })
 }
 
 fn start_packet_path(
@@ -96,40 +100,42 @@
         .map_err(|error| StartError::listen("data_listen", settings.data_listen, error))
 }
 
-/// Builds a router for each directory and hands it to the workers.
-fn install(
+/// The callback with which the control plane gives the balancer a new routing
+/// table: it builds a router from the table and hands it to the workers.
+fn build_table_installer(
     settings: &BalancerSettings,
     router: Arc<ArcSwapOption<Router>>,
 ) -> RoutingTableInstaller {
     let keys = settings.node.token_keys;
     let hops = settings.hops;
-    Box::new(move |directory| {
-        let directory = Arc::clone(directory);
-        router.store(Some(Arc::new(Router::new(directory, keys, hops))));
+    Box::new(move |routing_table| {
+        let routing_table = Arc::clone(routing_table);
+        router.store(Some(Arc::new(Router::new(routing_table, keys, hops))));
     })
 }
 
-/// Forwards on for the grace, during which the fabric learns that the balancer
-/// is not ready, and then until traffic has ceased.
+/// Keeps forwarding for the grace period, in which the network fabric learns that
+/// the balancer is not ready, and then until traffic has ceased or the timeout
+/// has passed.
 async fn drain(settings: &BalancerSettings, path: &PacketPath, logger: &Logger) {
     let deadline = Instant::now() + settings.stop_timeout;
     info!(logger, "balancer: stopping as planned"; "grace" => ?settings.stop_grace);
     sleep(settings.stop_grace).await;
-    let mut received = path.counts().received;
+    let mut last_received = path.counts().received;
     while Instant::now() < deadline {
         sleep(QUIET_PERIOD).await;
-        let now_received = path.counts().received;
-        if now_received == received {
+        let received = path.counts().received;
+        if received == last_received {
             info!(logger, "balancer: stopped");
             return;
         }
-        received = now_received;
+        last_received = received;
     }
-    warn!(logger, "balancer: stopped while datagrams still came";
+    warn!(logger, "balancer: stopped while datagrams were still arriving";
         "timeout" => ?settings.stop_timeout);
 }
 
-fn figures(counts: &PacketCounts) -> Figures {
+fn collect_figures(counts: &PacketCounts) -> Figures {
     let mut figures = Figures::new();
     figures.add("packets_received_total", counts.received);
     figures.add("packets_forwarded_total", counts.forwarded);
--- a/crates/woodladder/src/daemon/mod.rs
+++ b/crates/woodladder/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! The daemons: what runs as one process until a planned stop has ended.
+//! The daemons: a balancer or an agent as one process that runs until a planned
+//! stop has ended.
 
 mod agent;
 mod balancer;
--- a/crates/woodladder/src/daemon/status.rs
+++ b/crates/woodladder/src/daemon/status.rs
@@ -1,4 +1,4 @@
-//! The part of a node's status that balancers and agents share.
+//! The part of a node's status that is the same for balancers and agents.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,21 +9,21 @@
 use crate::endpoint::{Figures, ListenAddresses, NodeStatus, NotReadyReason, PeerCounts, Role};
 use crate::process::StopSignal;
 
-/// What a node's status is made from.
+/// Sources of a node's status.
 pub(super) struct StatusSource {
     pub(super) role: Role,
     pub(super) zone: String,
-    pub(super) data: SocketAddr,
-    pub(super) started: Instant,
+    pub(super) data_address: SocketAddr,
+    pub(super) started_at: Instant,
     pub(super) stop: StopSignal,
     pub(super) control: ControlPlane,
 }
 
 impl StatusSource {
-    /// Status with the counters of the control traffic.
+    /// The status, without the data path's metrics.
     pub(super) async fn status(&self) -> NodeStatus {
         let listening = ListenAddresses {
-            data: self.data,
+            data: self.data_address,
             control: self.control.address(),
         };
         let mut status = NodeStatus {
@@ -37,11 +37,11 @@
             bundle_version: None,
             snapshot: None,
             peers: PeerCounts::default(),
-            uptime_seconds: self.started.elapsed().as_secs(),
+            uptime_seconds: self.started_at.elapsed().as_secs(),
             figures: Figures::new(),
         };
         if let Some(control) = self.control.status().await {
-            fill(&mut status, &control);
+            apply_control_status(&mut status, &control);
         }
         if self.stop.is_requested() {
             status.not_ready = Some(NotReadyReason::Stopping);
@@ -50,7 +50,7 @@
     }
 }
 
-fn fill(status: &mut NodeStatus, control: &ControlPlaneStatus) {
+fn apply_control_status(status: &mut NodeStatus, control: &ControlPlaneStatus) {
     status.node = control.node.0;
     status.not_ready = (!control.ready).then_some(NotReadyReason::NoBundle);
     status.suspect = control.suspect;
@@ -64,12 +64,12 @@
         leaving: control.members.leaving,
         listed: control.members.listed,
     };
-    status.figures.append(figures(&control.counters));
+    status.figures.append(collect_figures(&control.counters));
     let marked = u64::try_from(control.unavailable_target_count).unwrap_or(u64::MAX);
     status.figures.add("control_marked_targets", marked);
 }
 
-fn figures(counters: &ReplicaCounters) -> Figures {
+fn collect_figures(counters: &ReplicaCounters) -> Figures {
     let mut figures = Figures::new();
     figures.add("control_adopted_total", counters.rolls_adopted);
     figures.add(
