--- a/crates/woodladder/src/command/agent.rs
+++ b/crates/woodladder/src/command/agent.rs
@@ -1,9 +1,9 @@
-//! `woodladder agent`: run an agent.
+//! `woodladder agent`: runs an agent.
 
 use clap::Args;
 use woodladder_core::finding::Findings;
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::runtime;
 use crate::settings::{AgentFlags, AgentSettings};
 use crate::{daemon, log};
@@ -13,8 +13,8 @@
   woodladder agent --settings agent.toml --target 12 --back-end 127.0.0.1:8080
   WOODLADDER_SLOTS=5 woodladder agent --settings agent.toml
 
-SIGTERM asks for a planned stop: callers are told to go elsewhere, no new work
-is taken, and the process ends with code 0 when its last stream has ended.";
+SIGTERM requests a planned stop: callers are told to use another target, no new
+work is accepted, and the process ends with code 0 when its last stream has ended.";
 
 #[derive(Args, Debug)]
 pub(super) struct AgentCommand {
@@ -23,12 +23,12 @@
 }
 
 impl AgentCommand {
-    pub(super) fn run(self) -> Result<(), Failure> {
+    pub(super) fn run(self) -> Result<(), CommandError> {
         let mut findings = Findings::new();
         let file = self.flags.node.settings.as_deref();
-        let layers = runtime::layers(file, &self.flags, &mut findings);
+        let layers = runtime::merge_layers(file, &self.flags, &mut findings);
         let settings = AgentSettings::read(&layers, findings)?;
         let (logger, _guard) = log::open(settings.node.log);
-        runtime::run(settings.worker_threads, daemon::run_agent(settings, logger))
+        runtime::block_on(settings.worker_threads, daemon::run_agent(settings, logger))
     }
 }
--- a/crates/woodladder/src/command/bundle.rs
+++ b/crates/woodladder/src/command/bundle.rs
@@ -1,4 +1,4 @@
-//! `woodladder bundle`: write, check, sign, show and compare bundles.
+//! `woodladder bundle`: writes, checks, signs, shows and compares bundles.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 use woodladder_core::signature::{PublicKey, TrustedKeys};
 
 use super::bundle_difference::BundleDifference;
-use super::bundle_file::{BundleFile, encode_signed, load, refused};
-use super::failure::Failure;
+use super::bundle_file::{BundleFile, encode_signed, file_finding, load_bundle};
+use super::error::CommandError;
 use super::key_file::read_key;
 use super::output::print_json;
 use crate::settings::parse_public_key;
@@ -23,11 +23,11 @@
   woodladder bundle show bundle.signed
   woodladder bundle diff old.signed new.signed --json";
 
-const RULE_SIGN_OFF: &str = "a signed bundle bears the signature of a trusted operator";
+const RULE_SIGNATURE: &str = "a signed bundle has the signature of a trusted operator";
 
 #[derive(Debug, Subcommand)]
 pub(super) enum BundleCommand {
-    /// Write an example to start from
+    /// Write an example bundle to start from
     #[command(after_help = HELP)]
     New {
         /// File to write; it must not exist
@@ -37,20 +37,20 @@
     /// Check a bundle and print every finding
     #[command(after_help = HELP)]
     Check {
-        /// Bundle, written or signed
+        /// Bundle, TOML source or signed
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// Public key that a signed bundle must bear; may be given several times
+        /// Public key of an operator who may have signed the bundle; may be given several times
         #[arg(long = "trusted-key", value_name = "HEX", value_parser = parse_public_key)]
         trusted_keys: Vec<PublicKey>,
         /// Print the findings as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Sign a bundle off
+    /// Sign a bundle
     #[command(after_help = HELP)]
     Sign {
-        /// Bundle in its written form
+        /// Bundle as TOML source
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// File with the operator's secret key
@@ -63,7 +63,7 @@
     /// Print a bundle with its digest and signature
     #[command(after_help = HELP)]
     Show {
-        /// Bundle, written or signed
+        /// Bundle, TOML source or signed
         #[arg(value_name = "FILE")]
         file: PathBuf,
         /// Print as JSON
@@ -73,10 +73,10 @@
     /// Print what differs between two bundles
     #[command(after_help = HELP)]
     Diff {
-        /// Old bundle, written or signed
+        /// Old bundle, TOML source or signed
         #[arg(value_name = "OLD")]
         old: PathBuf,
-        /// New bundle, written or signed
+        /// New bundle, TOML source or signed
         #[arg(value_name = "NEW")]
         new: PathBuf,
         /// Print as JSON
@@ -86,9 +86,9 @@
 }
 
 impl BundleCommand {
-    pub(super) fn run(self) -> Result<(), Failure> {
+    pub(super) fn run(self) -> Result<(), CommandError> {
         match self {
-            Self::New { out } => write_new(&out),
+            Self::New { out } => write_example(&out),
             Self::Check {
                 file,
                 trusted_keys,
@@ -101,14 +101,15 @@
     }
 }
 
-fn write_new(out: &Path) -> Result<(), Failure> {
-    let mut file = std::fs::File::create_new(out).map_err(|error| Failure::file(out, error))?;
+fn write_example(out: &Path) -> Result<(), CommandError> {
+    let mut file =
+        std::fs::File::create_new(out).map_err(|error| CommandError::file(out, error))?;
     file.write_all(EXAMPLE.as_bytes())
-        .map_err(|error| Failure::file(out, error))
+        .map_err(|error| CommandError::file(out, error))
 }
 
-fn check(path: &Path, trusted_keys: Vec<PublicKey>, json: bool) -> Result<(), Failure> {
-    let result = load(path).and_then(|file| check_sign_off(path, &file, trusted_keys));
+fn check(path: &Path, trusted_keys: Vec<PublicKey>, json: bool) -> Result<(), CommandError> {
+    let result = load_bundle(path).and_then(|file| check_signature(path, &file, trusted_keys));
     if !json {
         result?;
         println!("no findings");
@@ -116,33 +117,38 @@
     }
     match result {
         Ok(()) => print_json(&Findings::new()),
-        Err(Failure::Findings(findings)) => {
+        Err(CommandError::Findings(findings)) => {
             print_json(&findings)?;
-            Err(Failure::Refused("the bundle has faults".to_owned()))
+            Err(CommandError::Refused("the bundle has findings".to_owned()))
         }
-        Err(failure) => Err(failure),
+        Err(error) => Err(error),
     }
 }
 
-/// Checks the signature when the file has one and keys to trust are named.
-fn check_sign_off(path: &Path, file: &BundleFile, keys: Vec<PublicKey>) -> Result<(), Failure> {
-    if keys.is_empty() {
+/// Checks that the bundle is signed with a trusted key; without trusted keys
+/// nothing is checked.
+fn check_signature(
+    path: &Path,
+    file: &BundleFile,
+    trusted_keys: Vec<PublicKey>,
+) -> Result<(), CommandError> {
+    if trusted_keys.is_empty() {
         return Ok(());
     }
     let name = path.display().to_string();
     let BundleFile::Signed(signed) = file else {
-        return Err(refused(&name, "is not signed", RULE_SIGN_OFF));
+        return Err(file_finding(&name, "is not signed", RULE_SIGNATURE));
     };
     signed
-        .verify(&TrustedKeys::new(keys))
-        .map_err(|error| refused(&name, &error.to_string(), RULE_SIGN_OFF))
+        .verify(&TrustedKeys::new(trusted_keys))
+        .map_err(|error| file_finding(&name, &error.to_string(), RULE_SIGNATURE))
 }
 
-fn sign(path: &Path, key: &Path, out: &Path) -> Result<(), Failure> {
-    let bundle = load(path)?.bundle().clone();
+fn sign(path: &Path, key: &Path, out: &Path) -> Result<(), CommandError> {
+    let bundle = load_bundle(path)?.bundle().clone();
     let signed = SignedBundle::sign(bundle, &read_key(key)?);
     let bytes = encode_signed(&signed)?;
-    std::fs::write(out, bytes).map_err(|error| Failure::file(out, error))?;
+    std::fs::write(out, bytes).map_err(|error| CommandError::file(out, error))?;
     println!(
         "signed version {} by {}",
         signed.bundle.version, signed.sign_off.key
@@ -151,14 +157,14 @@
     Ok(())
 }
 
-fn show(path: &Path, json: bool) -> Result<(), Failure> {
-    let file = load(path)?;
+fn show(path: &Path, json: bool) -> Result<(), CommandError> {
+    let file = load_bundle(path)?;
     let bundle = file.bundle();
     let signer = match &file {
-        BundleFile::Written(_) => None,
+        BundleFile::Source(_) => None,
         BundleFile::Signed(signed) => Some(signed.sign_off.key.to_string()),
     };
-    let text = render(bundle).map_err(|error| Failure::Internal(error.to_string()))?;
+    let text = render(bundle).map_err(|error| CommandError::Internal(error.to_string()))?;
     if json {
         return show_json(bundle, signer, &text);
     }
@@ -168,9 +174,9 @@
     Ok(())
 }
 
-fn show_json(bundle: &Bundle, signer: Option<String>, text: &str) -> Result<(), Failure> {
+fn show_json(bundle: &Bundle, signer: Option<String>, text: &str) -> Result<(), CommandError> {
     let value: serde_json::Value =
-        toml::from_str(text).map_err(|error| Failure::Internal(error.to_string()))?;
+        toml::from_str(text).map_err(|error| CommandError::Internal(error.to_string()))?;
     print_json(&serde_json::json!({
         "digest": bundle.digest().to_string(),
         "signed_by": signer,
@@ -178,9 +184,9 @@
     }))
 }
 
-fn diff(old: &Path, new: &Path, json: bool) -> Result<(), Failure> {
-    let old = load(old)?;
-    let new = load(new)?;
+fn diff(old: &Path, new: &Path, json: bool) -> Result<(), CommandError> {
+    let old = load_bundle(old)?;
+    let new = load_bundle(new)?;
     let difference = BundleDifference::between(old.bundle(), new.bundle());
     if json {
         return print_json(&difference);
--- a/crates/woodladder/src/command/bundle_difference.rs
+++ b/crates/woodladder/src/command/bundle_difference.rs
@@ -1,11 +1,11 @@
-//! The difference between two bundles, by service and target.
+//! Differences between two bundles, by service and target.
 
 use std::fmt;
 
 use serde::Serialize;
 use woodladder_core::configuration::bundle::{Bundle, Service, Target, TargetState};
 
-/// How something differs.
+/// Kind of a difference.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
@@ -13,41 +13,41 @@
     Added,
     /// Only in the old bundle.
     Removed,
-    /// In both, not the same.
+    /// In both bundles, with different content.
     Changed,
 }
 
 /// One service or target that differs.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Difference {
-    /// How it differs.
+    /// Kind of the difference.
     pub change: Change,
     /// Name of the service.
     pub service: String,
     /// Identifier of the target; absent when the service itself differs.
     pub target: Option<u32>,
-    /// What is different, for people.
+    /// Descriptions of what is different, for people.
     pub details: Vec<String>,
 }
 
-/// All that differs between two bundles.
+/// All differences between two bundles.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct BundleDifference {
     /// Version of the old bundle.
     pub old_version: u64,
     /// Version of the new bundle.
     pub new_version: u64,
-    /// Services and targets that differ.
+    /// Services and targets that differ, sorted by service and target.
     pub differences: Vec<Difference>,
 }
 
 impl BundleDifference {
-    /// What differs between two bundles.
+    /// Compares two bundles.
     #[must_use]
     pub fn between(old: &Bundle, new: &Bundle) -> Self {
         let mut differences = Vec::new();
-        add_services(old, new, &mut differences);
-        add_targets(old, new, &mut differences);
+        compare_services(old, new, &mut differences);
+        compare_targets(old, new, &mut differences);
         differences.sort_by(|left, right| {
             (&left.service, left.target).cmp(&(&right.service, right.target))
         });
@@ -59,47 +59,47 @@
     }
 }
 
-fn add_services(old: &Bundle, new: &Bundle, differences: &mut Vec<Difference>) {
+fn compare_services(old: &Bundle, new: &Bundle, differences: &mut Vec<Difference>) {
     for service in &new.services {
         match old.service(service.id) {
-            None => differences.push(of_service(Change::Added, service, Vec::new())),
+            None => differences.push(service_difference(Change::Added, service, Vec::new())),
             Some(before) if before != service => {
                 let details = service_details(before, service);
-                differences.push(of_service(Change::Changed, service, details));
+                differences.push(service_difference(Change::Changed, service, details));
             }
             Some(_) => {}
         }
     }
     for service in &old.services {
         if new.service(service.id).is_none() {
-            differences.push(of_service(Change::Removed, service, Vec::new()));
+            differences.push(service_difference(Change::Removed, service, Vec::new()));
         }
     }
 }
 
-fn add_targets(old: &Bundle, new: &Bundle, differences: &mut Vec<Difference>) {
+fn compare_targets(old: &Bundle, new: &Bundle, differences: &mut Vec<Difference>) {
     for target in &new.targets {
         match old.target(target.id) {
             None => {
                 let details = vec![format!("address {}", target.address)];
-                differences.push(of_target(Change::Added, new, target, details));
+                differences.push(target_difference(Change::Added, new, target, details));
             }
             Some(before) => {
                 let details = target_details(old, before, new, target);
                 if !details.is_empty() {
-                    differences.push(of_target(Change::Changed, new, target, details));
+                    differences.push(target_difference(Change::Changed, new, target, details));
                 }
             }
         }
     }
     for target in &old.targets {
         if new.target(target.id).is_none() {
-            differences.push(of_target(Change::Removed, old, target, Vec::new()));
+            differences.push(target_difference(Change::Removed, old, target, Vec::new()));
         }
     }
 }
 
-fn of_service(change: Change, service: &Service, details: Vec<String>) -> Difference {
+fn service_difference(change: Change, service: &Service, details: Vec<String>) -> Difference {
     Difference {
         change,
         service: service.name.clone(),
@@ -108,7 +108,12 @@
     }
 }
 
-fn of_target(change: Change, bundle: &Bundle, target: &Target, details: Vec<String>) -> Difference {
+fn target_difference(
+    change: Change,
+    bundle: &Bundle,
+    target: &Target,
+    details: Vec<String>,
+) -> Difference {
     Difference {
         change,
         service: service_name(bundle, target),
@@ -133,7 +138,7 @@
 
 fn service_details(old: &Service, new: &Service) -> Vec<String> {
     let mut details = Vec::new();
-    note(&mut details, "name", &old.name, &new.name);
+    push_if_changed(&mut details, "name", &old.name, &new.name);
     for address in &new.addresses {
         if !old.addresses.contains(address) {
             details.push(format!("address {address} added"));
@@ -149,37 +154,43 @@
 
 fn target_details(old: &Bundle, before: &Target, new: &Bundle, after: &Target) -> Vec<String> {
     let mut details = Vec::new();
-    note(&mut details, "service", &before.service, &after.service);
-    note(&mut details, "address", &before.address, &after.address);
-    note(
+    push_if_changed(&mut details, "service", &before.service, &after.service);
+    push_if_changed(&mut details, "address", &before.address, &after.address);
+    push_if_changed(
         &mut details,
         "zone",
         &zone_name(old, before),
         &zone_name(new, after),
     );
-    note(&mut details, "slots", &before.slots, &after.slots);
-    note(
+    push_if_changed(&mut details, "slots", &before.slots, &after.slots);
+    push_if_changed(
         &mut details,
         "connections",
         &before.connections,
         &after.connections,
     );
-    note(
+    push_if_changed(
         &mut details,
         "state",
-        &state_word(before.state),
-        &state_word(after.state),
+        &state_name(before.state),
+        &state_name(after.state),
     );
     details
 }
 
-fn note<T: fmt::Display + PartialEq>(details: &mut Vec<String>, what: &str, old: &T, new: &T) {
+/// Adds a description when the two values differ.
+fn push_if_changed<T: fmt::Display + PartialEq>(
+    details: &mut Vec<String>,
+    name: &str,
+    old: &T,
+    new: &T,
+) {
     if old != new {
-        details.push(format!("{what} {old} -> {new}"));
+        details.push(format!("{name} {old} -> {new}"));
     }
 }
 
-fn state_word(state: TargetState) -> &'static str {
+fn state_name(state: TargetState) -> &'static str {
     match state {
         TargetState::Active => "active",
         TargetState::Leaving => "leaving",
--- a/crates/woodladder/src/command/bundle_file.rs
+++ b/crates/woodladder/src/command/bundle_file.rs
@@ -1,4 +1,4 @@
-//! Files that hold a bundle: its written form (TOML) or its signed form.
+//! Bundle files: TOML source that operators write, or signed bundles.
 
 use std::path::Path;
 
@@ -7,72 +7,76 @@
 use woodladder_core::configuration::bundle_source;
 use woodladder_core::finding::{Finding, Findings, Place};
 
-use super::failure::Failure;
+use super::error::CommandError;
 
-/// First bytes of a file with a signed bundle.
+/// Magic bytes at the start of a signed bundle file.
 const SIGNED_MAGIC: &[u8] = b"woodladder signed bundle 1\n";
-/// Longest file that is read.
+/// Longest bundle file that is read, in bytes.
 const MAXIMUM_LENGTH: u64 = 16 * 1024 * 1024;
 
 const RULE_LENGTH: &str = "a bundle file has at most 16 MiB";
 const RULE_TEXT: &str = "a bundle file is UTF-8 text, or was made by `bundle sign`";
-const RULE_SIGNED: &str = "a signed bundle is whole and unchanged since `bundle sign` made it";
+const RULE_SIGNED: &str = "a signed bundle is complete and unchanged since `bundle sign` made it";
 
-/// What a bundle file holds.
+/// Content of a bundle file.
 #[derive(Clone, Debug)]
 pub enum BundleFile {
-    /// The operators' written form.
-    Written(Bundle),
-    /// The form that `bundle sign` makes.
+    /// A bundle from TOML source.
+    Source(Bundle),
+    /// A signed bundle that `bundle sign` made.
     Signed(SignedBundle),
 }
 
 impl BundleFile {
-    /// The bundle in either form.
+    /// The bundle, signed or not.
     #[must_use]
     pub fn bundle(&self) -> &Bundle {
         match self {
-            Self::Written(bundle) => bundle,
+            Self::Source(bundle) => bundle,
             Self::Signed(signed) => &signed.bundle,
         }
     }
 }
 
-/// Reads a bundle file of either form.
+/// Reads a bundle file, TOML source or signed.
 ///
 /// # Errors
-/// [`Failure`] with every finding.
-pub fn load(path: &Path) -> Result<BundleFile, Failure> {
+/// [`CommandError`] when the file cannot be read, or with all findings about its
+/// content.
+pub fn load_bundle(path: &Path) -> Result<BundleFile, CommandError> {
     let name = path.display().to_string();
-    let bytes = read(path, &name)?;
+    let bytes = read_limited(path, &name)?;
     if let Some(encoded) = bytes.strip_prefix(SIGNED_MAGIC) {
         let signed = SignedBundle::try_from_slice(encoded)
-            .map_err(|_| refused(&name, "cannot be decoded", RULE_SIGNED))?;
+            .map_err(|_| file_finding(&name, "cannot be decoded", RULE_SIGNED))?;
         return Ok(BundleFile::Signed(signed));
     }
     let text =
-        String::from_utf8(bytes).map_err(|_| refused(&name, "is not a bundle", RULE_TEXT))?;
-    Ok(BundleFile::Written(bundle_source::parse(&name, &text)?))
+        String::from_utf8(bytes).map_err(|_| file_finding(&name, "is not a bundle", RULE_TEXT))?;
+    Ok(BundleFile::Source(bundle_source::parse(&name, &text)?))
 }
 
-/// Encodes a signed bundle for a file.
-pub(super) fn encode_signed(signed: &SignedBundle) -> Result<Vec<u8>, Failure> {
+/// Encodes a signed bundle as the content of a file.
+pub(super) fn encode_signed(signed: &SignedBundle) -> Result<Vec<u8>, CommandError> {
     let mut bytes = SIGNED_MAGIC.to_vec();
-    borsh::to_writer(&mut bytes, signed).map_err(|error| Failure::Internal(error.to_string()))?;
+    borsh::to_writer(&mut bytes, signed)
+        .map_err(|error| CommandError::Internal(error.to_string()))?;
     Ok(bytes)
 }
 
-fn read(path: &Path, name: &str) -> Result<Vec<u8>, Failure> {
+/// Reads a file of at most [`MAXIMUM_LENGTH`].
+fn read_limited(path: &Path, name: &str) -> Result<Vec<u8>, CommandError> {
     let length = std::fs::metadata(path)
-        .map_err(|error| Failure::file(path, error))?
+        .map_err(|error| CommandError::file(path, error))?
         .len();
     if length > MAXIMUM_LENGTH {
-        return Err(refused(name, "is too long", RULE_LENGTH));
+        return Err(file_finding(name, "is too long", RULE_LENGTH));
     }
-    std::fs::read(path).map_err(|error| Failure::file(path, error))
+    std::fs::read(path).map_err(|error| CommandError::file(path, error))
 }
 
-pub(super) fn refused(file: &str, problem: &str, rule: &'static str) -> Failure {
+/// The error with one finding about a whole file.
+pub(super) fn file_finding(file: &str, problem: &str, rule: &'static str) -> CommandError {
     let mut findings = Findings::new();
     findings.push(Finding {
         place: Place {
@@ -82,5 +86,5 @@
         problem: problem.to_owned(),
         rule,
     });
-    Failure::Findings(findings)
+    CommandError::Findings(findings)
 }
--- a/crates/woodladder/src/command/check_settings.rs
+++ b/crates/woodladder/src/command/check_settings.rs
@@ -1,22 +1,23 @@
-//! `woodladder check-settings`: check settings without running anything.
+//! `woodladder check-settings`: checks settings without running a daemon or a
+//! command.
 
 use std::path::PathBuf;
 
 use clap::{Args, ValueEnum};
 use woodladder_core::finding::Findings;
 
-use super::failure::Failure;
+use super::error::CommandError;
 use crate::settings::{AgentSettings, BalancerSettings, OperatorSettings, SettingsLayers};
 
 pub(super) const HELP: &str = "Examples:
   woodladder check-settings --role balancer balancer.toml
   WOODLADDER_ZONE=north-1 woodladder check-settings --role agent agent.toml
 
-Environment variables count, as they do when the command itself runs.";
+Environment variables override the file, as they do when the command itself runs.";
 
 #[derive(Args, Debug)]
 pub(super) struct CheckSettingsCommand {
-    /// Whose settings they are
+    /// Role that the settings are for
     #[arg(long, value_enum)]
     role: SettingsRole,
     /// Settings file
@@ -32,7 +33,7 @@
 }
 
 impl CheckSettingsCommand {
-    pub(super) fn run(self) -> Result<(), Failure> {
+    pub(super) fn run(self) -> Result<(), CommandError> {
         let mut findings = Findings::new();
         let layers = SettingsLayers::new()
             .file(&self.file, &mut findings)
--- a/crates/woodladder/src/command/error.rs
+++ b/crates/woodladder/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that it gives.
+//! Errors of commands and their exit codes.
 
 use std::fmt;
 use std::path::Path;
@@ -7,32 +7,33 @@
 
 use crate::process::{Exit, StartError};
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug)]
-pub enum Failure {
-    /// An input has faults.
+pub enum CommandError {
+    /// An input has findings.
     Findings(Findings),
-    /// It was refused.
+    /// The command was refused, for this reason.
     Refused(String),
     /// A file cannot be read or written.
     File {
-        /// Name of the file.
+        /// Path of the file.
         file: String,
-        /// The system's error.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The key-value service gave no answer; nothing was changed.
+    /// The key-value service cannot be reached or does not answer; nothing was
+    /// changed.
     StoreUnreachable(String),
     /// Another operator's roll took effect first.
     LostRace(String),
-    /// The outcome is not known, or the time for it ran out.
+    /// The outcome is unknown, or the command timed out.
     Unknown(String),
-    /// A fault of the program or of the machine.
+    /// An internal error of the program or the machine.
     Internal(String),
 }
 
-impl Failure {
-    /// A file cannot be read or written.
+impl CommandError {
+    /// The error for a file that cannot be read or written.
     #[must_use]
     pub fn file(path: &Path, error: std::io::Error) -> Self {
         Self::File {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The exit code.
+    /// Exit code of the command.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -54,19 +55,19 @@
     }
 }
 
-impl From<Findings> for Failure {
+impl From<Findings> for CommandError {
     fn from(findings: Findings) -> Self {
         Self::Findings(findings)
     }
 }
 
-impl From<StartError> for Failure {
+impl From<StartError> for CommandError {
     fn from(error: StartError) -> Self {
         Self::Internal(error.to_string())
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for CommandError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Findings(findings) => findings.fmt(formatter),
@@ -80,4 +81,4 @@
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for CommandError {}
--- a/crates/woodladder/src/command/fleet_report.rs
+++ b/crates/woodladder/src/command/fleet_report.rs
@@ -1,10 +1,11 @@
-//! `woodladder fleet-report`.
+//! `woodladder fleet-report`: prints a fleet's message totals and how fast changes
+//! reached its nodes.
 
 use std::path::PathBuf;
 
 use clap::Args;
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::output::print_json;
 use crate::explain;
 use crate::fleet_report::{self, FleetReport};
@@ -25,9 +26,9 @@
 }
 
 impl FleetReportArguments {
-    pub(super) fn run(&self) -> Result<(), Failure> {
+    pub(super) fn run(&self) -> Result<(), CommandError> {
         let lines = explain::read_directory(&self.logs)
-            .map_err(|error| Failure::Refused(error.to_string()))?;
+            .map_err(|error| CommandError::Refused(error.to_string()))?;
         let report = fleet_report::compute_report(&lines);
         if self.json {
             return print_json(&report);
@@ -41,7 +42,7 @@
     let mut text = String::new();
     for total in &report.totals {
         text.push_str(&format!(
-            "{:<9} {:<9} {:<20} {:>5} nodes {:>9} {:>12} B, most {}\n",
+            "{:<9} {:<9} {:<20} {:>5} nodes {:>9} {:>12} B, maximum per node {}\n",
             total.role,
             total.direction,
             total.kind,
@@ -53,7 +54,7 @@
     }
     for spread in &report.spreads {
         text.push_str(&format!(
-            "{:<22} {:<22} {:>5} nodes, after the first: median {} ms, 99th of 100 {} ms, \
+            "{:<22} {:<22} {:>5} nodes, delay after the first: median {} ms, 99th percentile {} ms, \
              last {} ms\n",
             spread.event,
             spread.subject,
--- a/crates/woodladder/src/command/key.rs
+++ b/crates/woodladder/src/command/key.rs
@@ -1,11 +1,11 @@
-//! `woodladder key`: operators' keys.
+//! `woodladder key`: creates operators' keys and shows their public keys.
 
 use std::path::PathBuf;
 
 use clap::Subcommand;
 use woodladder_core::signature::{KEY_LENGTH, OperatorKey};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::key_file::{read_key, write_key};
 
 pub(super) const HELP: &str = "Examples:
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Subcommand)]
 pub(super) enum KeyCommand {
-    /// Make a key, write the secret one to a file and print the public one
+    /// Create a key pair, write the secret key to a file and print the public key
     #[command(after_help = HELP)]
     New {
         /// File to write; it must not exist
@@ -34,7 +34,7 @@
 }
 
 impl KeyCommand {
-    pub(super) fn run(self) -> Result<(), Failure> {
+    pub(super) fn run(self) -> Result<(), CommandError> {
         let key = match self {
             Self::New { out } => {
                 let secret: [u8; KEY_LENGTH] = rand::random();
--- a/crates/woodladder/src/command/mod.rs
+++ b/crates/woodladder/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `woodladder`.
 
 mod agent;
 mod balancer;
@@ -6,8 +6,8 @@
 mod bundle_difference;
 mod bundle_file;
 mod check_settings;
+mod error;
 mod explain;
-mod failure;
 mod fleet_report;
 mod key;
 mod key_file;
@@ -24,8 +24,8 @@
 use crate::process::{EXIT_CODES_HELP, Exit};
 
 pub use bundle_difference::{BundleDifference, Change, Difference};
-pub use bundle_file::{BundleFile, load};
-pub use failure::Failure;
+pub use bundle_file::{BundleFile, load_bundle};
+pub use error::CommandError;
 pub use key_file::read_key;
 
 /// Layer-4 load balancer for services whose callers all arrive at once.
@@ -47,7 +47,7 @@
     /// Write, check, sign, show and compare bundles
     #[command(subcommand, after_help = bundle::HELP)]
     Bundle(bundle::BundleCommand),
-    /// Make an operator's key
+    /// Create or show an operator's key
     #[command(subcommand, after_help = key::HELP)]
     Key(key::KeyCommand),
     /// Put a signed bundle in force
@@ -59,7 +59,7 @@
     /// Explain one request or flow from the logs of all nodes
     #[command(after_help = explain::HELP)]
     Explain(explain::ExplainArguments),
-    /// Add up what a fleet exchanged, and how fast news reached all of it, from logs
+    /// Report a fleet's message totals and how fast changes reached its nodes, from logs
     #[command(after_help = fleet_report::HELP)]
     FleetReport(fleet_report::FleetReportArguments),
     /// Check settings without running anything
@@ -68,7 +68,7 @@
 }
 
 impl CommandLine {
-    /// Carries the command out; messages go to standard output and error.
+    /// Runs the command. Results go to standard output, errors to standard error.
     #[must_use]
     pub fn run(self) -> Exit {
         let result = match self.command {
@@ -84,9 +84,9 @@
         };
         match result {
             Ok(()) => Exit::Success,
-            Err(failure) => {
-                eprintln!("{}", failure.to_string().trim_end());
-                failure.exit()
+            Err(error) => {
+                eprintln!("{}", error.to_string().trim_end());
+                error.exit()
             }
         }
     }
--- a/crates/woodladder/src/command/roll.rs
+++ b/crates/woodladder/src/command/roll.rs
@@ -1,4 +1,4 @@
-//! `woodladder roll`: put a signed bundle in force.
+//! `woodladder roll`: puts a signed bundle in force on all nodes.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use woodladder_core::control::roll_command::{RollAction, RollCommand, RollEvent, RollRequest};
 use woodladder_core::control::store_operation::{StoreOperation, StoreRequestId};
 
-use super::bundle_file::{BundleFile, load, refused};
-use super::failure::Failure;
+use super::bundle_file::{BundleFile, file_finding, load_bundle};
+use super::error::CommandError;
 use super::key_file::read_key;
-use super::roll_report::ReportForm;
+use super::roll_report::ReportFormat;
 use super::{nodes, runtime};
 use crate::control::{ControlSocket, ProcessClock};
 use crate::log;
@@ -30,7 +30,7 @@
 An older bundle is rolled forward in the same way: it gets a new sequence, and
 no node goes back. When two operators roll at the same time one wins, and the
 other ends with code 4. Code 5 means that the roll was accepted and not all
-nodes have it in force yet, or that the outcome could not be found out: see
+nodes have it in force yet, or that the outcome is unknown: see
 `woodladder status` before rolling again.";
 
 const RULE_SIGNED: &str = "only a bundle made by `bundle sign` is rolled";
@@ -48,39 +48,39 @@
     flags: OperatorFlags,
 }
 
-/// What the command's driver works with.
+/// Performs the actions of a [`RollCommand`] and feeds it events.
 struct RollDriver {
     command: RollCommand,
     clock: ProcessClock,
     socket: ControlSocket,
     store: Arc<dyn Store>,
-    form: ReportForm,
-    answers: mpsc::UnboundedSender<RollEvent>,
+    format: ReportFormat,
+    store_events: mpsc::UnboundedSender<RollEvent>,
 }
 
 impl RollArguments {
-    pub(super) fn run(self) -> Result<(), Failure> {
-        let settings = runtime::operator_settings(&self.flags)?;
-        let bundle = self.signed_bundle()?;
+    pub(super) fn run(self) -> Result<(), CommandError> {
+        let settings = runtime::read_operator_settings(&self.flags)?;
+        let bundle = self.load_signed_bundle()?;
         let (logger, _guard) = log::open(settings.log);
-        runtime::run(1, roll(settings, bundle, self.form(), logger))
+        runtime::block_on(1, roll(settings, bundle, self.format(), logger))
     }
 
-    fn signed_bundle(&self) -> Result<SignedBundle, Failure> {
-        match load(&self.file)? {
+    fn load_signed_bundle(&self) -> Result<SignedBundle, CommandError> {
+        match load_bundle(&self.file)? {
             BundleFile::Signed(signed) => Ok(signed),
-            BundleFile::Written(_) => {
+            BundleFile::Source(_) => {
                 let name = self.file.display().to_string();
-                Err(refused(&name, "is not signed", RULE_SIGNED))
+                Err(file_finding(&name, "is not signed", RULE_SIGNED))
             }
         }
     }
 
-    fn form(&self) -> ReportForm {
+    fn format(&self) -> ReportFormat {
         if self.json {
-            ReportForm::Json
+            ReportFormat::Json
         } else {
-            ReportForm::Lines
+            ReportFormat::Lines
         }
     }
 }
@@ -88,39 +88,42 @@
 async fn roll(
     settings: OperatorSettings,
     bundle: SignedBundle,
-    form: ReportForm,
+    format: ReportFormat,
     logger: Logger,
-) -> Result<(), Failure> {
-    let mut request = request(&settings, bundle)?;
-    request.nodes = nodes::addresses(&settings, &logger).await;
-    let socket = nodes::socket(&settings, &request.nodes).await?;
+) -> Result<(), CommandError> {
+    let mut request = build_request(&settings, bundle)?;
+    request.nodes = nodes::find_addresses(&settings, &logger).await;
+    let socket = nodes::bind_socket(&settings, &request.nodes).await?;
     let store = ConsulStore::new(settings.platform.stores.clone(), logger)
-        .map_err(|error| Failure::Internal(error.to_string()))?;
+        .map_err(|error| CommandError::Internal(error.to_string()))?;
     let clock = ProcessClock::new();
     let random = ChaCha8Rng::from_seed(rand::random());
-    let (answers, received) = mpsc::unbounded_channel();
+    let (store_events, received_events) = mpsc::unbounded_channel();
     let driver = RollDriver {
         command: RollCommand::new(request, random, clock.now()),
         clock,
         socket,
         store: Arc::new(store),
-        form,
-        answers,
+        format,
+        store_events,
     };
-    driver.run(received).await
+    driver.run(received_events).await
 }
 
-fn request(settings: &OperatorSettings, bundle: SignedBundle) -> Result<RollRequest, Failure> {
+fn build_request(
+    settings: &OperatorSettings,
+    bundle: SignedBundle,
+) -> Result<RollRequest, CommandError> {
     let Some(path) = &settings.signing_key else {
-        return Err(refused(
+        return Err(file_finding(
             "settings",
-            "no signing key is named",
+            "no signing key is set",
             RULE_SIGNING_KEY,
         ));
     };
     let rolled_at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_err(|error| Failure::Internal(error.to_string()))?
+        .map_err(|error| CommandError::Internal(error.to_string()))?
         .as_secs();
     let mut request = RollRequest::new(
         bundle,
@@ -134,18 +137,21 @@
 }
 
 impl RollDriver {
-    async fn run(mut self, mut answers: mpsc::UnboundedReceiver<RollEvent>) -> Result<(), Failure> {
+    async fn run(
+        mut self,
+        mut store_events: mpsc::UnboundedReceiver<RollEvent>,
+    ) -> Result<(), CommandError> {
         let mut event = RollEvent::Tick;
         loop {
             for action in self.command.handle(event, self.clock.now()) {
                 if let RollAction::Finished(result) = action {
-                    return self.form.finished(result);
+                    return self.format.finish(result);
                 }
-                self.carry_out(action);
+                self.perform(action);
             }
             let Some(wakeup) = self.command.next_wakeup() else {
-                return Err(Failure::Internal(
-                    "the roll ended without a verdict".to_owned(),
+                return Err(CommandError::Internal(
+                    "the roll ended without a result".to_owned(),
                 ));
             };
             event = tokio::select! {
@@ -153,28 +159,30 @@
                     Ok(message) => RollEvent::Message { from: received.from, message },
                     Err(_) => RollEvent::Tick,
                 },
-                Some(answer) = answers.recv() => answer,
+                Some(store_event) = store_events.recv() => store_event,
                 () = self.clock.sleep_until(wakeup) => RollEvent::Tick,
             };
         }
     }
 
-    fn carry_out(&self, action: RollAction) {
+    fn perform(&self, action: RollAction) {
         match action {
-            RollAction::Store { request, operation } => self.ask_store(request, operation),
+            RollAction::Store { request, operation } => {
+                self.perform_store_operation(request, operation)
+            }
             RollAction::Send { to, message } => self.socket.send(to, &message),
-            RollAction::Accepted(roll) => self.form.accepted(&roll),
-            RollAction::Progress(progress) => self.form.progress(&progress),
+            RollAction::Accepted(roll) => self.format.print_accepted(&roll),
+            RollAction::Progress(progress) => self.format.print_progress(&progress),
             RollAction::Finished(_) => {}
         }
     }
 
-    fn ask_store(&self, request: StoreRequestId, operation: StoreOperation) {
+    fn perform_store_operation(&self, request: StoreRequestId, operation: StoreOperation) {
         let store = self.store.clone();
-        let answers = self.answers.clone();
+        let store_events = self.store_events.clone();
         tokio::spawn(async move {
             let answer = store.perform(&operation).await;
-            let _ = answers.send(RollEvent::StoreAnswer { request, answer });
+            let _ = store_events.send(RollEvent::StoreAnswer { request, answer });
         });
     }
 }
--- a/crates/woodladder/src/command/roll_report.rs
+++ b/crates/woodladder/src/command/roll_report.rs
@@ -1,24 +1,24 @@
-//! What `woodladder roll` prints, and how it ends.
+//! Output and result of `woodladder roll`.
 
 use serde::Serialize;
 use woodladder_core::control::roll_command::{RollError, RollOutcome, RollProgress, RollSummary};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::output::print_json;
 
-/// Form of the report.
+/// Output format of the command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum ReportForm {
-    /// Lines as things happen.
+pub(super) enum ReportFormat {
+    /// One line for each step, as it happens.
     Lines,
     /// One JSON object at the end.
     Json,
 }
 
-/// The end of a roll, for programs.
+/// JSON report of a finished roll.
 #[derive(Debug, Serialize)]
 struct RollReport {
-    /// Whether it took effect; absent when that is not known.
+    /// Whether the roll took effect; absent when that is unknown.
     accepted: Option<bool>,
     sequence: Option<u64>,
     bundle_version: Option<u64>,
@@ -36,43 +36,45 @@
     known: usize,
 }
 
-impl ReportForm {
-    pub(super) fn accepted(self, roll: &RollSummary) {
+impl ReportFormat {
+    pub(super) fn print_accepted(self, roll: &RollSummary) {
         if self == Self::Lines {
             println!("accepted: {roll}");
         }
     }
 
-    pub(super) fn progress(self, progress: &RollProgress) {
+    pub(super) fn print_progress(self, progress: &RollProgress) {
         if self == Self::Lines {
-            println!("{}", progress_line(progress));
+            println!("{}", describe_progress(progress));
         }
     }
 
-    pub(super) fn finished(self, result: Result<RollOutcome, RollError>) -> Result<(), Failure> {
+    /// Prints the JSON report and returns the result of the command. Nodes that do
+    /// not have the bundle in force at the end make it an error.
+    pub(super) fn finish(self, result: Result<RollOutcome, RollError>) -> Result<(), CommandError> {
         if self == Self::Json {
-            print_json(&report(&result))?;
+            print_json(&build_report(&result))?;
         }
-        let outcome = result.map_err(failure)?;
+        let outcome = result.map_err(command_error)?;
         let progress = outcome.progress;
         if progress.in_force < progress.known {
-            return Err(Failure::Unknown(format!(
-                "accepted, but the time ran out: {}",
-                progress_line(&progress)
+            return Err(CommandError::Unknown(format!(
+                "accepted, but timed out: {}",
+                describe_progress(&progress)
             )));
         }
         Ok(())
     }
 }
 
-fn progress_line(progress: &RollProgress) -> String {
+fn describe_progress(progress: &RollProgress) -> String {
     format!(
-        "in force at {} of {} nodes, {} answered",
+        "in force on {} of {} nodes, {} answered",
         progress.in_force, progress.known, progress.answered
     )
 }
 
-fn report(result: &Result<RollOutcome, RollError>) -> RollReport {
+fn build_report(result: &Result<RollOutcome, RollError>) -> RollReport {
     match result {
         Ok(outcome) => RollReport {
             accepted: Some(true),
@@ -100,13 +102,13 @@
     }
 }
 
-fn failure(error: RollError) -> Failure {
+fn command_error(error: RollError) -> CommandError {
     let text = error.to_string();
     match error {
-        RollError::Findings(findings) => Failure::Findings(findings),
-        RollError::StoreUnavailable => Failure::StoreUnreachable(text),
-        RollError::LostRace { .. } => Failure::LostRace(text),
-        RollError::OutcomeUnknown { .. } => Failure::Unknown(text),
-        _ => Failure::Refused(text),
+        RollError::Findings(findings) => CommandError::Findings(findings),
+        RollError::StoreUnavailable => CommandError::StoreUnreachable(text),
+        RollError::LostRace { .. } => CommandError::LostRace(text),
+        RollError::OutcomeUnknown { .. } => CommandError::Unknown(text),
+        _ => CommandError::Refused(text),
     }
 }
--- a/crates/woodladder/src/command/runtime.rs
+++ b/crates/woodladder/src/command/runtime.rs
@@ -1,4 +1,4 @@
-//! What commands share: reading settings, and a runtime.
+//! Helpers that commands share: reading settings and running futures.
 
 use std::future::Future;
 use std::path::Path;
@@ -6,11 +6,11 @@
 use serde::Serialize;
 use woodladder_core::finding::Findings;
 
-use super::failure::Failure;
+use super::error::CommandError;
 use crate::settings::{OperatorFlags, OperatorSettings, SettingsLayers};
 
-/// SettingsLayers of a settings file, the environment and flags.
-pub(super) fn layers(
+/// Merges the layers of a settings file, the environment and flags.
+pub(super) fn merge_layers(
     file: Option<&Path>,
     flags: &impl Serialize,
     findings: &mut Findings,
@@ -22,23 +22,25 @@
     layers.environment().flags(flags, findings)
 }
 
-/// Settings of an operator's command.
-pub(super) fn operator_settings(flags: &OperatorFlags) -> Result<OperatorSettings, Failure> {
+/// Reads the settings of an operator's command.
+pub(super) fn read_operator_settings(
+    flags: &OperatorFlags,
+) -> Result<OperatorSettings, CommandError> {
     let mut findings = Findings::new();
-    let layers = layers(flags.settings.as_deref(), flags, &mut findings);
+    let layers = merge_layers(flags.settings.as_deref(), flags, &mut findings);
     Ok(OperatorSettings::read(&layers, findings)?)
 }
 
-/// Runs a future on a runtime with this many threads.
-pub(super) fn run<T, E: Into<Failure>>(
+/// Runs a future to its end on a runtime with this many worker threads.
+pub(super) fn block_on<T, E: Into<CommandError>>(
     threads: usize,
     future: impl Future<Output = Result<T, E>>,
-) -> Result<T, Failure> {
+) -> Result<T, CommandError> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
         .build()
-        .map_err(|error| Failure::Internal(error.to_string()))?
+        .map_err(|error| CommandError::Internal(error.to_string()))?
         .block_on(future)
         .map_err(Into::into)
 }
--- a/crates/woodladder/src/command/status.rs
+++ b/crates/woodladder/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `woodladder status`: what every node has in force.
+//! `woodladder status`: shows the bundle that each node has in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 };
 use woodladder_core::control::store_operation::{StoreAnswer, StoreKey, StoreOperation};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::output::print_json;
 use super::status_report::{NodeReport, NodeState, StatusReport, StoreReport};
 use super::{nodes, runtime};
@@ -25,11 +25,11 @@
   woodladder status --settings operator.toml
   woodladder status --settings operator.toml --seed 10.0.0.1:7001 --json
 
-Nodes come from the machine list and the seeds. The command ends with code 5
+Nodes are those of the machine list and the seeds. The command ends with code 5
 when a node does not answer.";
 
-/// Longest time that a node is waited for.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
+/// Longest time to wait for the nodes' answers.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Args, Debug)]
 pub(super) struct StatusArguments {
@@ -41,27 +41,32 @@
 }
 
 impl StatusArguments {
-    pub(super) fn run(self) -> Result<(), Failure> {
-        let settings = runtime::operator_settings(&self.flags)?;
+    pub(super) fn run(self) -> Result<(), CommandError> {
+        let settings = runtime::read_operator_settings(&self.flags)?;
         let (logger, _guard) = log::open(settings.log);
-        let report = runtime::run(1, gather(&settings, &logger))?;
+        let report = runtime::block_on(1, build_report(&settings, &logger))?;
         if self.json {
             print_json(&report)?;
         } else {
             report.print_table();
         }
-        report.verdict()
+        report.check_all_answered()
     }
 }
 
-async fn gather(settings: &OperatorSettings, logger: &Logger) -> Result<StatusReport, Failure> {
+async fn build_report(
+    settings: &OperatorSettings,
+    logger: &Logger,
+) -> Result<StatusReport, CommandError> {
     let store = read_store(settings, logger).await?;
-    let addresses = nodes::addresses(settings, logger).await;
-    let socket = nodes::socket(settings, &addresses).await?;
-    let mut replies = ask(&socket, &addresses, settings.poll).await;
+    let addresses = nodes::find_addresses(settings, logger).await;
+    let socket = nodes::bind_socket(settings, &addresses).await?;
+    let mut replies = query_nodes(&socket, &addresses, settings.poll).await;
     let nodes = addresses.iter().map(|control| NodeReport {
         control: *control,
-        status: replies.remove(control).map(|reply| NodeState::of(&reply)),
+        status: replies
+            .remove(control)
+            .map(|reply| NodeState::from_reply(&reply)),
     });
     Ok(StatusReport {
         store,
@@ -69,44 +74,50 @@
     })
 }
 
-async fn read_store(settings: &OperatorSettings, logger: &Logger) -> Result<StoreReport, Failure> {
+async fn read_store(
+    settings: &OperatorSettings,
+    logger: &Logger,
+) -> Result<StoreReport, CommandError> {
     let store = ConsulStore::new(settings.platform.stores.clone(), logger.clone())
-        .map_err(|error| Failure::Internal(error.to_string()))?;
+        .map_err(|error| CommandError::Internal(error.to_string()))?;
     let current = StoreOperation::Read {
         key: StoreKey::Current,
         wait: None,
     };
     Ok(match store.perform(&current).await {
-        StoreAnswer::Value { value, .. } => StoreReport::of(&value, &settings.trusted_keys),
+        StoreAnswer::Value { value, .. } => {
+            StoreReport::from_stored_value(&value, &settings.trusted_keys)
+        }
         StoreAnswer::NotFound => StoreReport::Empty,
         _ => StoreReport::Unreachable,
     })
 }
 
-/// Asks every node until it answers or the time is over.
-async fn ask(
+/// Sends a status request to every node, again at each poll interval, until the
+/// node answers or the time is over.
+async fn query_nodes(
     socket: &ControlSocket,
     nodes: &[SocketAddr],
-    poll: Duration,
+    poll_interval: Duration,
 ) -> BTreeMap<SocketAddr, StatusReply> {
-    let deadline = Instant::now() + ANSWER_TIME;
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
     let request = ControlMessage::StatusRequest(StatusRequest {
         number: ProbeNumber(rand::random()),
     });
     let mut replies = BTreeMap::new();
-    let mut rounds = interval(poll.max(Duration::from_millis(1)));
+    let mut polls = interval(poll_interval.max(Duration::from_millis(1)));
     while replies.len() < nodes.len() {
         let next = async {
             tokio::select! {
                 received = socket.receive() => Some(received),
-                _ = rounds.tick() => None,
+                _ = polls.tick() => None,
             }
         };
         match timeout_at(deadline, next).await {
             Err(_) => return replies,
             Ok(None) => {
-                let silent = nodes.iter().filter(|node| !replies.contains_key(node));
-                silent.for_each(|node| socket.send(*node, &request));
+                let unanswered = nodes.iter().filter(|node| !replies.contains_key(node));
+                unanswered.for_each(|node| socket.send(*node, &request));
             }
             Ok(Some(received)) => {
                 if let Ok(ControlMessage::StatusReply(reply)) = received.message
--- a/crates/woodladder/src/command/status_report.rs
+++ b/crates/woodladder/src/command/status_report.rs
@@ -1,4 +1,4 @@
-//! What `woodladder status` found out, and how it is shown.
+//! Report of `woodladder status` and how it is printed.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,19 @@
 use woodladder_core::control::roll_command::RollSummary;
 use woodladder_core::signature::TrustedKeys;
 
-use super::failure::Failure;
+use super::error::CommandError;
 
-/// Hexadecimal digits of a digest that the table shows.
-const SHORT_DIGEST: usize = 12;
+/// Number of hexadecimal digits of a digest that the table shows.
+const SHOWN_DIGEST_DIGITS: usize = 12;
 
-/// All that the command found out.
+/// State of the key-value service and of all nodes.
 #[derive(Debug, Serialize)]
 pub(super) struct StatusReport {
     pub(super) store: StoreReport,
     pub(super) nodes: Vec<NodeReport>,
 }
 
-/// The roll in force as the key-value service has it.
+/// The current roll in the key-value service.
 #[derive(Debug, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub(super) enum StoreReport {
@@ -36,14 +36,14 @@
     },
 }
 
-/// One node.
+/// One node and its status, when it answered.
 #[derive(Debug, Serialize)]
 pub(super) struct NodeReport {
     pub(super) control: SocketAddr,
     pub(super) status: Option<NodeState>,
 }
 
-/// What a node answered.
+/// Status that a node answered with.
 #[derive(Debug, Serialize)]
 pub(super) struct NodeState {
     role: &'static str,
@@ -59,7 +59,7 @@
 }
 
 impl StoreReport {
-    pub(super) fn of(value: &[u8], trusted: &TrustedKeys) -> Self {
+    pub(super) fn from_stored_value(value: &[u8], trusted: &TrustedKeys) -> Self {
         let Ok(stored) = StoredRoll::try_from_slice(value) else {
             return Self::Unreadable;
         };
@@ -76,7 +76,7 @@
 }
 
 impl NodeState {
-    pub(super) fn of(reply: &StatusReply) -> Self {
+    pub(super) fn from_reply(reply: &StatusReply) -> Self {
         Self {
             role: match reply.node.role {
                 Role::Balancer => "balancer",
@@ -94,7 +94,7 @@
         }
     }
 
-    fn state_word(&self) -> &'static str {
+    fn state_name(&self) -> &'static str {
         match (self.leaving, self.suspect, self.ready) {
             (true, _, _) => "leaving",
             (_, true, _) => "suspect",
@@ -105,7 +105,7 @@
 }
 
 impl StatusReport {
-    /// Prints a table for people.
+    /// Prints the report as a human-readable table.
     pub(super) fn print_table(&self) {
         match &self.store {
             StoreReport::Unreachable => println!("store: cannot be reached"),
@@ -128,12 +128,12 @@
         }
     }
 
-    /// How the command ends.
-    pub(super) fn verdict(&self) -> Result<(), Failure> {
+    /// Result of the command: an error when a node did not answer.
+    pub(super) fn check_all_answered(&self) -> Result<(), CommandError> {
         let silent = self.nodes.iter().filter(|node| node.status.is_none());
         match silent.count() {
             0 => Ok(()),
-            count => Err(Failure::Unknown(format!(
+            count => Err(CommandError::Unknown(format!(
                 "{count} of {} nodes did not answer",
                 self.nodes.len()
             ))),
@@ -150,10 +150,13 @@
         "{:<22} {:<9} {:<8} {:>9} {:>8}  {:<12} {:>6} {:>9}",
         node.control,
         status.role,
-        status.state_word(),
+        status.state_name(),
         status.sequence,
         status.bundle_version,
-        status.snapshot.get(..SHORT_DIGEST).unwrap_or_default(),
+        status
+            .snapshot
+            .get(..SHOWN_DIGEST_DIGITS)
+            .unwrap_or_default(),
         status.heard_nodes,
         status.rejections
     );
