--- a/crates/woodladder/src/command/bundle.rs
+++ b/crates/woodladder/src/command/bundle.rs
@@ -1,4 +1,4 @@
-//! `woodladder bundle`: writes, checks, signs, shows and compares bundles.
+//! `woodladder bundle`: creates, checks, signs, shows and compares bundles.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
--- a/crates/woodladder/src/command/bundle_file.rs
+++ b/crates/woodladder/src/command/bundle_file.rs
@@ -12,7 +12,7 @@
 /// Magic bytes at the start of a signed bundle file.
 const SIGNED_MAGIC: &[u8] = b"woodladder signed bundle 1\n";
 /// Longest bundle file that is read, in bytes.
-const MAXIMUM_LENGTH: u64 = 16 * 1024 * 1024;
+const MAXIMUM_FILE_LENGTH: u64 = 16 * 1024 * 1024;
 
 const RULE_LENGTH: &str = "a bundle file has at most 16 MiB";
 const RULE_TEXT: &str = "a bundle file is UTF-8 text, or was made by `bundle sign`";
@@ -64,12 +64,12 @@
     Ok(bytes)
 }
 
-/// Reads a file of at most [`MAXIMUM_LENGTH`].
+/// Reads a file of at most [`MAXIMUM_FILE_LENGTH`].
 fn read_limited(path: &Path, name: &str) -> Result<Vec<u8>, CommandError> {
     let length = std::fs::metadata(path)
         .map_err(|error| CommandError::file(path, error))?
         .len();
-    if length > MAXIMUM_LENGTH {
+    if length > MAXIMUM_FILE_LENGTH {
         return Err(file_finding(name, "is too long", RULE_LENGTH));
     }
     std::fs::read(path).map_err(|error| CommandError::file(path, error))
--- a/crates/woodladder/src/command/mod.rs
+++ b/crates/woodladder/src/command/mod.rs
@@ -44,7 +44,7 @@
     /// Run an agent beside one back end
     #[command(after_help = agent::HELP)]
     Agent(Box<agent::AgentCommand>),
-    /// Write, check, sign, show and compare bundles
+    /// Create, check, sign, show and compare bundles
     #[command(subcommand, after_help = bundle::HELP)]
     Bundle(bundle::BundleCommand),
     /// Create or show an operator's key
--- a/crates/woodladder/src/command/roll.rs
+++ b/crates/woodladder/src/command/roll.rs
@@ -27,9 +27,9 @@
   woodladder roll bundle.signed --settings operator.toml
   woodladder roll bundle.signed --settings operator.toml --timeout 60s --json
 
-An older bundle is rolled forward in the same way: it gets a new sequence, and
-no node goes back. When two operators roll at the same time one wins, and the
-other ends with code 4. Code 5 means that the roll was accepted and not all
+An older bundle is put in force in the same way: it gets a new sequence, and no
+node returns to an older sequence. When two operators roll at the same time, one
+roll takes effect, and the other ends with code 4. Code 5 means that the roll was accepted and not all
 nodes have it in force yet, or that the outcome is unknown: see
 `woodladder status` before rolling again.";
 
--- a/crates/woodladder/src/explain/verdict.rs
+++ b/crates/woodladder/src/explain/verdict.rs
@@ -15,7 +15,7 @@
 pub enum Verdict {
     /// The target answered.
     Answered {
-        /// Node beside the target.
+        /// Agent that serves the target.
         node: String,
     },
     /// A balancer reset the flow.
@@ -29,7 +29,7 @@
     },
     /// The request reached the target, and no answer is logged.
     DeliveredWithoutAnswer {
-        /// Node beside the target.
+        /// Agent that serves the target.
         node: String,
         /// How the target was lost meanwhile, when a node logged that.
         cause: Option<String>,
@@ -37,14 +37,14 @@
     /// The agent queued the request until its timeout and dropped it without
     /// running it.
     GivenUp {
-        /// Node beside the target.
+        /// Agent that serves the target.
         node: String,
         /// Work that was ahead of the request when it was queued.
         behind: String,
     },
     /// The agent queued the request, and nothing later is logged.
     Waiting {
-        /// Node beside the target.
+        /// Agent that serves the target.
         node: String,
         /// Work that was ahead of the request when it was queued.
         behind: String,
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -15,7 +15,7 @@
 use super::value;
 use crate::agent::{self, CertificateError, Limits};
 
-const DEFAULT_WORKERS: usize = 2;
+const DEFAULT_WORKER_THREADS: usize = 2;
 /// The time for which a removed target can still be resolved. A stream may last a
 /// week, and a planned stop must not cut it.
 const DEFAULT_DRAIN_TIMEOUT: Duration = DEFAULT_LINGER;
@@ -99,7 +99,7 @@
         let certificate = read_certificate(&mut reader);
         let limits = read_limits(&mut reader);
         let worker_threads =
-            reader.optional_or("worker_threads", DEFAULT_WORKERS, value::parse_count);
+            reader.optional_or("worker_threads", DEFAULT_WORKER_THREADS, value::parse_count);
         let drain_timeout = reader.optional_or(
             "drain_timeout",
             DEFAULT_DRAIN_TIMEOUT,
--- a/crates/woodladder/src/settings/balancer.rs
+++ b/crates/woodladder/src/settings/balancer.rs
@@ -12,8 +12,8 @@
 use super::reader::SettingsReader;
 use super::value;
 
-const DEFAULT_WORKERS: usize = 1;
-const DEFAULT_SOCKET_BUFFER: usize = 4 * 1024 * 1024;
+const DEFAULT_WORKER_THREADS: usize = 1;
+const DEFAULT_SOCKET_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(2);
 const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -52,9 +52,12 @@
         let node = NodeSettings::read(&mut reader);
         let data_listen = reader.required("data_listen", value::parse_listen_address);
         let worker_threads =
-            reader.optional_or("worker_threads", DEFAULT_WORKERS, value::parse_count);
-        let socket_buffer =
-            reader.optional_or("socket_buffer", DEFAULT_SOCKET_BUFFER, value::parse_count);
+            reader.optional_or("worker_threads", DEFAULT_WORKER_THREADS, value::parse_count);
+        let socket_buffer = reader.optional_or(
+            "socket_buffer",
+            DEFAULT_SOCKET_BUFFER_BYTES,
+            value::parse_count,
+        );
         let hops = reader.optional_or("hops", DEFAULT_HOPS, value::parse_count);
         let stop_grace =
             reader.optional_or("stop_grace", DEFAULT_STOP_GRACE, value::parse_duration);
--- a/crates/woodladder/src/settings/flags.rs
+++ b/crates/woodladder/src/settings/flags.rs
@@ -189,7 +189,7 @@
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub keep_alive: Option<String>,
-    /// Longest time for a whole answer when the caller gives no deadline
+    /// Longest time for a complete answer when the caller gives no deadline
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_timeout: Option<String>,
--- a/crates/woodladder/src/settings/operator.rs
+++ b/crates/woodladder/src/settings/operator.rs
@@ -13,9 +13,9 @@
 use super::value;
 use crate::log::{LogLevel, LogSettings};
 
-const DEFAULT_POLL: Duration = Duration::from_millis(500);
+const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-const DEFAULT_OPERATOR: &str = "operator";
+const DEFAULT_OPERATOR_NAME: &str = "operator";
 
 /// Settings of the operator's commands.
 #[derive(Clone, Debug)]
@@ -52,9 +52,12 @@
         let trusted_keys = reader.required_list("trusted_keys", value::parse_public_key);
         let cluster_key = reader.required("cluster_key", value::parse_tag_key);
         let signing_key = reader.optional("signing_key", value::parse_path);
-        let operator =
-            reader.optional_or("operator", DEFAULT_OPERATOR.to_owned(), value::parse_name);
-        let poll = reader.optional_or("poll", DEFAULT_POLL, value::parse_duration);
+        let operator = reader.optional_or(
+            "operator",
+            DEFAULT_OPERATOR_NAME.to_owned(),
+            value::parse_name,
+        );
+        let poll = reader.optional_or("poll", DEFAULT_POLL_INTERVAL, value::parse_duration);
         let timeout = reader.optional_or("timeout", DEFAULT_TIMEOUT, value::parse_duration);
         let log = read_log(&mut reader, LogLevel::Warning);
         let findings = reader.finish();
