--- a/crates/woodladder-core/src/control/availability/mod.rs
+++ b/crates/woodladder-core/src/control/availability/mod.rs
@@ -18,7 +18,7 @@
 mod watches;
 
 pub use own::{Hearing, OwnAvailability, ServedTarget};
-pub use report::{Availability, Report, ReportVersion, RunNumber};
+pub use report::{Availability, AvailabilityReport, ReportVersion, RunNumber};
 pub use rumors::{MAXIMUM_RUMORS, Rumors};
 pub use schedule::Schedule;
 pub use table::{AvailabilityTable, Learned, MAXIMUM_KNOWN_TARGETS};
--- a/crates/woodladder-core/src/control/availability/own.rs
+++ b/crates/woodladder-core/src/control/availability/own.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::control::availability::{Availability, Report, ReportVersion, RunNumber};
+use crate::control::availability::{Availability, AvailabilityReport, ReportVersion, RunNumber};
 use crate::identifier::TargetId;
 
 /// The target that an agent stands beside.
@@ -30,17 +30,17 @@
 /// An agent's report about itself.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnAvailability {
-    report: Report,
+    report: AvailabilityReport,
 }
 
 impl OwnAvailability {
     /// The report of an agent that has just started.
     #[must_use]
-    pub fn new(served: ServedTarget, control: SocketAddr) -> Self {
+    pub fn new(served: ServedTarget, control_address: SocketAddr) -> Self {
         Self {
-            report: Report {
+            report: AvailabilityReport {
                 target: served.target,
-                control,
+                control_address,
                 run: served.run,
                 version: ReportVersion::default(),
                 availability: Availability::Serving,
@@ -50,7 +50,7 @@
 
     /// The report as it is now.
     #[must_use]
-    pub fn report(&self) -> &Report {
+    pub fn report(&self) -> &AvailabilityReport {
         &self.report
     }
 
@@ -67,14 +67,14 @@
     /// Takes note of a report about the own target. A run that is later than
     /// the own one and has the own address comes from before a clock was set
     /// back.
-    pub fn hear(&mut self, heard: &Report) -> Hearing {
+    pub fn hear(&mut self, heard: &AvailabilityReport) -> Hearing {
         if self.report.repeats(heard) {
             return Hearing::Known;
         }
         if !heard.supersedes(&self.report) {
             return Hearing::Outdated;
         }
-        if heard.run > self.report.run && heard.control != self.report.control {
+        if heard.run > self.report.run && heard.control_address != self.report.control_address {
             return Hearing::Replaced;
         }
         self.rise_above(*heard);
@@ -82,7 +82,7 @@
     }
 
     /// Takes the version that follows, or the run when versions are used up.
-    fn rise_above(&mut self, known: Report) {
+    fn rise_above(&mut self, known: AvailabilityReport) {
         match known.version.0.checked_add(1) {
             Some(version) => {
                 self.report.run = known.run;
--- a/crates/woodladder-core/src/control/availability/report.rs
+++ b/crates/woodladder-core/src/control/availability/report.rs
@@ -56,11 +56,11 @@
 
 /// What is said of one target's agent.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Report {
+pub struct AvailabilityReport {
     /// The target.
     pub target: TargetId,
     /// Control address of its agent.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Run of the agent's process.
     pub run: RunNumber,
     /// Version within the run.
@@ -77,7 +77,7 @@
     }
 }
 
-impl Report {
+impl AvailabilityReport {
     /// Whether this report replaces `other`, which is about the same target.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
--- a/crates/woodladder-core/src/control/availability/table.rs
+++ b/crates/woodladder-core/src/control/availability/table.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::clock::Instant;
-use crate::control::availability::{Availability, Report, Schedule};
+use crate::control::availability::{Availability, AvailabilityReport, Schedule};
 use crate::identifier::TargetId;
 
 /// Targets that a table holds at most.
@@ -22,7 +22,7 @@
     /// It was known.
     Known,
     /// It is older than this one.
-    Outdated(Report),
+    Outdated(AvailabilityReport),
     /// The table is full.
     Full,
 }
@@ -31,7 +31,7 @@
 /// new flows away.
 #[derive(Clone, Debug, Default)]
 pub struct AvailabilityTable {
-    reports: FxHashMap<TargetId, Report>,
+    reports: FxHashMap<TargetId, AvailabilityReport>,
     targets: FxHashMap<SocketAddr, TargetId>,
     /// When a marked target's agent is probed again.
     rechecks: Schedule,
@@ -40,7 +40,7 @@
 
 impl AvailabilityTable {
     /// Takes a report in; a target that it marks is probed at `recheck`.
-    pub fn learn(&mut self, report: Report, recheck: Instant) -> Learned {
+    pub fn learn(&mut self, report: AvailabilityReport, recheck: Instant) -> Learned {
         let known = self.reports.get(&report.target).copied();
         if let Some(known) = known {
             if known.repeats(&report) {
@@ -62,14 +62,14 @@
 
     /// The report about a target.
     #[must_use]
-    pub fn report(&self, target: TargetId) -> Option<&Report> {
+    pub fn report(&self, target: TargetId) -> Option<&AvailabilityReport> {
         self.reports.get(&target)
     }
 
     /// The report about the target whose agent has this control address.
     #[must_use]
-    pub fn report_at(&self, control: SocketAddr) -> Option<&Report> {
-        self.report(*self.targets.get(&control)?)
+    pub fn report_at(&self, control_address: SocketAddr) -> Option<&AvailabilityReport> {
+        self.report(*self.targets.get(&control_address)?)
     }
 
     /// The marked targets, by the instants of their next probes.
@@ -96,7 +96,7 @@
     }
 
     /// A marked target that is due, with its next probe set to `again`.
-    pub fn take_recheck(&mut self, now: Instant, again: Instant) -> Option<Report> {
+    pub fn take_recheck(&mut self, now: Instant, again: Instant) -> Option<AvailabilityReport> {
         let target = self.rechecks.take_due(now)?;
         self.rechecks.set(target, again);
         self.reports.get(&target).copied()
@@ -120,9 +120,9 @@
         self.reports.len() >= MAXIMUM_KNOWN_TARGETS
     }
 
-    fn put(&mut self, report: Report, recheck: Instant) {
+    fn put(&mut self, report: AvailabilityReport, recheck: Instant) {
         self.fingerprint ^= report.fingerprint();
-        self.targets.insert(report.control, report.target);
+        self.targets.insert(report.control_address, report.target);
         self.reports.insert(report.target, report);
         match report.availability {
             Availability::Serving => {}
@@ -138,8 +138,8 @@
         };
         self.fingerprint ^= known.fingerprint();
         self.rechecks.remove(target);
-        if self.targets.get(&known.control) == Some(&target) {
-            self.targets.remove(&known.control);
+        if self.targets.get(&known.control_address) == Some(&target) {
+            self.targets.remove(&known.control_address);
         }
     }
 }
--- a/crates/woodladder-core/src/control/availability/watches.rs
+++ b/crates/woodladder-core/src/control/availability/watches.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     target: TargetId,
-    control: SocketAddr,
+    control_address: SocketAddr,
     stage: Stage,
     /// When the stage began.
     began: Instant,
@@ -59,14 +59,17 @@
 
 impl Watches {
     /// Takes note of a probe; one that is watched already goes on as it is.
-    pub fn probed(&mut self, target: TargetId, control: SocketAddr, now: Instant) {
-        let is_watched = self.waiting.iter().any(|watch| watch.control == control);
+    pub fn probed(&mut self, target: TargetId, control_address: SocketAddr, now: Instant) {
+        let is_watched = self
+            .waiting
+            .iter()
+            .any(|watch| watch.control_address == control_address);
         if is_watched || self.waiting.len() >= MAXIMUM_WATCHES {
             return;
         }
         self.waiting.push(Watch {
             target,
-            control,
+            control_address,
             stage: Stage::First,
             began: now,
             due: now + FIRST_PATIENCE,
@@ -74,8 +77,9 @@
     }
 
     /// Takes note that the node at an address is alive.
-    pub fn alive(&mut self, control: SocketAddr) {
-        self.waiting.retain(|watch| watch.control != control);
+    pub fn alive(&mut self, control_address: SocketAddr) {
+        self.waiting
+            .retain(|watch| watch.control_address != control_address);
     }
 
     /// Takes note of an answer to this node by any other.
@@ -117,16 +121,16 @@
         match self.stage {
             Stage::First if !is_late => {
                 self.advance(Stage::Repeated, now);
-                WatchStep::Repeat(self.control)
+                WatchStep::Repeat(self.control_address)
             }
             Stage::Repeated if !is_late => {
                 self.advance(Stage::Assisted, now);
-                WatchStep::Assist(self.control)
+                WatchStep::Assist(self.control_address)
             }
             Stage::Assisted if may_judge => WatchStep::Unreachable(self.target),
             Stage::First | Stage::Repeated | Stage::Assisted => {
                 self.advance(Stage::First, now);
-                WatchStep::Repeat(self.control)
+                WatchStep::Repeat(self.control_address)
             }
         }
     }
--- a/crates/woodladder-core/src/control/chunk_set.rs
+++ b/crates/woodladder-core/src/control/chunk_set.rs
@@ -1,13 +1,13 @@
-//! A set of chunks of a copy, as nodes name it to each other.
+//! A set of chunks of a copy, encoded as a bitmap in messages between nodes.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Longest encoding of the bits of a set in bytes.
-pub const MAXIMUM_SET_LENGTH: usize = 1024;
+/// Longest encoding of the bitmap in bytes.
+pub const MAXIMUM_CHUNK_SET_LENGTH: usize = 1024;
 
-const BITS: usize = 8;
+const BITS_PER_BYTE: usize = 8;
 
-/// Chunks by position: one bit each, the lowest bit of the first byte first.
+/// Positions of chunks as a bitmap, the lowest bit of the first byte first.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Default, Eq, PartialEq)]
 pub struct ChunkSet {
     bits: Vec<u8>,
@@ -20,16 +20,17 @@
         Self::default()
     }
 
-    /// Adds a chunk; positions that no datagram could name are left out.
+    /// Adds a chunk. Positions beyond [`MAXIMUM_CHUNK_SET_LENGTH`] are ignored,
+    /// because a set that contains them would not fit in a datagram.
     pub fn insert(&mut self, index: usize) {
-        let byte = index / BITS;
-        if byte >= MAXIMUM_SET_LENGTH {
+        let byte = index / BITS_PER_BYTE;
+        if byte >= MAXIMUM_CHUNK_SET_LENGTH {
             return;
         }
         if byte >= self.bits.len() {
             self.bits.resize(byte + 1, 0);
         }
-        self.bits[byte] |= 1 << (index % BITS);
+        self.bits[byte] |= 1 << (index % BITS_PER_BYTE);
     }
 
     /// Positions in the set, in ascending order.
@@ -37,14 +38,16 @@
         let bytes = self.bits.iter().enumerate();
         bytes.flat_map(|(byte, bits)| {
             let is_set = move |bit: &usize| bits & (1 << bit) != 0;
-            (0..BITS).filter(is_set).map(move |bit| byte * BITS + bit)
+            (0..BITS_PER_BYTE)
+                .filter(is_set)
+                .map(move |bit| byte * BITS_PER_BYTE + bit)
         })
     }
 
-    /// Whether the set is short enough for a datagram.
+    /// Whether the bitmap is no longer than [`MAXIMUM_CHUNK_SET_LENGTH`].
     #[must_use]
     pub fn is_within_limits(&self) -> bool {
-        self.bits.len() <= MAXIMUM_SET_LENGTH
+        self.bits.len() <= MAXIMUM_CHUNK_SET_LENGTH
     }
 }
 
--- a/crates/woodladder-core/src/control/control_message.rs
+++ b/crates/woodladder-core/src/control/control_message.rs
@@ -1,5 +1,5 @@
-//! Control messages between nodes, and the frame that carries each in one
-//! datagram.
+//! Control messages between nodes. Each message is sent as one frame in one
+//! datagram:
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -14,7 +14,7 @@
 
 use crate::configuration::roll_record::RollRecord;
 use crate::configuration::snapshot_delta::SnapshotDelta;
-use crate::control::availability::Report;
+use crate::control::availability::AvailabilityReport;
 use crate::control::membership::Peer;
 use crate::digest::Digest;
 use crate::identifier::Sequence;
@@ -24,78 +24,84 @@
     CopyChunk, CopyContent, CopyRefusal, CopyRefused, CopyRequest,
 };
 
-/// Format version of frames that this build writes and reads.
+/// Format version of the frames that this build writes and accepts.
 pub const FRAME_VERSION: u8 = 1;
-/// Longest datagram in bytes; fits any path that carries QUIC.
+/// Longest datagram in bytes. Every path that carries QUIC also carries
+/// datagrams of this length.
 pub const MAXIMUM_DATAGRAM_LENGTH: usize = 1200;
-/// Bytes before the payload.
-pub const FRAME_PREFIX: usize = TAG_START + TAG_LENGTH;
-/// Longest payload in bytes.
-pub const MAXIMUM_PAYLOAD: usize = MAXIMUM_DATAGRAM_LENGTH - FRAME_PREFIX;
+/// Length in bytes of the part of a frame before the payload.
+pub const FRAME_HEADER_LENGTH: usize = TAG_START + TAG_LENGTH;
+/// Longest payload of a frame in bytes.
+pub const MAXIMUM_PAYLOAD_LENGTH: usize = MAXIMUM_DATAGRAM_LENGTH - FRAME_HEADER_LENGTH;
 /// Bytes of a copy that one message carries.
 pub const CHUNK_LENGTH: usize = 1024;
-/// Chunks that one request may ask for.
+/// Largest number of chunks that one request may ask for.
 pub const MAXIMUM_CHUNKS_PER_REQUEST: u16 = 16;
-/// Peers that one digest message names at most.
-pub const MAXIMUM_SAMPLE: usize = 4;
+/// Largest number of peers in the sample of one digest message.
+pub const MAXIMUM_PEER_SAMPLE: usize = 4;
 
-/// Reports that one message carries at most.
-pub const MAXIMUM_REPORTS: usize = 32;
+/// Largest number of availability reports in one message.
+pub const MAXIMUM_REPORTS_PER_MESSAGE: usize = 32;
 
-/// Bytes of the payload that tell which message it is.
+/// Length in bytes of the borsh variant index at the start of the payload.
 const VARIANT_LENGTH: usize = 1;
 const LENGTH_START: usize = 1;
 const TAG_START: usize = 3;
 
-/// A message between nodes, or between a node and an operator's command.
+/// A message between two nodes, or between a node and an operator's command.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub enum ControlMessage {
-    /// What the sender has in force.
+    /// The roll in force at the sender, sent as a probe or as the answer to
+    /// one.
     Digest(DigestMessage),
-    /// A roll that the receiver may adopt.
+    /// Offers a roll that the receiver may adopt.
     Offer(Box<Offer>),
-    /// Asks for an offer of what the receiver has in force.
+    /// Requests an offer of the roll in force at the receiver.
     RecordRequest(RecordRequest),
-    /// Asks for a part of a copy.
+    /// Requests chunks of a copy.
     CopyRequest(CopyRequest),
-    /// A part of a copy.
+    /// One chunk of a copy.
     CopyChunk(CopyChunk),
-    /// The sender will not send the copy that was asked for.
+    /// Refuses a request for chunks of a copy.
     CopyRefused(CopyRefused),
-    /// Asks for the receiver's status.
+    /// Requests the receiver's status.
     StatusRequest(StatusRequest),
     /// The sender's status.
     StatusReply(StatusReply),
-    /// What the sender knows of targets' agents.
-    Reports(Reports),
+    /// Availability reports about targets that the sender knows.
+    AvailabilityReports(AvailabilityReports),
     /// Asks the receiver to probe a node that does not answer the sender.
     ProbeRequest(ProbeRequest),
-    /// The node that the receiver asked about answers the sender.
+    /// Tells the receiver that the node it asked to have probed has answered
+    /// the sender.
     ProbeConfirmed(ProbeConfirmed),
 }
 
-/// What a node has in force, and some of the nodes that it hears from.
+/// The roll in force at a node, and a sample of the nodes that it knows.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct DigestMessage {
-    /// The sender.
+    /// Node that sends the message.
     pub sender: Peer,
-    /// Whether the sender is stopping as planned.
+    /// Whether the sender has begun a planned stop.
     pub leaving: bool,
-    /// Sequence in force at the sender.
+    /// Sequence in force at the sender; zero when none is.
     pub sequence: Sequence,
-    /// Digest of the snapshot in force at the sender.
-    pub snapshot: Digest,
-    /// Whether the message asks for an answer or is one.
+    /// Digest of the snapshot in force at the sender; all zeros when none is.
+    pub snapshot_digest: Digest,
+    /// Whether the message is a probe or the answer to one.
     pub exchange: Exchange,
-    /// What the sender says of its target; none when it is no agent.
-    pub own: Option<Report>,
-    /// Fingerprint of the marked targets at the sender.
-    pub marks: u64,
-    /// Nodes that the sender heard from lately, at most [`MAXIMUM_SAMPLE`].
-    pub sample: Vec<Peer>,
+    /// The sender's report about its own target; `None` when the sender is not
+    /// an agent.
+    pub own_report: Option<AvailabilityReport>,
+    /// Fingerprint of the set of targets that the sender considers unavailable.
+    pub unavailable_fingerprint: u64,
+    /// Nodes that the sender heard from recently, at most
+    /// [`MAXIMUM_PEER_SAMPLE`].
+    pub peer_sample: Vec<Peer>,
 }
 
-/// Number that ties a digest message to the answer to it.
+/// Number that matches an answer to its probe, or a status reply to its
+/// request.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -111,50 +117,50 @@
 )]
 pub struct ProbeNumber(pub u32);
 
-/// Whether a digest message asks or answers.
+/// Whether a digest message is a probe or an answer.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exchange {
-    /// Asks the receiver to answer with its own digest message.
+    /// A probe: the receiver answers with its own digest message.
     Probe(ProbeNumber),
-    /// Answers the probe with this number.
+    /// The answer to the probe with this number.
     Answer(ProbeNumber),
 }
 
-/// A roll offered to a node.
+/// Offers a roll to a node.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Offer {
-    /// The roll.
+    /// Signed record of the roll.
     pub record: RollRecord,
-    /// Changes that lead to it.
+    /// Delta that leads to the snapshot of the roll.
     pub delta: OfferedDelta,
 }
 
-/// Changes that an offer carries or names.
+/// How an offer makes the delta available.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub enum OfferedDelta {
-    /// None; the receiver needs a full copy.
+    /// No delta is available; the receiver needs a full copy of the snapshot.
     None,
-    /// The changes themselves.
+    /// The offer contains the delta.
     Inline(Box<SnapshotDelta>),
-    /// The sender can send them in chunks.
+    /// The sender has the delta and can send it in chunks.
     Chunked {
-        /// Digest of the snapshot that the changes start from.
+        /// Digest of the snapshot that the delta starts from.
         base: Digest,
-        /// Length of their encoding in bytes.
+        /// Length of the encoded delta in bytes.
         length: u32,
     },
 }
 
-/// Asks for an offer.
+/// Requests an offer of the roll in force at the receiver.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RecordRequest {
     /// Sequence in force at the sender; zero when none is.
     pub sequence: Sequence,
     /// Digest of the snapshot in force at the sender; all zeros when none is.
-    pub have: Digest,
+    pub snapshot_digest: Digest,
 }
 
-/// Asks a node for its status.
+/// Requests the status of a node.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StatusRequest {
     /// Number that the reply repeats.
@@ -166,7 +172,7 @@
 pub struct StatusReply {
     /// Number of the request.
     pub number: ProbeNumber,
-    /// The node.
+    /// Node that replies.
     pub node: Peer,
     /// Sequence in force; zero when none is.
     pub sequence: Sequence,
@@ -176,78 +182,83 @@
     pub bundle_version: u64,
     /// Whether the node has joined and serves.
     pub ready: bool,
-    /// Whether the node is stopping as planned.
+    /// Whether the node has begun a planned stop.
     pub leaving: bool,
-    /// Whether the node woke from a pause and has not confirmed its state yet.
+    /// Whether the node's process was paused and the roll in force has not been
+    /// confirmed since.
     pub suspect: bool,
-    /// Nodes that it knows.
+    /// Number of nodes in the member table.
     pub known_nodes: u32,
-    /// Nodes among them that it heard from lately.
+    /// Number of nodes in the member table that were heard from recently.
     pub heard_nodes: u32,
-    /// Records and copies that it refused since it started.
+    /// Number of frames, records, deltas and copies rejected since the node
+    /// started.
     pub rejections: u64,
 }
 
-/// What a node knows of targets' agents, in part.
+/// Some of the availability reports that a node has.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
-pub struct Reports {
-    /// At most [`MAXIMUM_REPORTS`].
-    pub reports: Vec<Report>,
+pub struct AvailabilityReports {
+    /// The reports, at most [`MAXIMUM_REPORTS_PER_MESSAGE`].
+    pub reports: Vec<AvailabilityReport>,
 }
 
-/// Asks a node to probe another.
+/// Asks a node to probe another node.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ProbeRequest {
-    /// Control address of the node to be probed.
-    pub control: SocketAddr,
+    /// Control address of the node to probe.
+    pub control_address: SocketAddr,
 }
 
-/// Says that a node answered which the receiver asked to have probed.
+/// Confirms that a node answered, to the node that asked for the probe.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ProbeConfirmed {
     /// Control address of the node that answered.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
 }
 
-/// Why bytes are not a control message.
+/// Why a datagram is not a valid control message.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum FrameError {
-    /// The bytes end inside the frame.
+    /// The datagram ends before the end of the frame.
     Truncated,
     /// The frame is longer than [`MAXIMUM_DATAGRAM_LENGTH`].
     Oversized,
-    /// The format version is not known.
+    /// This build does not support the format version.
     UnknownVersion,
-    /// The tag does not match.
-    Forged,
-    /// The payload cannot be decoded, breaks a limit or is followed by bytes.
+    /// The tag does not match the payload: the frame is forged or damaged, or
+    /// the sender has another key.
+    TagMismatch,
+    /// The payload cannot be decoded or exceeds a limit, or further bytes
+    /// follow it.
     Malformed,
 }
 
 impl ControlMessage {
-    /// Writes the frame.
+    /// Encodes the message as a frame.
     ///
     /// # Errors
-    /// [`FrameError::Oversized`] when it does not fit one datagram.
+    /// [`FrameError::Oversized`] when the frame does not fit in one datagram.
     pub fn encode(&self, key: &TagKey) -> Result<Vec<u8>, FrameError> {
-        let mut frame = vec![0; FRAME_PREFIX];
+        let mut frame = vec![0; FRAME_HEADER_LENGTH];
         self.serialize(&mut frame)
             .map_err(|_| FrameError::Malformed)?;
         if frame.len() > MAXIMUM_DATAGRAM_LENGTH {
             return Err(FrameError::Oversized);
         }
-        let length = u16::try_from(frame.len() - FRAME_PREFIX).unwrap_or(u16::MAX);
-        let tag = key.tag(&frame[FRAME_PREFIX..], &[]);
+        let length = u16::try_from(frame.len() - FRAME_HEADER_LENGTH).unwrap_or(u16::MAX);
+        let tag = key.tag(&frame[FRAME_HEADER_LENGTH..], &[]);
         frame[0] = FRAME_VERSION;
         frame[LENGTH_START..TAG_START].copy_from_slice(&length.to_be_bytes());
-        frame[TAG_START..FRAME_PREFIX].copy_from_slice(&tag);
+        frame[TAG_START..FRAME_HEADER_LENGTH].copy_from_slice(&tag);
         Ok(frame)
     }
 
-    /// Reads a frame.
+    /// Decodes a frame.
     ///
     /// # Errors
-    /// [`FrameError`] when the bytes are not one whole frame under this key.
+    /// [`FrameError`] when the bytes are not exactly one valid frame under this
+    /// key.
     pub fn decode(key: &TagKey, bytes: &[u8]) -> Result<Self, FrameError> {
         let payload = authenticated_payload(key, bytes)?;
         let message = Self::try_from_slice(payload).map_err(|_| FrameError::Malformed)?;
@@ -258,46 +269,47 @@
         }
     }
 
-    /// Length of the datagram that carries the message.
+    /// Length in bytes of the datagram that carries the message.
     #[must_use]
     pub fn datagram_length(&self) -> usize {
-        FRAME_PREFIX + encoded_length(self)
+        FRAME_HEADER_LENGTH + encoded_length(self)
     }
 
     fn is_within_limits(&self) -> bool {
         match self {
-            Self::Digest(digest) => digest.sample.len() <= MAXIMUM_SAMPLE,
+            Self::Digest(digest) => digest.peer_sample.len() <= MAXIMUM_PEER_SAMPLE,
             Self::CopyRequest(request) => {
-                request.limit <= MAXIMUM_CHUNKS_PER_REQUEST && request.wanted.is_within_limits()
+                request.maximum_chunks <= MAXIMUM_CHUNKS_PER_REQUEST
+                    && request.wanted_chunks.is_within_limits()
             }
             Self::CopyChunk(chunk) => chunk.bytes.len() <= CHUNK_LENGTH,
-            Self::Reports(batch) => batch.reports.len() <= MAXIMUM_REPORTS,
+            Self::AvailabilityReports(batch) => batch.reports.len() <= MAXIMUM_REPORTS_PER_MESSAGE,
             _ => true,
         }
     }
 }
 
 impl Offer {
-    /// An offer with the delta itself when it fits one datagram, or else with
-    /// its length.
+    /// Builds an offer that fits in one datagram: with the delta inline if it
+    /// fits, or else with the length of the delta.
     #[must_use]
-    pub fn fitting(record: RollRecord, delta: Option<&SnapshotDelta>) -> Self {
+    pub fn fitting_datagram(record: RollRecord, delta: Option<&SnapshotDelta>) -> Self {
         let Some(delta) = delta else {
             return Self {
                 record,
                 delta: OfferedDelta::None,
             };
         };
-        let whole = Self {
+        let inline = Self {
             record,
             delta: OfferedDelta::Inline(Box::new(delta.clone())),
         };
-        if VARIANT_LENGTH + encoded_length(&whole) <= MAXIMUM_PAYLOAD {
-            return whole;
+        if VARIANT_LENGTH + encoded_length(&inline) <= MAXIMUM_PAYLOAD_LENGTH {
+            return inline;
         }
         let length = u32::try_from(encoded_length(delta)).unwrap_or(u32::MAX);
         Self {
-            record: whole.record,
+            record: inline.record,
             delta: OfferedDelta::Chunked {
                 base: delta.base,
                 length,
@@ -314,22 +326,24 @@
     if bytes.len() > MAXIMUM_DATAGRAM_LENGTH {
         return Err(FrameError::Oversized);
     }
-    let prefix = bytes.get(..FRAME_PREFIX).ok_or(FrameError::Truncated)?;
-    if prefix[0] != FRAME_VERSION {
+    let header = bytes
+        .get(..FRAME_HEADER_LENGTH)
+        .ok_or(FrameError::Truncated)?;
+    if header[0] != FRAME_VERSION {
         return Err(FrameError::UnknownVersion);
     }
-    let length = usize::from(u16::from_be_bytes([prefix[1], prefix[2]]));
-    if length > MAXIMUM_PAYLOAD {
+    let length = usize::from(u16::from_be_bytes([header[1], header[2]]));
+    if length > MAXIMUM_PAYLOAD_LENGTH {
         return Err(FrameError::Oversized);
     }
     let payload = bytes
-        .get(FRAME_PREFIX..FRAME_PREFIX + length)
+        .get(FRAME_HEADER_LENGTH..FRAME_HEADER_LENGTH + length)
         .ok_or(FrameError::Truncated)?;
-    if bytes.len() > FRAME_PREFIX + length {
+    if bytes.len() > FRAME_HEADER_LENGTH + length {
         return Err(FrameError::Malformed);
     }
-    if key.tag(payload, &[]) != prefix[TAG_START..] {
-        return Err(FrameError::Forged);
+    if key.tag(payload, &[]) != header[TAG_START..] {
+        return Err(FrameError::TagMismatch);
     }
     Ok(payload)
 }
@@ -340,7 +354,7 @@
             Self::Truncated => "the control message is cut short",
             Self::Oversized => "the control message is longer than one datagram may be",
             Self::UnknownVersion => "the control message's format version is not known",
-            Self::Forged => "the control message's tag does not match",
+            Self::TagMismatch => "the control message's tag does not match",
             Self::Malformed => "the control message is malformed",
         })
     }
--- a/crates/woodladder-core/src/control/copy_message.rs
+++ b/crates/woodladder-core/src/control/copy_message.rs
@@ -1,65 +1,70 @@
-//! Messages that carry a copy of a snapshot, or of changes, in chunks.
+//! Messages that transfer a copy in chunks. A copy is the encoding of a
+//! snapshot or of a snapshot delta.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::control::chunk_set::ChunkSet;
 use crate::digest::Digest;
 
-/// What a copy is of.
+/// What a copy contains.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum CopyContent {
     /// The encoding of the snapshot with this digest.
     Snapshot(Digest),
-    /// The encoding of the changes between two snapshots.
+    /// The encoding of the delta between two snapshots.
     Delta {
-        /// Digest of the snapshot that the changes start from.
+        /// Digest of the snapshot that the delta starts from.
         base: Digest,
-        /// Digest of the snapshot that they lead to.
+        /// Digest of the snapshot that the delta leads to.
         result: Digest,
     },
 }
 
-/// Asks for chunks of a copy.
+/// Requests chunks of a copy.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct CopyRequest {
-    /// What to copy.
+    /// Copy that the chunks belong to.
     pub content: CopyContent,
-    /// Chunks that the sender misses; the receiver chooses among them.
-    pub wanted: ChunkSet,
-    /// How many to send, at most
+    /// Chunks that the sender lacks; the receiver chooses which of them to
+    /// send.
+    pub wanted_chunks: ChunkSet,
+    /// Number of chunks to send, at most
     /// [`MAXIMUM_CHUNKS_PER_REQUEST`](super::control_message::MAXIMUM_CHUNKS_PER_REQUEST).
-    pub limit: u16,
+    pub maximum_chunks: u16,
 }
 
 /// One chunk of a copy.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct CopyChunk {
-    /// What it is a copy of.
+    /// Copy that the chunk belongs to.
     pub content: CopyContent,
-    /// Position of the chunk.
+    /// Position of the chunk in the copy, counted from zero.
     pub index: u32,
-    /// Whether it is the last one sent for the request.
-    pub last: bool,
-    /// Bytes of the chunk: [`CHUNK_LENGTH`](super::control_message::CHUNK_LENGTH), fewer in the last one.
+    /// Whether this is the last chunk sent for the request.
+    pub is_last: bool,
+    /// Bytes of the chunk:
+    /// [`CHUNK_LENGTH`](super::control_message::CHUNK_LENGTH) of them, or fewer
+    /// in the last chunk of the copy.
     pub bytes: Vec<u8>,
 }
 
-/// Refuses a copy.
+/// Refuses a request for chunks of a copy.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CopyRefused {
-    /// What was asked for.
+    /// Copy that was requested.
     pub content: CopyContent,
-    /// Why it is refused.
+    /// Why the request is refused.
     pub reason: CopyRefusal,
 }
 
-/// Why a copy is refused.
+/// Why a request for chunks of a copy is refused.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CopyRefusal {
-    /// The node neither holds nor fetches it.
+    /// The node neither has the copy nor is fetching it.
     NotHeld,
-    /// The node fetches it itself and has none of the wanted chunks yet.
-    NotYet,
-    /// The node sends as much as it may already.
+    /// The node is fetching the copy itself and has none of the wanted chunks
+    /// yet.
+    NoWantedChunk,
+    /// The node has used up its send rate for copies.
     Busy,
 }
--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -1,9 +1,10 @@
-//! The nodes that a node knows: named by the machine list, heard from, or
-//! named by others.
+//! Member table: the nodes that a node knows from the machine list, from their
+//! own messages, or from samples in messages of other nodes.
 //!
-//! The machine list lags, names dead machines and omits live ones, so it only
-//! suggests whom to ask. Who answers is alive; who stays silent is asked
-//! rarely, and forgotten unless the list names it.
+//! The machine list lags behind: it contains dead machines and lacks live ones.
+//! It therefore only supplies addresses to contact, and a node counts as alive
+//! when it answers. A node that does not answer is contacted rarely, and
+//! removed from the table unless the machine list or the settings name it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,29 +17,32 @@
 use crate::clock::Instant;
 use crate::identifier::NodeId;
 
-/// Nodes that a table holds at most.
+/// Default for the largest number of nodes in a member table.
 pub const DEFAULT_CAPACITY: usize = 8192;
-/// A node that was heard from this long ago or less is named to others.
-pub const HEARD_LATELY: Duration = Duration::from_secs(60);
-/// Unanswered messages after which a node counts as silent.
-pub const SILENT_AFTER: u8 = 3;
-
-const RANDOM_TRIES: usize = 12;
-/// Silent nodes are kept while the table is this small, so that a node that
-/// was cut off from all others finds them again.
-const MINIMUM_KEPT: usize = 16;
-const SILENT_ODDS: u32 = 16;
-
-/// What a node does.
+/// A node that was heard from within this time counts as heard from recently
+/// and may be named to other nodes.
+pub const HEARD_RECENTLY_PERIOD: Duration = Duration::from_secs(60);
+/// Number of unanswered messages after which a node counts as silent.
+pub const UNANSWERED_BEFORE_SILENT: u8 = 3;
+
+/// Members drawn at random for one pick, and for one sample.
+const RANDOM_PICK_ATTEMPTS: usize = 12;
+/// Silent nodes are only removed while the table holds more members than this,
+/// so that a node that was cut off from all others can find them again.
+const MINIMUM_RETAINED_MEMBERS: usize = 16;
+/// One in this many picks may return a silent node.
+const SILENT_PICK_ODDS: u32 = 16;
+
+/// Role of a node.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Role {
-    /// Sends callers' datagrams to agents.
+    /// Forwards callers' datagrams to agents.
     Balancer,
-    /// Stands beside one back end.
+    /// Runs next to one back end.
     Agent,
 }
 
-/// Where a node is, as hashes of names.
+/// Location of a node, as hashes of the names of its region and zone.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Locality {
     /// Hash of the region's name.
@@ -47,81 +51,83 @@
     pub zone: u32,
 }
 
-/// A node as nodes name it to each other.
+/// Identity of a node, as nodes give it to each other.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Peer {
     /// Identifier of the process.
     pub node: NodeId,
-    /// What it does.
+    /// Role of the node.
     pub role: Role,
-    /// Where it is.
+    /// Location of the node.
     pub locality: Locality,
-    /// Address that it takes control messages at.
+    /// Address at which the node receives control messages.
     pub control_address: SocketAddr,
 }
 
 /// One entry of the platform's machine list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ListedMachine {
-    /// Address that its node takes control messages at.
+    /// Address at which the machine's node receives control messages.
     pub control_address: SocketAddr,
-    /// What the list says of it.
+    /// State of the machine according to the list.
     pub state: ListedState,
 }
 
-/// What the machine list says of a machine.
+/// State of a machine according to the machine list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListedState {
-    /// It runs.
+    /// The machine runs.
     Live,
-    /// It is going away.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// Counts over the table.
+/// Number of members by state.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MemberCounts {
     /// Nodes in the table.
     pub known: usize,
-    /// Nodes heard from lately.
+    /// Nodes that were heard from recently.
     pub heard: usize,
     /// Nodes that do not answer.
     pub silent: usize,
-    /// Nodes that say they are leaving, or of which the list says so.
+    /// Nodes that announced a planned stop, or that the machine list shows as
+    /// leaving.
     pub leaving: usize,
-    /// Nodes that the machine list names.
+    /// Nodes that the machine list contains.
     pub listed: usize,
 }
 
-/// A node in the table.
+/// A node in the member table.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// Address that it takes control messages at.
-    pub control: SocketAddr,
-    /// What it said of itself, or others of it.
+    /// Address at which the node receives control messages.
+    pub control_address: SocketAddr,
+    /// Identity of the node, as it stated itself or as another node named it.
     pub peer: Option<Peer>,
-    /// When it was last heard from.
-    pub heard: Option<Instant>,
-    /// What the machine list says of it.
-    pub listed: Option<ListedState>,
-    /// Whether it says that it is leaving.
+    /// When the node was last heard from.
+    pub last_heard: Option<Instant>,
+    /// State according to the machine list; `None` when the list does not
+    /// contain the node.
+    pub listed_state: Option<ListedState>,
+    /// Whether the node announced a planned stop.
     pub leaving: bool,
-    seed: bool,
-    unanswered: u8,
+    is_seed: bool,
+    unanswered_messages: u8,
 }
 
-/// The table.
+/// Member table of one node.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    own: SocketAddr,
-    region: u32,
+    own_address: SocketAddr,
+    own_region: u32,
     capacity: usize,
     members: Vec<Member>,
     positions: FxHashMap<SocketAddr, usize>,
 }
 
 impl Locality {
-    /// The locality with these names.
+    /// Locality of a region and a zone with these names.
     #[must_use]
     pub fn new(region: &str, zone: &str) -> Self {
         Self {
@@ -132,135 +138,136 @@
 }
 
 impl Member {
-    /// Whether it has left several messages unanswered.
+    /// Whether the node left [`UNANSWERED_BEFORE_SILENT`] messages unanswered.
     #[must_use]
     pub fn is_silent(&self) -> bool {
-        self.unanswered >= SILENT_AFTER
+        self.unanswered_messages >= UNANSWERED_BEFORE_SILENT
     }
 
-    /// Whether it was heard from lately.
+    /// Whether the node was heard from within [`HEARD_RECENTLY_PERIOD`].
     #[must_use]
-    pub fn was_heard_lately(&self, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|heard| now.since(heard) <= HEARD_LATELY)
+    pub fn was_heard_recently(&self, now: Instant) -> bool {
+        self.last_heard
+            .is_some_and(|last_heard| now.since(last_heard) <= HEARD_RECENTLY_PERIOD)
     }
 
-    /// Whether it may be forgotten for staying silent.
-    fn is_forgettable(&self) -> bool {
-        self.is_silent() && self.listed.is_none() && !self.seed
+    /// Whether the node may be removed because it is silent.
+    fn is_removable(&self) -> bool {
+        self.is_silent() && self.listed_state.is_none() && !self.is_seed
     }
 
     fn is_leaving(&self) -> bool {
-        self.leaving || self.listed == Some(ListedState::Leaving)
+        self.leaving || self.listed_state == Some(ListedState::Leaving)
     }
 
     fn is_in_region(&self, region: u32) -> bool {
         self.peer.is_some_and(|peer| peer.locality.region == region)
     }
 
-    fn unheard(control: SocketAddr) -> Self {
+    fn never_heard(control_address: SocketAddr) -> Self {
         Self {
-            control,
+            control_address,
             peer: None,
-            heard: None,
-            listed: None,
+            last_heard: None,
+            listed_state: None,
             leaving: false,
-            seed: false,
-            unanswered: 0,
+            is_seed: false,
+            unanswered_messages: 0,
         }
     }
 }
 
 impl Membership {
-    /// An empty table of the node at `own` in `region`.
+    /// An empty table for the node with control address `own_address`.
     #[must_use]
-    pub fn new(own: SocketAddr, locality: Locality, capacity: usize) -> Self {
+    pub fn new(own_address: SocketAddr, locality: Locality, capacity: usize) -> Self {
         Self {
-            own,
-            region: locality.region,
+            own_address,
+            own_region: locality.region,
             capacity,
             members: Vec::new(),
             positions: FxHashMap::default(),
         }
     }
 
-    /// Takes note of an address from settings.
-    pub fn add_seed(&mut self, control: SocketAddr) {
-        if let Some(member) = self.entry(control) {
-            member.seed = true;
+    /// Adds an address from the settings.
+    pub fn add_seed(&mut self, control_address: SocketAddr) {
+        if let Some(member) = self.get_or_insert(control_address) {
+            member.is_seed = true;
         }
     }
 
-    /// Takes note of a message from a node itself.
-    pub fn heard_from(&mut self, peer: Peer, leaving: bool, now: Instant) {
-        if let Some(member) = self.entry(peer.control_address) {
+    /// Records a message that was received from a node itself.
+    pub fn record_message_from(&mut self, peer: Peer, leaving: bool, now: Instant) {
+        if let Some(member) = self.get_or_insert(peer.control_address) {
             member.peer = Some(peer);
-            member.heard = Some(now);
+            member.last_heard = Some(now);
             member.leaving = leaving;
-            member.unanswered = 0;
+            member.unanswered_messages = 0;
         }
     }
 
-    /// Takes note of a node that another node named.
-    pub fn named_by_other(&mut self, peer: Peer) {
-        if let Some(member) = self.entry(peer.control_address) {
+    /// Records a node that another node named.
+    pub fn record_named_peer(&mut self, peer: Peer) {
+        if let Some(member) = self.get_or_insert(peer.control_address) {
             member.peer.get_or_insert(peer);
         }
     }
 
-    /// Takes over a new reading of the machine list.
-    pub fn replace_list(&mut self, machines: &[ListedMachine]) {
-        let named: FxHashSet<SocketAddr> = machines
+    /// Applies a new reading of the machine list.
+    pub fn apply_machine_list(&mut self, machines: &[ListedMachine]) {
+        let listed_addresses: FxHashSet<SocketAddr> = machines
             .iter()
             .map(|machine| machine.control_address)
             .collect();
         for member in &mut self.members {
-            if !named.contains(&member.control) {
-                member.listed = None;
+            if !listed_addresses.contains(&member.control_address) {
+                member.listed_state = None;
             }
         }
         for machine in machines {
-            if let Some(member) = self.entry(machine.control_address) {
-                member.listed = Some(machine.state);
+            if let Some(member) = self.get_or_insert(machine.control_address) {
+                member.listed_state = Some(machine.state);
             }
         }
-        self.forget_silent();
+        self.remove_silent();
     }
 
-    /// Takes note that a message which asks for an answer goes to a node.
-    pub fn asked(&mut self, control: SocketAddr) {
-        let Some(&position) = self.positions.get(&control) else {
+    /// Records that a message which expects an answer is sent to a node.
+    pub fn record_request_sent(&mut self, control_address: SocketAddr) {
+        let Some(&position) = self.positions.get(&control_address) else {
             return;
         };
         let member = &mut self.members[position];
-        member.unanswered = member.unanswered.saturating_add(1);
-        if self.members.len() > MINIMUM_KEPT && self.members[position].is_forgettable() {
-            self.remove(position);
+        member.unanswered_messages = member.unanswered_messages.saturating_add(1);
+        if self.members.len() > MINIMUM_RETAINED_MEMBERS && self.members[position].is_removable() {
+            self.remove_at(position);
         }
     }
 
-    /// Picks up to `count` different nodes at random: mostly nodes that
-    /// answer, and more often than not nodes of the same region.
+    /// Picks up to `count` different nodes at random. Silent nodes are picked
+    /// rarely, and nodes of the own region more often than others.
     pub fn pick(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         let mut picked = Vec::with_capacity(count);
         for _ in 0..count {
-            if let Some(control) = self.pick_one(&picked, random) {
-                picked.push(control);
+            if let Some(control_address) = self.pick_one(&picked, random) {
+                picked.push(control_address);
             }
         }
         picked
     }
 
-    /// Picks up to `count` nodes heard from lately, to be named to others.
+    /// Picks up to `count` nodes that were heard from recently, to be named to
+    /// other nodes.
     pub fn sample(&self, count: usize, now: Instant, random: &mut impl Rng) -> Vec<Peer> {
         let mut sample: Vec<Peer> = Vec::with_capacity(count);
         if self.members.is_empty() {
             return sample;
         }
-        for _ in 0..RANDOM_TRIES {
+        for _ in 0..RANDOM_PICK_ATTEMPTS {
             let member = &self.members[random.random_range(0..self.members.len())];
             let Some(peer) = member.peer else { continue };
-            let wanted = member.was_heard_lately(now) && !member.leaving;
+            let wanted = member.was_heard_recently(now) && !member.leaving;
             if wanted && !sample.contains(&peer) {
                 sample.push(peer);
             }
@@ -271,7 +278,7 @@
         sample
     }
 
-    /// Counts over the table.
+    /// Counts the members by state.
     #[must_use]
     pub fn counts(&self, now: Instant) -> MemberCounts {
         let count = |wanted: &dyn Fn(&Member) -> bool| {
@@ -279,26 +286,26 @@
         };
         MemberCounts {
             known: self.members.len(),
-            heard: count(&|member| member.was_heard_lately(now)),
+            heard: count(&|member| member.was_heard_recently(now)),
             silent: count(&Member::is_silent),
             leaving: count(&Member::is_leaving),
-            listed: count(&|member| member.listed.is_some()),
+            listed: count(&|member| member.listed_state.is_some()),
         }
     }
 
-    /// Nodes in the table.
+    /// Number of nodes in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether no node is known.
+    /// Whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The nodes, in no particular order.
+    /// The nodes in the table, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
@@ -307,83 +314,83 @@
         if self.members.is_empty() {
             return None;
         }
-        let allow_silent = random.random_ratio(1, SILENT_ODDS);
+        let allow_silent = random.random_ratio(1, SILENT_PICK_ODDS);
         let prefer_region = random.random_bool(0.5);
         let mut answering = None;
         let mut any = None;
-        for _ in 0..RANDOM_TRIES {
+        for _ in 0..RANDOM_PICK_ATTEMPTS {
             let member = &self.members[random.random_range(0..self.members.len())];
-            if picked.contains(&member.control) {
+            if picked.contains(&member.control_address) {
                 continue;
             }
             let answers = allow_silent || !member.is_silent();
-            if answers && (!prefer_region || member.is_in_region(self.region)) {
-                return Some(member.control);
+            if answers && (!prefer_region || member.is_in_region(self.own_region)) {
+                return Some(member.control_address);
             }
-            any = Some(member.control);
+            any = Some(member.control_address);
             if answers {
                 answering = any;
             }
         }
-        answering.or(any).or_else(|| self.first_not_in(picked))
+        answering.or(any).or_else(|| self.first_unpicked(picked))
     }
 
-    fn first_not_in(&self, picked: &[SocketAddr]) -> Option<SocketAddr> {
-        let mut controls = self.members.iter().map(|member| member.control);
-        controls.find(|control| !picked.contains(control))
+    fn first_unpicked(&self, picked: &[SocketAddr]) -> Option<SocketAddr> {
+        let mut addresses = self.members.iter().map(|member| member.control_address);
+        addresses.find(|control_address| !picked.contains(control_address))
     }
 
-    fn entry(&mut self, control: SocketAddr) -> Option<&mut Member> {
-        if control == self.own {
+    fn get_or_insert(&mut self, control_address: SocketAddr) -> Option<&mut Member> {
+        if control_address == self.own_address {
             return None;
         }
-        if let Some(&position) = self.positions.get(&control) {
+        if let Some(&position) = self.positions.get(&control_address) {
             return self.members.get_mut(position);
         }
         if self.members.len() >= self.capacity {
-            self.make_room()?;
+            self.evict_one()?;
         }
         let position = self.members.len();
-        self.positions.insert(control, position);
-        self.members.push(Member::unheard(control));
+        self.positions.insert(control_address, position);
+        self.members.push(Member::never_heard(control_address));
         self.members.last_mut()
     }
 
-    /// Removes a silent node, or else the one that was heard from least
-    /// recently; `None` when the table can hold nothing.
-    fn make_room(&mut self) -> Option<()> {
+    /// Removes a silent node or, if there is none, the node that was heard from
+    /// least recently. Returns `None` when the table is empty.
+    fn evict_one(&mut self) -> Option<()> {
         let silent = self.members.iter().position(Member::is_silent);
-        let stalest = || {
-            let heard = |position: &usize| self.members[*position].heard;
-            (0..self.members.len()).min_by_key(heard)
+        let least_recently_heard = || {
+            let last_heard = |position: &usize| self.members[*position].last_heard;
+            (0..self.members.len()).min_by_key(last_heard)
         };
-        let position = silent.or_else(stalest)?;
-        self.remove(position);
+        let position = silent.or_else(least_recently_heard)?;
+        self.remove_at(position);
         Some(())
     }
 
-    fn forget_silent(&mut self) {
+    fn remove_silent(&mut self) {
         let mut position = 0;
         while position < self.members.len() {
-            let spare = self.members.len() > MINIMUM_KEPT;
-            if spare && self.members[position].is_forgettable() {
-                self.remove(position);
+            let may_remove = self.members.len() > MINIMUM_RETAINED_MEMBERS;
+            if may_remove && self.members[position].is_removable() {
+                self.remove_at(position);
             } else {
                 position += 1;
             }
         }
     }
 
-    fn remove(&mut self, position: usize) {
+    fn remove_at(&mut self, position: usize) {
         let removed = self.members.swap_remove(position);
-        self.positions.remove(&removed.control);
+        self.positions.remove(&removed.control_address);
         if let Some(moved) = self.members.get(position) {
-            self.positions.insert(moved.control, position);
+            self.positions.insert(moved.control_address, position);
         }
     }
 }
 
-/// Low half of a 64-bit hash.
+/// Lower 32 bits of a 64-bit hash.
 #[allow(clippy::cast_possible_truncation)]
 fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
--- a/crates/woodladder-core/src/control/mod.rs
+++ b/crates/woodladder-core/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! How nodes and operators agree on what is in force: membership, replicas, availability and rolls.
+//! The control plane: node membership, replication of the roll in force,
+//! availability of targets, and the command that puts a roll in force.
 
 pub mod availability;
 pub mod chunk_set;
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -10,9 +10,11 @@
 
 use crate::clock::Instant;
 use crate::control::availability::{
-    Availability, AvailabilityTable, Hearing, Learned, OwnAvailability, Report, Rumors,
+    Availability, AvailabilityReport, AvailabilityTable, Hearing, Learned, OwnAvailability, Rumors,
+};
+use crate::control::control_message::{
+    AvailabilityReports, ControlMessage, DigestMessage, MAXIMUM_REPORTS_PER_MESSAGE,
 };
-use crate::control::control_message::{ControlMessage, DigestMessage, MAXIMUM_REPORTS, Reports};
 use crate::control::replica::pace::Pace;
 use crate::control::replica::probing::Probing;
 use crate::control::replica::store_reader::jittered;
@@ -93,7 +95,7 @@
         self.table.marked().chain(own.map(|own| own.target))
     }
 
-    fn report(&self, target: TargetId) -> Option<Report> {
+    fn report(&self, target: TargetId) -> Option<AvailabilityReport> {
         let own = self.own.iter().map(OwnAvailability::report);
         let mut own = own.filter(|own| own.target == target);
         own.next().or_else(|| self.table.report(target)).copied()
@@ -134,9 +136,14 @@
     }
 
     /// Takes reports that another node passed on.
-    pub(super) fn handle_reports(&mut self, from: SocketAddr, batch: &Reports, now: Instant) {
+    pub(super) fn handle_reports(
+        &mut self,
+        from: SocketAddr,
+        batch: &AvailabilityReports,
+        now: Instant,
+    ) {
         let reports = batch.reports.iter();
-        let newer: Vec<Report> = reports
+        let newer: Vec<AvailabilityReport> = reports
             .filter_map(|report| self.take_report(*report, now))
             .collect();
         self.send_reports(from, newer, now);
@@ -144,15 +151,15 @@
 
     /// Takes what a digest message says of its sender's target and marks.
     pub(super) fn compare_marks(&mut self, from: SocketAddr, digest: &DigestMessage, now: Instant) {
-        let own = digest.own;
-        let own = own.filter(|own| own.control == digest.sender.control_address);
-        let mut differing: Vec<Report> = own
+        let own = digest.own_report;
+        let own = own.filter(|own| own.control_address == digest.sender.control_address);
+        let mut differing: Vec<AvailabilityReport> = own
             .and_then(|own| self.take_report(own, now))
             .into_iter()
             .collect();
-        if digest.marks != self.availability.fingerprint() {
+        if digest.unavailable_fingerprint != self.availability.fingerprint() {
             differing.extend(self.some_marks());
-            differing.truncate(MAXIMUM_REPORTS);
+            differing.truncate(MAXIMUM_REPORTS_PER_MESSAGE);
         }
         self.send_reports(from, differing, now);
     }
@@ -162,7 +169,7 @@
         let Some(known) = self.availability.table.report(target) else {
             return;
         };
-        let report = Report {
+        let report = AvailabilityReport {
             availability: Availability::Unreachable,
             ..*known
         };
@@ -210,7 +217,11 @@
     }
 
     /// Takes a report; returns a newer one when there is one.
-    fn take_report(&mut self, report: Report, now: Instant) -> Option<Report> {
+    fn take_report(
+        &mut self,
+        report: AvailabilityReport,
+        now: Instant,
+    ) -> Option<AvailabilityReport> {
         if let Some(own) = &mut self.availability.own
             && own.report().target == report.target
         {
@@ -227,7 +238,12 @@
         }
     }
 
-    fn answer_hearing(&mut self, hearing: Hearing, own: Report, now: Instant) -> Option<Report> {
+    fn answer_hearing(
+        &mut self,
+        hearing: Hearing,
+        own: AvailabilityReport,
+        now: Instant,
+    ) -> Option<AvailabilityReport> {
         match hearing {
             Hearing::Known | Hearing::Replaced => None,
             Hearing::Outdated => Some(own),
@@ -250,7 +266,7 @@
         entry.is_some_and(|entry| entry.status != TargetStatus::Retired)
     }
 
-    fn learn(&mut self, report: Report, sends: u8, now: Instant) -> Learned {
+    fn learn(&mut self, report: AvailabilityReport, sends: u8, now: Instant) -> Learned {
         if self.availability.table.is_full() {
             self.forget_removed_targets();
         }
@@ -272,7 +288,7 @@
             let Some(report) = self.availability.table.take_recheck(now, again) else {
                 return;
             };
-            self.probe_again(report.control, now);
+            self.probe_again(report.control_address, now);
         }
     }
 
@@ -285,14 +301,17 @@
         {
             return;
         }
-        let due = self.availability.rumors.take_due(MAXIMUM_REPORTS, now);
+        let due = self
+            .availability
+            .rumors
+            .take_due(MAXIMUM_REPORTS_PER_MESSAGE, now);
         let reports = due.iter();
-        let reports: Vec<Report> = reports
+        let reports: Vec<AvailabilityReport> = reports
             .filter_map(|target| self.availability.report(*target))
             .collect();
         let mut sent = false;
-        for control in self.members.pick(FANOUT, &mut self.random) {
-            sent |= self.send_reports(control, reports.clone(), now);
+        for control_address in self.members.pick(FANOUT, &mut self.random) {
+            sent |= self.send_reports(control_address, reports.clone(), now);
         }
         for target in due {
             if sent {
@@ -305,11 +324,16 @@
     }
 
     /// Sends reports if there are any and the rate allows for it.
-    fn send_reports(&mut self, to: SocketAddr, reports: Vec<Report>, now: Instant) -> bool {
+    fn send_reports(
+        &mut self,
+        to: SocketAddr,
+        reports: Vec<AvailabilityReport>,
+        now: Instant,
+    ) -> bool {
         if reports.is_empty() {
             return false;
         }
-        let message = ControlMessage::Reports(Reports { reports });
+        let message = ControlMessage::AvailabilityReports(AvailabilityReports { reports });
         let length = message.datagram_length();
         if !self.availability.pace.take(length, now) {
             return false;
@@ -320,14 +344,14 @@
     }
 
     /// Marks from a random place in their order, as many as a message carries.
-    fn some_marks(&mut self) -> Vec<Report> {
+    fn some_marks(&mut self) -> Vec<AvailabilityReport> {
         let marked: Vec<TargetId> = self.availability.marked().collect();
         if marked.is_empty() {
             return Vec::new();
         }
         let start = self.random.random_range(0..marked.len());
         let from_start = marked[start..].iter().chain(&marked[..start]);
-        let some = from_start.take(MAXIMUM_REPORTS);
+        let some = from_start.take(MAXIMUM_REPORTS_PER_MESSAGE);
         some.filter_map(|target| self.availability.report(*target))
             .collect()
     }
--- a/crates/woodladder-core/src/control/replica/copy_server.rs
+++ b/crates/woodladder-core/src/control/replica/copy_server.rs
@@ -81,14 +81,14 @@
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<ControlMessage> {
-        let wanted = request.wanted.iter();
+        let wanted = request.wanted_chunks.iter();
         let held: Vec<(usize, &[u8])> = wanted
             .filter_map(|index| chunk(index).map(|bytes| (index, bytes)))
             .collect();
         if held.is_empty() {
-            return refused(request, CopyRefusal::NotYet);
+            return refused(request, CopyRefusal::NoWantedChunk);
         }
-        let limit = usize::from(request.limit.min(MAXIMUM_CHUNKS_PER_REQUEST));
+        let limit = usize::from(request.maximum_chunks.min(MAXIMUM_CHUNKS_PER_REQUEST));
         let mut chosen = Vec::new();
         for place in index::sample(random, held.len(), limit.min(held.len())) {
             if !self.pace.take(held[place].1.len(), now) {
@@ -144,7 +144,7 @@
         messages.push(ControlMessage::CopyChunk(CopyChunk {
             content,
             index: u32::try_from(*index).unwrap_or(u32::MAX),
-            last: left == 0,
+            is_last: left == 0,
             bytes: bytes.to_vec(),
         }));
     }
--- a/crates/woodladder-core/src/control/replica/counters.rs
+++ b/crates/woodladder-core/src/control/replica/counters.rs
@@ -85,7 +85,7 @@
             FrameError::Truncated => &mut self.frame_truncated,
             FrameError::Oversized => &mut self.frame_oversized,
             FrameError::UnknownVersion => &mut self.frame_unknown_version,
-            FrameError::Forged => &mut self.frame_tag_mismatch,
+            FrameError::TagMismatch => &mut self.frame_tag_mismatch,
             FrameError::Malformed => &mut self.frame_malformed,
         };
         *counter += 1;
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Fetch {
     record: RollRecord,
-    have: RecordRequest,
+    record_request: RecordRequest,
     sources: Vec<SocketAddr>,
     assembly: CopyAssembly,
     delta_asked: bool,
@@ -70,14 +70,14 @@
 
 impl Fetch {
     /// Begins to fetch what `record` names, starting from what `have` states.
-    pub(super) fn new(record: RollRecord, have: RecordRequest, now: Instant) -> Self {
+    pub(super) fn new(record: RollRecord, record_request: RecordRequest, now: Instant) -> Self {
         let assembly = snapshot_assembly(&record);
         Self {
             record,
-            have,
+            record_request,
             sources: Vec::new(),
             assembly,
-            delta_asked: have.have == Digest::default(),
+            delta_asked: record_request.snapshot_digest == Digest::default(),
             question: None,
             resume_at: now,
             refused_pause: FIRST_REFUSED_PAUSE,
@@ -141,7 +141,9 @@
             self.question = None;
         }
         match delta {
-            OfferedDelta::Chunked { base, length } if *base == self.have.have => {
+            OfferedDelta::Chunked { base, length }
+                if *base == self.record_request.snapshot_digest =>
+            {
                 self.begin_delta(*length);
             }
             _ => {}
@@ -184,7 +186,7 @@
         pace: &mut Pace,
         now: Instant,
     ) -> Option<Fetched> {
-        let last = chunk.last && chunk.content == self.assembly.content();
+        let last = chunk.is_last && chunk.content == self.assembly.content();
         let added = self.assembly.add(chunk);
         if added {
             self.failures = 0;
@@ -220,7 +222,7 @@
         }
         self.end_question(pace);
         match refused.reason {
-            CopyRefusal::Busy | CopyRefusal::NotYet => {
+            CopyRefusal::Busy | CopyRefusal::NoWantedChunk => {
                 self.rotate();
                 self.resume_at = now + self.refused_pause;
                 let longest = match self.is_stuck(now) {
@@ -264,7 +266,7 @@
             self.question = Some((Question::Delta, limit));
             return Some(FetchAction::Send(
                 source,
-                ControlMessage::RecordRequest(self.have),
+                ControlMessage::RecordRequest(self.record_request),
             ));
         }
         let awaited = self.next_count();
@@ -274,8 +276,8 @@
         self.question = Some((Question::Chunks(awaited), limit));
         let request = CopyRequest {
             content: self.assembly.content(),
-            wanted: self.assembly.missing(),
-            limit: u16::try_from(awaited).unwrap_or(MAXIMUM_CHUNKS_PER_REQUEST),
+            wanted_chunks: self.assembly.missing(),
+            maximum_chunks: u16::try_from(awaited).unwrap_or(MAXIMUM_CHUNKS_PER_REQUEST),
         };
         Some(FetchAction::Send(
             source,
@@ -323,7 +325,7 @@
 
     fn begin_delta(&mut self, length: u32) {
         let content = CopyContent::Delta {
-            base: self.have.have,
+            base: self.record_request.snapshot_digest,
             result: self.record.statement.snapshot_digest,
         };
         let shorter = length < self.record.statement.snapshot_length;
--- a/crates/woodladder-core/src/control/replica/gossip.rs
+++ b/crates/woodladder-core/src/control/replica/gossip.rs
@@ -7,7 +7,7 @@
 use crate::clock::Instant;
 use crate::configuration::snapshot_delta::SnapshotDelta;
 use crate::control::control_message::{
-    ControlMessage, DigestMessage, Exchange, MAXIMUM_SAMPLE, Offer, ProbeNumber, RecordRequest,
+    ControlMessage, DigestMessage, Exchange, MAXIMUM_PEER_SAMPLE, Offer, ProbeNumber, RecordRequest,
 };
 use crate::control::replica::pace::Pace;
 use crate::control::replica::store_reader::jittered;
@@ -90,11 +90,11 @@
         self.gossip.next_round = now + jittered(interval, &mut self.random);
         let number = self.gossip.probe;
         self.gossip.probe = ProbeNumber(number.0.wrapping_add(1));
-        for control in self.members.pick(fanout, &mut self.random) {
-            self.members.asked(control);
-            self.watch(control, now);
+        for control_address in self.members.pick(fanout, &mut self.random) {
+            self.members.record_request_sent(control_address);
+            self.watch(control_address, now);
             let message = self.digest_message(Exchange::Probe(number), now);
-            self.send(control, message);
+            self.send(control_address, message);
         }
         self.copies.release_idle(now);
     }
@@ -105,9 +105,10 @@
         if digest.sender.node == self.settings.node {
             return;
         }
-        self.members.heard_from(digest.sender, digest.leaving, now);
-        for peer in &digest.sample {
-            self.members.named_by_other(*peer);
+        self.members
+            .record_message_from(digest.sender, digest.leaving, now);
+        for peer in &digest.peer_sample {
+            self.members.record_named_peer(*peer);
         }
         self.note_alive(digest, now);
         self.compare_marks(from, digest, now);
@@ -121,7 +122,7 @@
         if digest.sequence > self.sequence() {
             self.note_greater(from, digest.sequence, now);
         } else if digest.sequence < self.sequence() {
-            self.offer_to(from, digest.snapshot, now);
+            self.offer_to(from, digest.snapshot_digest, now);
         }
     }
 
@@ -133,7 +134,7 @@
         now: Instant,
     ) {
         if request.sequence < self.sequence() {
-            self.offer_to(from, request.have, now);
+            self.offer_to(from, request.snapshot_digest, now);
         } else if let Some(offer) = self.fetched_offer()
             && offer.record.sequence() > request.sequence
         {
@@ -151,8 +152,8 @@
             return;
         }
         let request = self.record_request();
-        for control in self.members.pick(URGENT_FANOUT, &mut self.random) {
-            self.send(control, ControlMessage::RecordRequest(request));
+        for control_address in self.members.pick(URGENT_FANOUT, &mut self.random) {
+            self.send(control_address, ControlMessage::RecordRequest(request));
         }
     }
 
@@ -162,8 +163,11 @@
             return;
         };
         let fanout = self.settings.tuning.rumor_fanout;
-        for control in self.members.pick(fanout, &mut self.random) {
-            self.send(control, ControlMessage::Offer(Box::new(offer.clone())));
+        for control_address in self.members.pick(fanout, &mut self.random) {
+            self.send(
+                control_address,
+                ControlMessage::Offer(Box::new(offer.clone())),
+            );
         }
     }
 
@@ -174,8 +178,11 @@
             return;
         };
         let fanout = self.settings.tuning.rumor_fanout;
-        for control in self.members.pick(fanout, &mut self.random) {
-            self.send(control, ControlMessage::Offer(Box::new(offer.clone())));
+        for control_address in self.members.pick(fanout, &mut self.random) {
+            self.send(
+                control_address,
+                ControlMessage::Offer(Box::new(offer.clone())),
+            );
         }
     }
 
@@ -241,7 +248,7 @@
     pub(super) fn record_request(&self) -> RecordRequest {
         RecordRequest {
             sequence: self.sequence(),
-            have: self.digest(),
+            snapshot_digest: self.digest(),
         }
     }
 
@@ -252,7 +259,7 @@
     /// An offer of the roll in force, with the delta as far as it fits.
     fn offer(&self, delta: Option<&SnapshotDelta>) -> Option<Offer> {
         let record = self.installed.as_ref()?.record.clone();
-        Some(Offer::fitting(record, delta))
+        Some(Offer::fitting_datagram(record, delta))
     }
 
     pub(super) fn digest_message(&mut self, exchange: Exchange, now: Instant) -> ControlMessage {
@@ -260,11 +267,13 @@
             sender: self.settings.peer(),
             leaving: self.leaving,
             sequence: self.sequence(),
-            snapshot: self.digest(),
+            snapshot_digest: self.digest(),
             exchange,
-            own: self.availability.own.as_ref().map(|own| *own.report()),
-            marks: self.availability.fingerprint(),
-            sample: self.members.sample(MAXIMUM_SAMPLE, now, &mut self.random),
+            own_report: self.availability.own.as_ref().map(|own| *own.report()),
+            unavailable_fingerprint: self.availability.fingerprint(),
+            peer_sample: self
+                .members
+                .sample(MAXIMUM_PEER_SAMPLE, now, &mut self.random),
         })
     }
 }
--- a/crates/woodladder-core/src/control/replica/machine.rs
+++ b/crates/woodladder-core/src/control/replica/machine.rs
@@ -103,7 +103,7 @@
             ReplicaEvent::StoreAnswer { request, answer } => {
                 self.handle_store(request, answer, now)
             }
-            ReplicaEvent::MachineList(machines) => self.members.replace_list(&machines),
+            ReplicaEvent::MachineList(machines) => self.members.apply_machine_list(&machines),
             ReplicaEvent::SequenceSeen(sequence) => self.handle_sequence_seen(sequence, now),
             ReplicaEvent::Leaving => {
                 self.leaving = true;
@@ -242,7 +242,7 @@
             ControlMessage::CopyRefused(refused) => self.handle_copy_refused(from, &refused, now),
             ControlMessage::StatusRequest(request) => self.answer_status(from, request, now),
             ControlMessage::StatusReply(_) => {}
-            ControlMessage::Reports(batch) => self.handle_reports(from, &batch, now),
+            ControlMessage::AvailabilityReports(batch) => self.handle_reports(from, &batch, now),
             ControlMessage::ProbeRequest(request) => self.handle_probe_request(from, request, now),
             ControlMessage::ProbeConfirmed(confirmed) => {
                 self.handle_probe_confirmed(confirmed, now);
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -25,7 +25,7 @@
 /// A probe that another node asked for.
 #[derive(Clone, Copy, Debug)]
 struct Requested {
-    control: SocketAddr,
+    control_address: SocketAddr,
     by: SocketAddr,
     until: Instant,
 }
@@ -51,20 +51,20 @@
 
 impl Replica {
     /// Takes note of a probe that a round sends.
-    pub(super) fn watch(&mut self, control: SocketAddr, now: Instant) {
-        let report = self.availability.table.report_at(control).copied();
+    pub(super) fn watch(&mut self, control_address: SocketAddr, now: Instant) {
+        let report = self.availability.table.report_at(control_address).copied();
         let serving = report.filter(|report| report.availability == Availability::Serving);
         if let Some(report) = serving {
             let watches = &mut self.availability.probing.watches;
-            watches.probed(report.target, control, now);
+            watches.probed(report.target, control_address, now);
         }
     }
 
     /// Takes note of a digest message from a node itself.
     pub(super) fn note_alive(&mut self, digest: &DigestMessage, now: Instant) {
-        let control = digest.sender.control_address;
+        let control_address = digest.sender.control_address;
         let probing = &mut self.availability.probing;
-        probing.watches.alive(control);
+        probing.watches.alive(control_address);
         let Exchange::Answer(_) = digest.exchange else {
             return;
         };
@@ -72,10 +72,10 @@
         let (answered, waiting): (Vec<Requested>, Vec<Requested>) = probing
             .requested
             .iter()
-            .partition(|requested| requested.control == control);
+            .partition(|requested| requested.control_address == control_address);
         probing.requested = waiting;
         for requested in answered {
-            let confirmed = ProbeConfirmed { control };
+            let confirmed = ProbeConfirmed { control_address };
             self.send(requested.by, ControlMessage::ProbeConfirmed(confirmed));
         }
     }
@@ -89,30 +89,32 @@
     ) {
         let requested = &mut self.availability.probing.requested;
         requested.retain(|known| known.until > now);
-        if requested.len() >= MAXIMUM_REQUESTS || request.control == self.settings.control_address {
+        if requested.len() >= MAXIMUM_REQUESTS
+            || request.control_address == self.settings.control_address
+        {
             return;
         }
         requested.push(Requested {
-            control: request.control,
+            control_address: request.control_address,
             by: from,
             until: now + REQUEST_TIME,
         });
-        self.probe_again(request.control, now);
+        self.probe_again(request.control_address, now);
     }
 
     /// A node answered to another that probed it on request.
     pub(super) fn handle_probe_confirmed(&mut self, confirmed: ProbeConfirmed, now: Instant) {
         let watches = &mut self.availability.probing.watches;
-        watches.alive(confirmed.control);
+        watches.alive(confirmed.control_address);
         watches.answered(now);
     }
 
     /// Probes a node outside the rounds, if the rate allows for it.
-    pub(super) fn probe_again(&mut self, control: SocketAddr, now: Instant) {
+    pub(super) fn probe_again(&mut self, control_address: SocketAddr, now: Instant) {
         let probe = Exchange::Probe(self.gossip.next_probe());
         let message = self.digest_message(probe, now);
         if self.availability.pace.take(message.datagram_length(), now) {
-            self.send(control, message);
+            self.send(control_address, message);
         }
     }
 
@@ -121,10 +123,10 @@
         while probing.accused.take_due(now).is_some() {}
         for step in probing.watches.take_due(now) {
             match step {
-                WatchStep::Repeat(control) => self.probe_again(control, now),
-                WatchStep::Assist(control) => {
-                    self.probe_again(control, now);
-                    self.ask_to_probe(control, now);
+                WatchStep::Repeat(control_address) => self.probe_again(control_address, now),
+                WatchStep::Assist(control_address) => {
+                    self.probe_again(control_address, now);
+                    self.ask_to_probe(control_address, now);
                 }
                 WatchStep::Unreachable(target) => self.judge(target, now),
             }
@@ -133,11 +135,13 @@
 
     /// Asks others to probe a node, and probes them: unless one of them
     /// answers, the silence tells nothing about the node.
-    fn ask_to_probe(&mut self, control: SocketAddr, now: Instant) {
+    fn ask_to_probe(&mut self, control_address: SocketAddr, now: Instant) {
         let picked = self.members.pick(HELPERS + 1, &mut self.random);
-        let helpers = picked.into_iter().filter(|picked| *picked != control);
+        let helpers = picked
+            .into_iter()
+            .filter(|picked| *picked != control_address);
         for helper in helpers.take(HELPERS) {
-            let request = ProbeRequest { control };
+            let request = ProbeRequest { control_address };
             self.send(helper, ControlMessage::ProbeRequest(request));
             self.probe_again(helper, now);
         }
--- a/crates/woodladder-core/src/control/roll_command/plan.rs
+++ b/crates/woodladder-core/src/control/roll_command/plan.rs
@@ -176,7 +176,7 @@
     /// An offer to a node that has the snapshot `have`.
     pub(super) fn offer(&self, have: Digest) -> Offer {
         let delta = self.delta.as_ref().filter(|delta| delta.base == have);
-        Offer::fitting(self.record().clone(), delta)
+        Offer::fitting_datagram(self.record().clone(), delta)
     }
 }
 
--- a/crates/woodladder-core/src/control/roll_command/rollout.rs
+++ b/crates/woodladder-core/src/control/roll_command/rollout.rs
@@ -34,7 +34,7 @@
 /// A node that is reported on.
 #[derive(Clone, Copy, Debug)]
 struct AskedNode {
-    control: SocketAddr,
+    control_address: SocketAddr,
     asked: Option<Instant>,
     answered: bool,
     in_force: bool,
@@ -89,12 +89,12 @@
 
     /// Adds nodes that are not known yet.
     pub(super) fn add_nodes(&mut self, nodes: &[SocketAddr]) {
-        for control in nodes {
-            if !self.known.insert(*control) {
+        for control_address in nodes {
+            if !self.known.insert(*control_address) {
                 continue;
             }
             self.nodes.push(AskedNode {
-                control: *control,
+                control_address: *control_address,
                 asked: None,
                 answered: false,
                 in_force: false,
@@ -112,7 +112,7 @@
             .into_iter()
             .map(|position| {
                 let message = ControlMessage::Offer(Box::new(offer.clone()));
-                (self.nodes[position].control, message)
+                (self.nodes[position].control_address, message)
             })
             .collect()
     }
@@ -170,7 +170,7 @@
         }
         self.answer_record(RecordRequest {
             sequence: reply.sequence,
-            have: reply.snapshot,
+            snapshot_digest: reply.snapshot,
         })
     }
 
@@ -179,7 +179,7 @@
         if request.sequence >= self.planned.record().sequence() {
             return None;
         }
-        let offer = self.planned.offer(request.have);
+        let offer = self.planned.offer(request.snapshot_digest);
         Some(ControlMessage::Offer(Box::new(offer)))
     }
 
@@ -208,7 +208,7 @@
         node.asked = Some(now);
         let number = ProbeNumber(u32::try_from(position).ok()?);
         let request = StatusRequest { number };
-        Some((node.control, ControlMessage::StatusRequest(request)))
+        Some((node.control_address, ControlMessage::StatusRequest(request)))
     }
 }
 
--- a/crates/woodladder-core/src/control/store_operation.rs
+++ b/crates/woodladder-core/src/control/store_operation.rs
@@ -1,18 +1,21 @@
-//! Requests to the key-value service and their answers, apart from HTTP.
+//! Requests to the key-value service and their results, independent of HTTP.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::digest::Digest;
 
-/// Key of the roll in force; its value is a [`crate::configuration::roll_record::StoredRoll`].
+/// Key of the roll in force; its value is a
+/// [`crate::configuration::roll_record::StoredRoll`].
 pub const CURRENT_KEY: &str = "woodladder/current";
-/// Prefix of the keys of snapshots; the digest in hexadecimal follows.
+/// Prefix of the keys of snapshots; the digest of the snapshot in hexadecimal
+/// follows.
 pub const SNAPSHOT_KEY_PREFIX: &str = "woodladder/bundles/";
-/// Longest value in bytes that nodes and operators accept from the service.
+/// Longest value in bytes that nodes and operators accept from the key-value
+/// service.
 pub const MAXIMUM_STORED_VALUE_LENGTH: usize = 8 * 1024 * 1024;
 
-/// Number of a request, unique within one state machine.
+/// Identifier of a request, unique within one state machine.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct StoreRequestId(pub u64);
 
@@ -20,12 +23,12 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct StoreIndex(pub u64);
 
-/// An entry of the key-value service.
+/// Key of an entry of the key-value service.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum StoreKey {
-    /// The roll in force.
+    /// Key of the roll in force.
     Current,
-    /// The encoding of the snapshot with this digest.
+    /// Key of the encoded snapshot with this digest.
     Snapshot(Digest),
 }
 
@@ -34,24 +37,26 @@
 pub enum StoreOperation {
     /// Reads an entry.
     Read {
-        /// Entry to read.
+        /// Key of the entry to read.
         key: StoreKey,
-        /// When set, the service answers once the entry's index is greater
-        /// than this one, or after a time of its own choice.
+        /// When set, the service answers once the modify index of the entry is
+        /// greater than this one, or after a time limit that the service
+        /// chooses.
         wait: Option<StoreIndex>,
     },
-    /// Writes an entry if its index is still the expected one.
+    /// Writes an entry if its modify index is still the expected one.
     CompareAndSwap {
-        /// Entry to write.
+        /// Key of the entry to write.
         key: StoreKey,
-        /// Index that the entry must have; zero when it must not exist.
+        /// Modify index that the entry must have; zero when the entry must not
+        /// exist.
         expected: StoreIndex,
         /// Value to write.
         value: Vec<u8>,
     },
 }
 
-/// What came of a request.
+/// Result of a request to the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreAnswer {
     /// The entry that was read.
@@ -65,21 +70,21 @@
     NotFound,
     /// The write took effect.
     Written,
-    /// The entry's index was not the expected one; nothing was written.
+    /// The modify index was not the expected one; nothing was written.
     Conflict,
     /// The service refused the request for now; nothing was written.
     RateLimited {
-        /// How long the service asks to wait, when it says so.
+        /// How long the service asks the client to wait, if it says so.
         retry_after: Option<Duration>,
     },
     /// The request never reached the service; nothing was written.
     Unreachable,
-    /// No answer came; a write may have taken effect.
+    /// No answer arrived; a write may have taken effect.
     Unknown,
 }
 
 impl StoreKey {
-    /// Path of the entry's key.
+    /// Full key as the key-value service stores it.
     #[must_use]
     pub fn path(&self) -> String {
         match self {
--- a/crates/woodladder-core/tests/availability.rs
+++ b/crates/woodladder-core/tests/availability.rs
@@ -9,10 +9,11 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::control::availability::{
-    Availability, Report, ReportVersion, RunNumber, WatchStep, Watches,
+    Availability, AvailabilityReport, ReportVersion, RunNumber, WatchStep, Watches,
 };
 use woodladder_core::control::control_message::{
-    ControlMessage, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_REPORTS, Reports,
+    AvailabilityReports, ControlMessage, FrameError, MAXIMUM_DATAGRAM_LENGTH,
+    MAXIMUM_REPORTS_PER_MESSAGE,
 };
 use woodladder_core::control::replica::{ReplicaEvent, ReplicaTuning};
 use woodladder_core::identifier::ServiceId;
@@ -55,19 +56,19 @@
         .sum()
 }
 
-fn report(index: usize, run: u64, version: u32, availability: Availability) -> Report {
-    Report {
+fn report(index: usize, run: u64, version: u32, availability: Availability) -> AvailabilityReport {
+    AvailabilityReport {
         target: target_of(index),
-        control: address(index),
+        control_address: address(index),
         run: RunNumber(run),
         version: ReportVersion(version),
         availability,
     }
 }
 
-fn tell(world: &mut World, to: usize, reports: Vec<Report>) {
+fn tell(world: &mut World, to: usize, reports: Vec<AvailabilityReport>) {
     let from = address(1);
-    let message = ControlMessage::Reports(Reports { reports });
+    let message = ControlMessage::AvailabilityReports(AvailabilityReports { reports });
     world.event(to, ReplicaEvent::Message { from, message });
 }
 
@@ -238,7 +239,7 @@
 fn a_target_of_a_later_process_is_not_claimed_back() {
     let mut world = world(20, 12);
     let mut moved = report(7, u64::MAX, 0, Availability::Serving);
-    moved.control = address(400);
+    moved.control_address = address(400);
     tell(&mut world, 7, vec![moved]);
     world.run_for(seconds(5));
     let refutations = world.nodes[7].replica.counters().own_reports_refuted;
@@ -251,14 +252,14 @@
     let batch = |count: usize| {
         let one = report(3, 1, 0, Availability::Unreachable);
         let reports = vec![one; count];
-        ControlMessage::Reports(Reports { reports })
+        ControlMessage::AvailabilityReports(AvailabilityReports { reports })
     };
-    let longest = batch(MAXIMUM_REPORTS).encode(&key).unwrap();
+    let longest = batch(MAXIMUM_REPORTS_PER_MESSAGE).encode(&key).unwrap();
     assert!(longest.len() <= MAXIMUM_DATAGRAM_LENGTH);
     assert!(ControlMessage::decode(&key, &longest).is_ok());
     let forged = ControlMessage::decode(&TagKey::new([2; 16]), &longest);
-    assert_eq!(forged, Err(FrameError::Forged));
-    let too_long = batch(MAXIMUM_REPORTS + 1).encode(&key).unwrap();
+    assert_eq!(forged, Err(FrameError::TagMismatch));
+    let too_long = batch(MAXIMUM_REPORTS_PER_MESSAGE + 1).encode(&key).unwrap();
     let refused = ControlMessage::decode(&key, &too_long);
     assert_eq!(refused, Err(FrameError::Malformed));
 }
--- a/crates/woodladder-core/tests/control_message.rs
+++ b/crates/woodladder-core/tests/control_message.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use woodladder_core::control::control_message::{
     CHUNK_LENGTH, ControlMessage, CopyChunk, CopyContent, CopyRefusal, CopyRefused, CopyRequest,
-    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_SAMPLE, Offer,
+    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_PEER_SAMPLE, Offer,
     OfferedDelta, ProbeNumber, RecordRequest, StatusReply, StatusRequest,
 };
 use woodladder_core::control::membership::{Locality, Peer, Role};
@@ -47,18 +47,18 @@
 }
 
 fn digest_messages() -> impl Strategy<Value = ControlMessage> {
-    let sample = proptest::collection::vec(peers(), 0..=MAXIMUM_SAMPLE);
-    (peers(), any::<(bool, u64, u32)>(), digests(), sample).prop_map(
-        |(sender, (leaving, sequence, number), snapshot, sample)| {
+    let peer_sample = proptest::collection::vec(peers(), 0..=MAXIMUM_PEER_SAMPLE);
+    (peers(), any::<(bool, u64, u32)>(), digests(), peer_sample).prop_map(
+        |(sender, (leaving, sequence, number), snapshot_digest, peer_sample)| {
             ControlMessage::Digest(DigestMessage {
-                own: None,
-                marks: 0,
+                own_report: None,
+                unavailable_fingerprint: 0,
                 sender,
                 leaving,
                 sequence: Sequence(sequence),
-                snapshot,
+                snapshot_digest,
                 exchange: Exchange::Probe(ProbeNumber(number)),
-                sample,
+                peer_sample,
             })
         },
     )
@@ -89,20 +89,20 @@
         let first = roll(None, bundle(1, 0..10, 4), 1);
         let second = roll(Some(&first), bundle(version, 5..targets.max(6), 4), 2);
         let delta = second.stored.delta.as_ref();
-        ControlMessage::Offer(Box::new(Offer::fitting(
+        ControlMessage::Offer(Box::new(Offer::fitting_datagram(
             second.stored.record.clone(),
             delta,
         )))
     });
-    let request = |(content, first, limit)| CopyRequest {
+    let request = |(content, first, maximum_chunks)| CopyRequest {
         content,
-        wanted: (first..first + 100).collect(),
-        limit,
+        wanted_chunks: (first..first + 100).collect(),
+        maximum_chunks,
     };
     let chunk = |(content, index, bytes)| CopyChunk {
         content,
         index,
-        last: true,
+        is_last: true,
         bytes,
     };
     let bytes = proptest::collection::vec(any::<u8>(), 0..=CHUNK_LENGTH);
@@ -110,9 +110,12 @@
         digest_messages(),
         status_replies(),
         offers,
-        (digests(), any::<u64>()).prop_map(|(have, sequence)| {
+        (digests(), any::<u64>()).prop_map(|(snapshot_digest, sequence)| {
             let sequence = Sequence(sequence);
-            ControlMessage::RecordRequest(RecordRequest { sequence, have })
+            ControlMessage::RecordRequest(RecordRequest {
+                sequence,
+                snapshot_digest,
+            })
         }),
         (contents(), 0..9_000_usize, 0..=16_u16)
             .prop_map(move |parts| ControlMessage::CopyRequest(request(parts))),
@@ -182,7 +185,7 @@
     other[0] = 2;
     assert_eq!(refused(&other), FrameError::UnknownVersion);
     let forged = message.encode(&TagKey::new([4; 16])).unwrap();
-    assert_eq!(refused(&forged), FrameError::Forged);
+    assert_eq!(refused(&forged), FrameError::TagMismatch);
     assert_eq!(refused(&[1; 1300]), FrameError::Oversized);
     assert_eq!(refused(&[]), FrameError::Truncated);
     let record = roll(None, bundle(1, 0..10, 4), 1).stored.record;
--- a/crates/woodladder-core/tests/membership.rs
+++ b/crates/woodladder-core/tests/membership.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
 use woodladder_core::control::membership::{
-    HEARD_LATELY, ListedMachine, ListedState, Membership, Peer, SILENT_AFTER,
+    HEARD_RECENTLY_PERIOD, ListedMachine, ListedState, Membership, Peer, UNANSWERED_BEFORE_SILENT,
 };
 use woodladder_core::control::replica::ReplicaTuning;
 
@@ -33,18 +33,22 @@
 }
 
 fn silence(members: &mut Membership, index: usize) {
-    for _ in 0..SILENT_AFTER {
-        members.asked(address(index));
+    for _ in 0..UNANSWERED_BEFORE_SILENT {
+        members.record_request_sent(address(index));
     }
 }
 
 #[test]
 fn node_that_the_list_omits_is_known_once_it_is_heard() {
     let mut members = table(100);
-    members.replace_list(&list([1, 2]));
-    members.heard_from(peer(3), false, Instant::ORIGIN);
-    members.replace_list(&list([1, 2]));
-    assert!(members.iter().any(|member| member.control == address(3)));
+    members.apply_machine_list(&list([1, 2]));
+    members.record_message_from(peer(3), false, Instant::ORIGIN);
+    members.apply_machine_list(&list([1, 2]));
+    assert!(
+        members
+            .iter()
+            .any(|member| member.control_address == address(3))
+    );
     assert_eq!(members.counts(Instant::ORIGIN).listed, 2);
 }
 
@@ -52,7 +56,7 @@
 fn dead_node_that_the_list_names_is_asked_rarely() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut members = table(100);
-    members.replace_list(&list(1..=20));
+    members.apply_machine_list(&list(1..=20));
     (1..=10).for_each(|index| silence(&mut members, index));
     let asked: Vec<_> = (0..1000)
         .flat_map(|_| members.pick(1, &mut random))
@@ -65,12 +69,12 @@
 #[test]
 fn silent_node_without_an_entry_in_the_list_is_forgotten() {
     let mut members = table(100);
-    members.replace_list(&list(1..=30));
-    members.heard_from(peer(40), false, Instant::ORIGIN);
+    members.apply_machine_list(&list(1..=30));
+    members.record_message_from(peer(40), false, Instant::ORIGIN);
     silence(&mut members, 40);
     silence(&mut members, 1);
     assert_eq!(members.len(), 30);
-    members.replace_list(&list(2..=30));
+    members.apply_machine_list(&list(2..=30));
     assert_eq!(members.len(), 29);
 }
 
@@ -78,11 +82,11 @@
 fn only_nodes_heard_lately_are_named_to_others() {
     let mut random = ChaCha8Rng::seed_from_u64(2);
     let mut members = table(100);
-    members.replace_list(&list(1..=3));
-    members.heard_from(peer(1), false, Instant::ORIGIN);
+    members.apply_machine_list(&list(1..=3));
+    members.record_message_from(peer(1), false, Instant::ORIGIN);
     let sample = members.sample(4, Instant::ORIGIN, &mut random);
     assert_eq!(sample, vec![peer(1)]);
-    let later = Instant::ORIGIN + HEARD_LATELY + Duration::from_secs(1);
+    let later = Instant::ORIGIN + HEARD_RECENTLY_PERIOD + Duration::from_secs(1);
     assert!(members.sample(4, later, &mut random).is_empty());
 }
 
@@ -96,11 +100,11 @@
         let mut members = table(25);
         for (kind, index) in steps {
             match kind {
-                0 => members.heard_from(peer(index), index % 7 == 0, Instant::ORIGIN),
-                1 => members.named_by_other(peer(index)),
-                2 => members.asked(address(index)),
+                0 => members.record_message_from(peer(index), index % 7 == 0, Instant::ORIGIN),
+                1 => members.record_named_peer(peer(index)),
+                2 => members.record_request_sent(address(index)),
                 3 => silence(&mut members, index),
-                _ => members.replace_list(&list(index..index + 10)),
+                _ => members.apply_machine_list(&list(index..index + 10)),
             }
             prop_assert!(members.len() <= 25);
             let picked = members.pick(5, &mut random);
--- a/crates/woodladder-core/tests/replica_adoption.rs
+++ b/crates/woodladder-core/tests/replica_adoption.rs
@@ -155,8 +155,11 @@
 fn offer_since(request: &RecordRequest) -> ControlMessage {
     let last = &CHAIN[ROLLS - 1];
     let delta = last.stored.delta.as_ref();
-    let delta = delta.filter(|delta| delta.base == request.have);
-    ControlMessage::Offer(Box::new(Offer::fitting(last.stored.record.clone(), delta)))
+    let delta = delta.filter(|delta| delta.base == request.snapshot_digest);
+    ControlMessage::Offer(Box::new(Offer::fitting_datagram(
+        last.stored.record.clone(),
+        delta,
+    )))
 }
 
 fn chunks(request: &CopyRequest) -> Vec<ControlMessage> {
@@ -175,7 +178,7 @@
         ControlMessage::CopyChunk(CopyChunk {
             content: request.content,
             index: index as u32,
-            last: false,
+            is_last: false,
             bytes: bytes.to_vec(),
         })
     };
@@ -191,7 +194,7 @@
     ControlMessage::CopyChunk(CopyChunk {
         content,
         index: index as u32,
-        last: true,
+        is_last: true,
         bytes: copy[index * CHUNK_LENGTH..].to_vec(),
     })
 }
@@ -236,7 +239,7 @@
             Heard::Offer { roll, with_delta } => {
                 let stored = chain[roll].stored.clone();
                 let delta = stored.delta.filter(|_| with_delta);
-                let offer = Offer::fitting(stored.record, delta.as_ref());
+                let offer = Offer::fitting_datagram(stored.record, delta.as_ref());
                 subject.hear(ControlMessage::Offer(Box::new(offer)));
             }
             Heard::ForgedOffer { roll } => {
@@ -251,7 +254,7 @@
                 let mut delta = stored.delta.unwrap();
                 delta.removed_targets.clear();
                 delta.version += 1;
-                let offer = Offer::fitting(stored.record, Some(&delta));
+                let offer = Offer::fitting_datagram(stored.record, Some(&delta));
                 subject.hear(ControlMessage::Offer(Box::new(offer)));
             }
             Heard::DamagedChunk { roll } => {
--- a/crates/woodladder-core/tests/replica_delta.rs
+++ b/crates/woodladder-core/tests/replica_delta.rs
@@ -62,7 +62,7 @@
             let chunk = woodladder_core::control::control_message::CopyChunk {
                 content,
                 index: index as u32,
-                last: false,
+                is_last: false,
                 bytes: bytes.to_vec(),
             };
             exchange(&mut replica, ControlMessage::CopyChunk(chunk), START);
@@ -75,7 +75,7 @@
     let now = START + Duration::from_secs(2);
     let request = RecordRequest {
         sequence: have.stored.record.sequence(),
-        have: have.snapshot.digest(),
+        snapshot_digest: have.snapshot.digest(),
     };
     let answers = exchange(replica, ControlMessage::RecordRequest(request), now);
     let offer = answers.into_iter().find_map(|answer| match answer {
@@ -98,8 +98,8 @@
     assert!(length as usize <= CHUNK_LENGTH * usize::from(MAXIMUM_CHUNKS_PER_REQUEST));
     let request = CopyRequest {
         content,
-        wanted: (0..usize::from(MAXIMUM_CHUNKS_PER_REQUEST)).collect(),
-        limit: MAXIMUM_CHUNKS_PER_REQUEST,
+        wanted_chunks: (0..usize::from(MAXIMUM_CHUNKS_PER_REQUEST)).collect(),
+        maximum_chunks: MAXIMUM_CHUNKS_PER_REQUEST,
     };
     let answers = exchange(replica, ControlMessage::CopyRequest(request), now);
     let chunks = answers.into_iter().filter_map(|message| match message {
--- a/crates/woodladder-core/tests/replica_faults.rs
+++ b/crates/woodladder-core/tests/replica_faults.rs
@@ -27,7 +27,7 @@
 fn offer(roll: &Roll) -> ControlMessage {
     let delta = roll.stored.delta.as_ref();
     let record = roll.stored.record.clone();
-    ControlMessage::Offer(Box::new(Offer::fitting(record, delta)))
+    ControlMessage::Offer(Box::new(Offer::fitting_datagram(record, delta)))
 }
 
 fn message(from: usize, message: ControlMessage) -> ReplicaEvent {
