--- a/crates/woodladder-core/src/control/availability/mod.rs
+++ b/crates/woodladder-core/src/control/availability/mod.rs
@@ -1,25 +1,25 @@
-//! Availability: which targets' agents take new flows at this moment, as far
-//! as a node knows.
+//! Availability of targets: which targets' agents accept new flows at the
+//! moment, as far as a node knows.
 //!
-//! Each agent announces itself with a run and a version. Other nodes may call
-//! it unreachable under the version that they know; only the agent raises the
-//! version, and so refutes them. What a node holds of this is a hint: it turns
-//! new flows away from a target, and neither established flows nor the order
-//! of rolls depend on it.
+//! Each agent announces itself with the number of its run and a version. Other
+//! nodes may report the agent as unreachable under the version that they know.
+//! Only the agent itself raises the version, and so refutes such a report. The
+//! information is a hint: it diverts new flows from a target, and neither
+//! established flows nor the order of rolls depend on it.
 //!
 //! Source: Das, Gupta and Motivala, "SWIM: scalable weakly-consistent
 //! infection-style process group membership protocol", 2002.
 
 mod own;
+mod pending_probes;
 mod report;
-mod rumors;
+mod report_queue;
 mod schedule;
 mod table;
-mod watches;
 
-pub use own::{Hearing, OwnAvailability, ServedTarget};
+pub use own::{OwnAvailability, OwnReportOutcome, ServedTarget};
+pub use pending_probes::{MAXIMUM_PENDING_PROBES, PendingProbes, ProbeStep};
 pub use report::{Availability, AvailabilityReport, ReportVersion, RunNumber};
-pub use rumors::{MAXIMUM_RUMORS, Rumors};
-pub use schedule::Schedule;
-pub use table::{AvailabilityTable, Learned, MAXIMUM_KNOWN_TARGETS};
-pub use watches::{MAXIMUM_WATCHES, WatchStep, Watches};
+pub use report_queue::{MAXIMUM_QUEUED_REPORTS, ReportQueue};
+pub use schedule::TargetSchedule;
+pub use table::{AvailabilityTable, MAXIMUM_KNOWN_TARGETS, MergeOutcome};
--- a/crates/woodladder-core/src/control/availability/own.rs
+++ b/crates/woodladder-core/src/control/availability/own.rs
@@ -1,40 +1,43 @@
-//! What an agent says of itself, and its answer to what others say of it.
+//! An agent's report about its own target, and how it refutes wrong reports
+//! about that target.
 
 use std::net::SocketAddr;
 
 use crate::control::availability::{Availability, AvailabilityReport, ReportVersion, RunNumber};
 use crate::identifier::TargetId;
 
-/// The target that an agent stands beside.
+/// The target that an agent serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServedTarget {
-    /// The target.
+    /// Identifier of the target.
     pub target: TargetId,
     /// Run of the agent's process.
     pub run: RunNumber,
 }
 
-/// What a report about the own target amounts to.
+/// Result of comparing a received report about the agent's own target with the
+/// agent's own report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Hearing {
-    /// It repeats what the agent says itself.
-    Known,
-    /// It is older than what the agent says now.
+pub enum OwnReportOutcome {
+    /// The received report says the same as the agent's own report.
+    Repeated,
+    /// The received report is older than the agent's own report.
     Outdated,
-    /// It was wrong, and the agent has raised its version.
+    /// The received report was wrong, and the agent has raised its version
+    /// above it.
     Refuted,
-    /// A later process serves the target.
-    Replaced,
+    /// Another process, started later, serves the target now.
+    Superseded,
 }
 
-/// An agent's report about itself.
+/// An agent's report about its own target.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnAvailability {
     report: AvailabilityReport,
 }
 
 impl OwnAvailability {
-    /// The report of an agent that has just started.
+    /// The first report of an agent that has just started.
     #[must_use]
     pub fn new(served: ServedTarget, control_address: SocketAddr) -> Self {
         Self {
@@ -48,41 +51,45 @@
         }
     }
 
-    /// The report as it is now.
+    /// The current report.
     #[must_use]
     pub fn report(&self) -> &AvailabilityReport {
         &self.report
     }
 
-    /// Changes what the agent says of itself; true when it said otherwise.
-    pub fn set(&mut self, availability: Availability) -> bool {
+    /// Sets the availability and raises the version; returns whether the
+    /// availability changed.
+    pub fn set_availability(&mut self, availability: Availability) -> bool {
         if self.report.availability == availability {
             return false;
         }
         self.report.availability = availability;
-        self.rise_above(self.report);
+        self.raise_version_above(self.report);
         true
     }
 
-    /// Takes note of a report about the own target. A run that is later than
-    /// the own one and has the own address comes from before a clock was set
-    /// back.
-    pub fn hear(&mut self, heard: &AvailabilityReport) -> Hearing {
-        if self.report.repeats(heard) {
-            return Hearing::Known;
+    /// Compares a received report about the own target with the own report. A
+    /// report with a greater run but the agent's own address is from an earlier
+    /// run of the agent, started before the machine's clock was set back; the
+    /// agent refutes it.
+    pub fn compare(&mut self, received: &AvailabilityReport) -> OwnReportOutcome {
+        if self.report.is_same_as(received) {
+            return OwnReportOutcome::Repeated;
         }
-        if !heard.supersedes(&self.report) {
-            return Hearing::Outdated;
+        if !received.supersedes(&self.report) {
+            return OwnReportOutcome::Outdated;
         }
-        if heard.run > self.report.run && heard.control_address != self.report.control_address {
-            return Hearing::Replaced;
+        if received.run > self.report.run && received.control_address != self.report.control_address
+        {
+            return OwnReportOutcome::Superseded;
         }
-        self.rise_above(*heard);
-        Hearing::Refuted
+        self.raise_version_above(*received);
+        OwnReportOutcome::Refuted
     }
 
-    /// Takes the version that follows, or the run when versions are used up.
-    fn rise_above(&mut self, known: AvailabilityReport) {
+    /// Adopts the run of `known` with the next version, or the next run if the
+    /// versions are used up.
+    fn raise_version_above(&mut self, known: AvailabilityReport) {
         match known.version.0.checked_add(1) {
             Some(version) => {
                 self.report.run = known.run;
--- a/crates/woodladder-core/src/control/availability/report.rs
+++ b/crates/woodladder-core/src/control/availability/report.rs
@@ -1,4 +1,4 @@
-//! Reports about a target's agent and their order.
+//! Availability reports about targets, and their order.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,8 @@
 use crate::configuration::bundle::encode;
 use crate::identifier::TargetId;
 
-/// Tells runs of an agent's process apart; a later start has a greater number.
+/// Number of a run of an agent's process; a run that starts later has a greater
+/// number.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -40,58 +41,60 @@
 )]
 pub struct ReportVersion(pub u32);
 
-/// Whether a target's agent takes new flows. At equal versions the later
-/// variant overrides the earlier.
+/// Whether a target's agent accepts new flows. Between reports with the same
+/// run and version, the later variant supersedes the earlier one.
 #[derive(
     BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
 pub enum Availability {
-    /// It does.
+    /// The agent accepts new flows.
     Serving,
-    /// It said that it does not.
+    /// The agent announced that it accepts no new flows.
     Leaving,
-    /// It answered none of several probes.
+    /// The agent left several probes in a row unanswered.
     Unreachable,
 }
 
-/// What is said of one target's agent.
+/// A report about the availability of one target.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct AvailabilityReport {
-    /// The target.
+    /// Identifier of the target.
     pub target: TargetId,
-    /// Control address of its agent.
+    /// Control address of the target's agent.
     pub control_address: SocketAddr,
     /// Run of the agent's process.
     pub run: RunNumber,
-    /// Version within the run.
+    /// Version of the report within the run.
     pub version: ReportVersion,
-    /// Whether it takes new flows.
+    /// Whether the agent accepts new flows.
     pub availability: Availability,
 }
 
 impl Availability {
-    /// Whether new flows are to go elsewhere.
+    /// Whether new flows are to be sent to other targets.
     #[must_use]
-    pub fn diverts(self) -> bool {
+    pub fn is_unavailable(self) -> bool {
         self != Self::Serving
     }
 }
 
 impl AvailabilityReport {
-    /// Whether this report replaces `other`, which is about the same target.
+    /// Whether this report supersedes `other`, a report about the same target.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
-    /// Whether the two say the same.
+    /// Whether this report and `other`, a report about the same target, say the
+    /// same.
     #[must_use]
-    pub fn repeats(&self, other: &Self) -> bool {
+    pub fn is_same_as(&self, other: &Self) -> bool {
         self.rank() == other.rank()
     }
 
-    /// Hash of a report that turns new flows away; zero for others. The
-    /// exclusive or over all targets tells whether two nodes agree.
+    /// Hash of the report, or zero if the target is available. The exclusive or
+    /// over all targets is equal at two nodes that consider the same targets
+    /// unavailable.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         match self.availability {
--- a/crates/woodladder-core/src/control/availability/schedule.rs
+++ b/crates/woodladder-core/src/control/availability/schedule.rs
@@ -1,4 +1,4 @@
-//! Instants by target, in the order in which they come.
+//! Due times of targets, in ascending order.
 
 use std::collections::BTreeSet;
 
@@ -7,63 +7,63 @@
 use crate::clock::Instant;
 use crate::identifier::TargetId;
 
-/// One instant for each of some targets.
+/// At most one due time for each target.
 #[derive(Clone, Debug, Default)]
-pub struct Schedule {
-    instants: FxHashMap<TargetId, Instant>,
+pub struct TargetSchedule {
+    due_times: FxHashMap<TargetId, Instant>,
     order: BTreeSet<(Instant, TargetId)>,
 }
 
-impl Schedule {
-    /// Sets a target's instant, in place of an earlier one.
-    pub fn set(&mut self, target: TargetId, at: Instant) {
+impl TargetSchedule {
+    /// Sets the due time of a target and replaces an earlier one.
+    pub fn set(&mut self, target: TargetId, due: Instant) {
         self.remove(target);
-        self.instants.insert(target, at);
-        self.order.insert((at, target));
+        self.due_times.insert(target, due);
+        self.order.insert((due, target));
     }
 
-    /// Forgets a target's instant.
+    /// Removes the due time of a target.
     pub fn remove(&mut self, target: TargetId) {
-        if let Some(at) = self.instants.remove(&target) {
-            self.order.remove(&(at, target));
+        if let Some(due) = self.due_times.remove(&target) {
+            self.order.remove(&(due, target));
         }
     }
 
-    /// Whether a target has an instant.
+    /// Whether a target has a due time.
     #[must_use]
     pub fn contains(&self, target: TargetId) -> bool {
-        self.instants.contains_key(&target)
+        self.due_times.contains_key(&target)
     }
 
-    /// The first instant.
+    /// The earliest due time.
     #[must_use]
-    pub fn next(&self) -> Option<Instant> {
-        self.order.first().map(|(at, _)| *at)
+    pub fn next_due(&self) -> Option<Instant> {
+        self.order.first().map(|(due, _)| *due)
     }
 
-    /// Takes a target out whose instant has come.
+    /// Removes and returns the first target if it is due.
     pub fn take_due(&mut self, now: Instant) -> Option<TargetId> {
-        let (at, target) = *self.order.first()?;
-        if at > now {
+        let (due, target) = *self.order.first()?;
+        if due > now {
             return None;
         }
         self.remove(target);
         Some(target)
     }
 
-    /// Targets in the schedule.
+    /// Number of targets in the schedule.
     #[must_use]
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether there is none.
+    /// Whether the schedule is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// The targets, by their instants.
+    /// The targets in the order of their due times.
     pub fn targets(&self) -> impl Iterator<Item = TargetId> {
         self.order.iter().map(|(_, target)| *target)
     }
--- a/crates/woodladder-core/src/control/availability/table.rs
+++ b/crates/woodladder-core/src/control/availability/table.rs
@@ -1,62 +1,62 @@
-//! The latest report about each target that a node has heard.
+//! The latest report about each target that a node has received.
 
 use std::net::SocketAddr;
 
 use rustc_hash::FxHashMap;
 
 use crate::clock::Instant;
-use crate::control::availability::{Availability, AvailabilityReport, Schedule};
+use crate::control::availability::{Availability, AvailabilityReport, TargetSchedule};
 use crate::identifier::TargetId;
 
-/// Targets that a table holds at most.
+/// Largest number of targets in a table.
 pub const MAXIMUM_KNOWN_TARGETS: usize = 16 * 1024;
 
-/// What a report amounts to.
+/// Result of merging a report into the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Learned {
-    /// It is new; `marks_changed` when other targets take new flows now.
+pub enum MergeOutcome {
+    /// The report is new.
     New {
-        /// Whether the set of marked targets changed.
-        marks_changed: bool,
+        /// Whether the set of unavailable targets changed.
+        unavailable_changed: bool,
     },
-    /// It was known.
-    Known,
-    /// It is older than this one.
+    /// The table holds the same report already.
+    Repeated,
+    /// The table holds this newer report.
     Outdated(AvailabilityReport),
     /// The table is full.
     Full,
 }
 
-/// Latest reports by target, and the marked targets: those whose report turns
-/// new flows away.
+/// Latest report about each target, and the set of unavailable targets.
 #[derive(Clone, Debug, Default)]
 pub struct AvailabilityTable {
     reports: FxHashMap<TargetId, AvailabilityReport>,
-    targets: FxHashMap<SocketAddr, TargetId>,
-    /// When a marked target's agent is probed again.
-    rechecks: Schedule,
+    targets_by_address: FxHashMap<SocketAddr, TargetId>,
+    /// When the agents of unavailable targets are probed again.
+    rechecks: TargetSchedule,
     fingerprint: u64,
 }
 
 impl AvailabilityTable {
-    /// Takes a report in; a target that it marks is probed at `recheck`.
-    pub fn learn(&mut self, report: AvailabilityReport, recheck: Instant) -> Learned {
+    /// Merges a report into the table. If it makes the target unavailable, the
+    /// target's agent is probed again at `recheck`.
+    pub fn merge(&mut self, report: AvailabilityReport, recheck: Instant) -> MergeOutcome {
         let known = self.reports.get(&report.target).copied();
         if let Some(known) = known {
-            if known.repeats(&report) {
-                return Learned::Known;
+            if known.is_same_as(&report) {
+                return MergeOutcome::Repeated;
             }
             if !report.supersedes(&known) {
-                return Learned::Outdated(known);
+                return MergeOutcome::Outdated(known);
             }
         } else if self.reports.len() >= MAXIMUM_KNOWN_TARGETS {
-            return Learned::Full;
+            return MergeOutcome::Full;
         }
-        let diverted = known.is_some_and(|known| known.availability.diverts());
-        self.forget(report.target);
-        self.put(report, recheck);
-        Learned::New {
-            marks_changed: diverted != report.availability.diverts(),
+        let was_unavailable = known.is_some_and(|known| known.availability.is_unavailable());
+        self.remove_report(report.target);
+        self.insert_report(report, recheck);
+        MergeOutcome::New {
+            unavailable_changed: was_unavailable != report.availability.is_unavailable(),
         }
     }
 
@@ -68,61 +68,64 @@
 
     /// The report about the target whose agent has this control address.
     #[must_use]
-    pub fn report_at(&self, control_address: SocketAddr) -> Option<&AvailabilityReport> {
-        self.report(*self.targets.get(&control_address)?)
+    pub fn report_at_address(&self, control_address: SocketAddr) -> Option<&AvailabilityReport> {
+        self.report(*self.targets_by_address.get(&control_address)?)
     }
 
-    /// The marked targets, by the instants of their next probes.
-    pub fn marked(&self) -> impl Iterator<Item = TargetId> {
+    /// The unavailable targets in the order of their next probes.
+    pub fn unavailable_targets(&self) -> impl Iterator<Item = TargetId> {
         self.rechecks.targets()
     }
 
-    /// How many targets are marked.
+    /// Number of unavailable targets.
     #[must_use]
-    pub fn marked_count(&self) -> usize {
+    pub fn unavailable_count(&self) -> usize {
         self.rechecks.len()
     }
 
-    /// Hash over the marks; equal at two nodes that hold the same ones.
+    /// Fingerprint of the reports about unavailable targets; equal at two nodes
+    /// that hold the same ones.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// When the next marked target is due for a probe.
+    /// When the next unavailable target's agent is to be probed.
     #[must_use]
     pub fn next_recheck(&self) -> Option<Instant> {
-        self.rechecks.next()
+        self.rechecks.next_due()
     }
 
-    /// A marked target that is due, with its next probe set to `again`.
-    pub fn take_recheck(&mut self, now: Instant, again: Instant) -> Option<AvailabilityReport> {
+    /// The report about an unavailable target whose agent is due for a probe;
+    /// sets the next probe to `again`.
+    pub fn take_due_recheck(&mut self, now: Instant, again: Instant) -> Option<AvailabilityReport> {
         let target = self.rechecks.take_due(now)?;
         self.rechecks.set(target, again);
         self.reports.get(&target).copied()
     }
 
-    /// Forgets the targets for which `keeps` is false; true when one of them
-    /// was marked.
+    /// Removes the targets for which `keeps` returns false; returns whether an
+    /// unavailable target was among them.
     pub fn retain(&mut self, keeps: impl Fn(TargetId) -> bool) -> bool {
         let known = self.reports.keys().copied();
-        let lost: Vec<TargetId> = known.filter(|target| !keeps(*target)).collect();
-        let marked = self.marked_count();
-        for target in lost {
-            self.forget(target);
+        let removed: Vec<TargetId> = known.filter(|target| !keeps(*target)).collect();
+        let previous_count = self.unavailable_count();
+        for target in removed {
+            self.remove_report(target);
         }
-        self.marked_count() != marked
+        self.unavailable_count() != previous_count
     }
 
-    /// Whether no further target can be taken in.
+    /// Whether the table has no room for further targets.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.reports.len() >= MAXIMUM_KNOWN_TARGETS
     }
 
-    fn put(&mut self, report: AvailabilityReport, recheck: Instant) {
+    fn insert_report(&mut self, report: AvailabilityReport, recheck: Instant) {
         self.fingerprint ^= report.fingerprint();
-        self.targets.insert(report.control_address, report.target);
+        self.targets_by_address
+            .insert(report.control_address, report.target);
         self.reports.insert(report.target, report);
         match report.availability {
             Availability::Serving => {}
@@ -132,14 +135,14 @@
         }
     }
 
-    fn forget(&mut self, target: TargetId) {
+    fn remove_report(&mut self, target: TargetId) {
         let Some(known) = self.reports.remove(&target) else {
             return;
         };
         self.fingerprint ^= known.fingerprint();
         self.rechecks.remove(target);
-        if self.targets.get(&known.control_address) == Some(&target) {
-            self.targets.remove(&known.control_address);
+        if self.targets_by_address.get(&known.control_address) == Some(&target) {
+            self.targets_by_address.remove(&known.control_address);
         }
     }
 }
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -10,7 +10,8 @@
 
 use crate::clock::Instant;
 use crate::control::availability::{
-    Availability, AvailabilityReport, AvailabilityTable, Hearing, Learned, OwnAvailability, Rumors,
+    Availability, AvailabilityReport, AvailabilityTable, MergeOutcome, OwnAvailability,
+    OwnReportOutcome, ReportQueue,
 };
 use crate::control::control_message::{
     AvailabilityReports, ControlMessage, DigestMessage, MAXIMUM_REPORTS_PER_MESSAGE,
@@ -48,7 +49,7 @@
     pub(super) table: AvailabilityTable,
     pub(super) probing: Probing,
     pub(super) pace: Pace,
-    rumors: Rumors,
+    report_queue: ReportQueue,
     refreshed: Instant,
     refresh_at: Option<Instant>,
 }
@@ -57,16 +58,16 @@
     pub(super) fn new(settings: &ReplicaSettings, now: Instant) -> Self {
         let own = settings.served_target;
         let own = own.map(|served| OwnAvailability::new(served, settings.control_address));
-        let mut rumors = Rumors::default();
+        let mut report_queue = ReportQueue::default();
         if let Some(own) = &own {
-            rumors.add(own.report().target, ANNOUNCEMENT_SENDS, now);
+            report_queue.add(own.report().target, ANNOUNCEMENT_SENDS, now);
         }
         Self {
             own,
             table: AvailabilityTable::default(),
             probing: Probing::default(),
             pace: Pace::new(settings.tuning.report_bytes_per_second, now),
-            rumors,
+            report_queue,
             refreshed: now,
             refresh_at: None,
         }
@@ -74,7 +75,7 @@
 
     pub(super) fn next_wakeup(&self) -> Option<Instant> {
         let wakeups = [
-            self.rumors.next(),
+            self.report_queue.next_due(),
             self.table.next_recheck(),
             self.probing.next_wakeup(),
             self.refresh_at,
@@ -91,8 +92,10 @@
     /// Targets that are to get no new flows.
     fn marked(&self) -> impl Iterator<Item = TargetId> {
         let own = self.own.iter().map(OwnAvailability::report);
-        let own = own.filter(|own| own.availability.diverts());
-        self.table.marked().chain(own.map(|own| own.target))
+        let own = own.filter(|own| own.availability.is_unavailable());
+        self.table
+            .unavailable_targets()
+            .chain(own.map(|own| own.target))
     }
 
     fn report(&self, target: TargetId) -> Option<AvailabilityReport> {
@@ -125,12 +128,12 @@
         let Some(own) = &mut self.availability.own else {
             return;
         };
-        if !own.set(availability) {
+        if !own.set_availability(availability) {
             return;
         }
         let target = own.report().target;
         self.availability
-            .rumors
+            .report_queue
             .add(target, ANNOUNCEMENT_SENDS, now);
         self.availability.marks_changed(now);
     }
@@ -184,7 +187,7 @@
         };
         let directory = &installed.directory;
         let table = &mut self.availability.table;
-        let marked: FxHashSet<TargetId> = table.marked().collect();
+        let marked: FxHashSet<TargetId> = table.unavailable_targets().collect();
         let full = table.is_full();
         table.retain(|target| match directory.target(target) {
             Some(entry) => entry.status != TargetStatus::Retired,
@@ -225,32 +228,32 @@
         if let Some(own) = &mut self.availability.own
             && own.report().target == report.target
         {
-            let hearing = own.hear(&report);
+            let hearing = own.compare(&report);
             let own = *own.report();
             return self.answer_hearing(hearing, own, now);
         }
-        if report.availability.diverts() && !self.may_be_marked(report.target) {
+        if report.availability.is_unavailable() && !self.may_be_marked(report.target) {
             return None;
         }
         match self.learn(report, RELAY_SENDS, now) {
-            Learned::Outdated(known) => Some(known),
-            Learned::New { .. } | Learned::Known | Learned::Full => None,
+            MergeOutcome::Outdated(known) => Some(known),
+            MergeOutcome::New { .. } | MergeOutcome::Repeated | MergeOutcome::Full => None,
         }
     }
 
     fn answer_hearing(
         &mut self,
-        hearing: Hearing,
+        hearing: OwnReportOutcome,
         own: AvailabilityReport,
         now: Instant,
     ) -> Option<AvailabilityReport> {
         match hearing {
-            Hearing::Known | Hearing::Replaced => None,
-            Hearing::Outdated => Some(own),
-            Hearing::Refuted => {
+            OwnReportOutcome::Repeated | OwnReportOutcome::Superseded => None,
+            OwnReportOutcome::Outdated => Some(own),
+            OwnReportOutcome::Refuted => {
                 self.counters.own_reports_refuted += 1;
                 self.availability
-                    .rumors
+                    .report_queue
                     .add(own.target, ANNOUNCEMENT_SENDS, now);
                 Some(own)
             }
@@ -266,16 +269,21 @@
         entry.is_some_and(|entry| entry.status != TargetStatus::Retired)
     }
 
-    fn learn(&mut self, report: AvailabilityReport, sends: u8, now: Instant) -> Learned {
+    fn learn(&mut self, report: AvailabilityReport, sends: u8, now: Instant) -> MergeOutcome {
         if self.availability.table.is_full() {
             self.forget_removed_targets();
         }
         let recheck = now + self.recheck_time();
-        let learned = self.availability.table.learn(report, recheck);
-        if let Learned::New { marks_changed } = learned {
+        let learned = self.availability.table.merge(report, recheck);
+        if let MergeOutcome::New {
+            unavailable_changed,
+        } = learned
+        {
             let due = now + jittered(GATHERING_TIME / 2, &mut self.random);
-            self.availability.rumors.add(report.target, sends, due);
-            if marks_changed {
+            self.availability
+                .report_queue
+                .add(report.target, sends, due);
+            if unavailable_changed {
                 self.availability.marks_changed(now);
             }
         }
@@ -285,7 +293,7 @@
     fn run_rechecks(&mut self, now: Instant) {
         loop {
             let again = now + self.recheck_time();
-            let Some(report) = self.availability.table.take_recheck(now, again) else {
+            let Some(report) = self.availability.table.take_due_recheck(now, again) else {
                 return;
             };
             self.probe_again(report.control_address, now);
@@ -295,15 +303,15 @@
     fn run_rumors(&mut self, now: Instant) {
         if self
             .availability
-            .rumors
-            .next()
+            .report_queue
+            .next_due()
             .is_none_or(|next| next > now)
         {
             return;
         }
         let due = self
             .availability
-            .rumors
+            .report_queue
             .take_due(MAXIMUM_REPORTS_PER_MESSAGE, now);
         let reports = due.iter();
         let reports: Vec<AvailabilityReport> = reports
@@ -316,9 +324,11 @@
         for target in due {
             if sent {
                 let again = now + jittered(REPEAT_TIME, &mut self.random);
-                self.availability.rumors.sent(target, again);
+                self.availability.report_queue.record_sent(target, again);
             } else {
-                self.availability.rumors.postpone(target, now + RETRY_TIME);
+                self.availability
+                    .report_queue
+                    .postpone(target, now + RETRY_TIME);
             }
         }
     }
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::control::availability::{Availability, Schedule, WatchStep, Watches};
+use crate::control::availability::{Availability, PendingProbes, ProbeStep, TargetSchedule};
 use crate::control::control_message::{
     ControlMessage, DigestMessage, Exchange, ProbeConfirmed, ProbeRequest,
 };
@@ -33,30 +33,34 @@
 /// Probes that wait for answers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probing {
-    watches: Watches,
+    pending_probes: PendingProbes,
     requested: Vec<Requested>,
-    accused: Schedule,
+    accused: TargetSchedule,
 }
 
 impl Probing {
     pub(super) fn next_wakeup(&self) -> Option<Instant> {
-        self.watches.next()
+        self.pending_probes.next_deadline()
     }
 
     /// A paused process cannot tell who was silent meanwhile.
     pub(super) fn forget(&mut self) {
-        self.watches.clear();
+        self.pending_probes.clear();
     }
 }
 
 impl Replica {
     /// Takes note of a probe that a round sends.
     pub(super) fn watch(&mut self, control_address: SocketAddr, now: Instant) {
-        let report = self.availability.table.report_at(control_address).copied();
+        let report = self
+            .availability
+            .table
+            .report_at_address(control_address)
+            .copied();
         let serving = report.filter(|report| report.availability == Availability::Serving);
         if let Some(report) = serving {
-            let watches = &mut self.availability.probing.watches;
-            watches.probed(report.target, control_address, now);
+            let pending_probes = &mut self.availability.probing.pending_probes;
+            pending_probes.track(report.target, control_address, now);
         }
     }
 
@@ -64,11 +68,11 @@
     pub(super) fn note_alive(&mut self, digest: &DigestMessage, now: Instant) {
         let control_address = digest.sender.control_address;
         let probing = &mut self.availability.probing;
-        probing.watches.alive(control_address);
+        probing.pending_probes.record_alive(control_address);
         let Exchange::Answer(_) = digest.exchange else {
             return;
         };
-        probing.watches.answered(now);
+        probing.pending_probes.record_answer(now);
         let (answered, waiting): (Vec<Requested>, Vec<Requested>) = probing
             .requested
             .iter()
@@ -104,9 +108,9 @@
 
     /// A node answered to another that probed it on request.
     pub(super) fn handle_probe_confirmed(&mut self, confirmed: ProbeConfirmed, now: Instant) {
-        let watches = &mut self.availability.probing.watches;
-        watches.alive(confirmed.control_address);
-        watches.answered(now);
+        let pending_probes = &mut self.availability.probing.pending_probes;
+        pending_probes.record_alive(confirmed.control_address);
+        pending_probes.record_answer(now);
     }
 
     /// Probes a node outside the rounds, if the rate allows for it.
@@ -121,14 +125,14 @@
     pub(super) fn run_probing(&mut self, now: Instant) {
         let probing = &mut self.availability.probing;
         while probing.accused.take_due(now).is_some() {}
-        for step in probing.watches.take_due(now) {
+        for step in probing.pending_probes.take_due(now) {
             match step {
-                WatchStep::Repeat(control_address) => self.probe_again(control_address, now),
-                WatchStep::Assist(control_address) => {
+                ProbeStep::Repeat(control_address) => self.probe_again(control_address, now),
+                ProbeStep::RepeatIndirectly(control_address) => {
                     self.probe_again(control_address, now);
                     self.ask_to_probe(control_address, now);
                 }
-                WatchStep::Unreachable(target) => self.judge(target, now),
+                ProbeStep::Unreachable(target) => self.judge(target, now),
             }
         }
     }
--- a/crates/woodladder-core/tests/availability.rs
+++ b/crates/woodladder-core/tests/availability.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use woodladder_core::clock::Instant;
 use woodladder_core::control::availability::{
-    Availability, AvailabilityReport, ReportVersion, RunNumber, WatchStep, Watches,
+    Availability, AvailabilityReport, PendingProbes, ProbeStep, ReportVersion, RunNumber,
 };
 use woodladder_core::control::control_message::{
     AvailabilityReports, ControlMessage, FrameError, MAXIMUM_DATAGRAM_LENGTH,
@@ -165,18 +165,24 @@
 #[test]
 fn silence_counts_only_when_another_answers_and_the_timer_is_in_time() {
     let judged = |answered: Option<u64>, looked: u64| {
-        let mut watches = Watches::default();
-        watches.probed(target_of(3), address(3), at(0));
-        assert_eq!(watches.take_due(at(499)), []);
-        assert_eq!(watches.take_due(at(500)), [WatchStep::Repeat(address(3))]);
-        assert_eq!(watches.take_due(at(800)), [WatchStep::Assist(address(3))]);
+        let mut pending_probes = PendingProbes::default();
+        pending_probes.track(target_of(3), address(3), at(0));
+        assert_eq!(pending_probes.take_due(at(499)), []);
+        assert_eq!(
+            pending_probes.take_due(at(500)),
+            [ProbeStep::Repeat(address(3))]
+        );
+        assert_eq!(
+            pending_probes.take_due(at(800)),
+            [ProbeStep::RepeatIndirectly(address(3))]
+        );
         if let Some(answered) = answered {
-            watches.answered(at(answered));
+            pending_probes.record_answer(at(answered));
         }
-        watches.take_due(at(looked))
+        pending_probes.take_due(at(looked))
     };
-    let unreachable = [WatchStep::Unreachable(target_of(3))];
-    let again = [WatchStep::Repeat(address(3))];
+    let unreachable = [ProbeStep::Unreachable(target_of(3))];
+    let again = [ProbeStep::Repeat(address(3))];
     assert_eq!(judged(Some(900), 1_100), unreachable);
     assert_eq!(judged(Some(900), 1_351), again);
     assert_eq!(judged(Some(799), 1_100), again);
