--- a/crates/woodladder-core/src/control/roll_command/machine.rs
+++ b/crates/woodladder-core/src/control/roll_command/machine.rs
@@ -1,4 +1,4 @@
-//! The roll command's state machine.
+//! State machine of the roll command.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::control::control_message::ControlMessage;
 use crate::control::replica::LEASE_LENGTH;
 use crate::control::roll_command::plan::PlannedRoll;
-use crate::control::roll_command::rollout::{Addressed, Rollout};
+use crate::control::roll_command::rollout::{AddressedMessage, Rollout};
 use crate::control::roll_command::{
     RollError, RollOutcome, RollProgress, RollRequest, RollSummary,
 };
@@ -20,61 +20,63 @@
 };
 use crate::digest::Digest;
 
-/// Something that happened.
+/// Input of a roll command.
 #[derive(Clone, Debug)]
 pub enum RollEvent {
-    /// The wake-up time came; also the first event.
+    /// The time of [`RollCommand::next_wakeup`] came. Also the first event.
     Tick,
-    /// The key-value service answered, or a request to it failed.
+    /// The key-value service answered a request, or the request failed.
     StoreAnswer {
-        /// The request.
+        /// Identifier of the request.
         request: StoreRequestId,
-        /// What came of it.
+        /// Result of the request.
         answer: StoreAnswer,
     },
-    /// A control message came.
+    /// A control message arrived.
     Message {
-        /// Address that it came from.
+        /// Address of the sender.
         from: SocketAddr,
         /// The message.
         message: ControlMessage,
     },
-    /// Further nodes to report on.
+    /// Further nodes whose progress is to be reported.
     Nodes(Vec<SocketAddr>),
 }
 
-/// Something to be done.
+/// Output of a roll command, for the caller to carry out.
 #[derive(Clone, Debug)]
 pub enum RollAction {
     /// Send a request to the key-value service.
     Store {
-        /// Number to give with the answer.
+        /// Identifier to pass back with the answer.
         request: StoreRequestId,
         /// The request.
         operation: StoreOperation,
     },
     /// Send a control message.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The message.
         message: ControlMessage,
     },
-    /// The roll was accepted and is being spread.
+    /// The key-value service accepted the roll, and the rollout to the nodes
+    /// begins.
     Accepted(RollSummary),
-    /// The roll came into force at more nodes.
+    /// More nodes answered, or have the roll in force.
     Progress(RollProgress),
     /// The command has ended.
     Finished(Result<RollOutcome, RollError>),
 }
 
-/// What the command does next; each stage but the last two is one request.
+/// Stage of the command. Each stage before [`Stage::Rollout`] is one request to
+/// the key-value service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
     ReadCurrent,
     ReadSnapshot(Digest),
-    WriteCopy { expected: StoreIndex },
-    CheckCopy,
+    WriteSnapshot { expected: StoreIndex },
+    CheckSnapshot,
     Swap,
     Confirm,
     Rollout,
@@ -90,22 +92,22 @@
     pub(super) started: Instant,
     pub(super) retry_at: Instant,
     pub(super) failures: u32,
-    pub(super) next_number: u64,
+    pub(super) next_request_id: u64,
     pub(super) outstanding: Option<(StoreRequestId, Instant)>,
-    pub(super) swaps: Vec<StoreRequestId>,
-    pub(super) expected: StoreIndex,
+    pub(super) swap_requests: Vec<StoreRequestId>,
+    pub(super) expected_index: StoreIndex,
     pub(super) previous: Option<StoredRoll>,
     pub(super) planned: Option<PlannedRoll>,
-    pub(super) in_doubt: bool,
-    pub(super) refused: bool,
+    pub(super) swap_in_doubt: bool,
+    pub(super) swap_refused: bool,
     pub(super) confirming_since: Option<Instant>,
-    pub(super) called: Instant,
+    pub(super) last_call: Instant,
     pub(super) rollout: Option<Rollout>,
     pub(super) actions: Vec<RollAction>,
 }
 
 impl RollCommand {
-    /// A command that begins with its first event.
+    /// A command that starts with its first event.
     #[must_use]
     pub fn new(request: RollRequest, mut random: ChaCha8Rng, now: Instant) -> Self {
         Self {
@@ -116,24 +118,24 @@
             started: now,
             retry_at: now,
             failures: 0,
-            next_number: 1,
+            next_request_id: 1,
             outstanding: None,
-            swaps: Vec::new(),
-            expected: StoreIndex::default(),
+            swap_requests: Vec::new(),
+            expected_index: StoreIndex::default(),
             previous: None,
             planned: None,
-            in_doubt: false,
-            refused: false,
+            swap_in_doubt: false,
+            swap_refused: false,
             confirming_since: None,
-            called: now,
+            last_call: now,
             rollout: None,
             actions: Vec::new(),
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: RollEvent, now: Instant) -> Vec<RollAction> {
-        self.note_call(now);
+        self.record_call(now);
         match event {
             RollEvent::Tick => {}
             RollEvent::StoreAnswer { request, answer } => {
@@ -146,14 +148,14 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`RollEvent::Tick`] is to be handled at the latest; `None` when
-    /// the command has ended.
+    /// Latest time for the next [`RollEvent::Tick`]; `None` when the command
+    /// has ended.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Instant> {
         match (self.stage, &self.rollout, self.outstanding) {
             (Stage::Finished, _, _) => None,
             (Stage::Rollout, Some(rollout), _) => Some(rollout.next_wakeup()),
-            (_, _, Some((_, limit))) => Some(limit),
+            (_, _, Some((_, deadline))) => Some(deadline),
             _ => Some(self.retry_at.min(self.time_limit())),
         }
     }
@@ -164,16 +166,17 @@
         self.stage == Stage::Finished
     }
 
-    /// Nonce of the roll.
+    /// Nonce of the roll record.
     #[must_use]
     pub fn nonce(&self) -> RollNonce {
         self.nonce
     }
 
-    /// After a pause, the time to find out what came of a swap begins anew.
-    fn note_call(&mut self, now: Instant) {
-        let paused = now.since(self.called) > LEASE_LENGTH;
-        self.called = now;
+    /// Restarts the time limit for confirming a swap if the process was paused
+    /// since the last call.
+    fn record_call(&mut self, now: Instant) {
+        let paused = now.since(self.last_call) > LEASE_LENGTH;
+        self.last_call = now;
         if paused && self.confirming_since.is_some() {
             self.confirming_since = Some(now);
         }
@@ -188,8 +191,8 @@
     }
 
     fn run_store(&mut self, now: Instant) {
-        if let Some((_, limit)) = self.outstanding {
-            if now < limit {
+        if let Some((_, deadline)) = self.outstanding {
+            if now < deadline {
                 return;
             }
             self.handle_failure(&StoreAnswer::Unknown, now);
@@ -199,26 +202,26 @@
         {
             self.fail(error);
         } else if now >= self.time_limit() {
-            self.run_out_of_time();
+            self.fail_for_timeout();
         } else if now >= self.retry_at {
-            self.ask(now);
+            self.send_request(now);
         }
     }
 
     fn time_limit(&self) -> Instant {
         let tuning = &self.request.tuning;
         match self.confirming_since {
-            Some(since) => since + tuning.confirm_time,
-            None => self.started + tuning.store_time,
+            Some(since) => since + tuning.confirm_timeout,
+            None => self.started + tuning.store_timeout,
         }
     }
 
-    fn run_out_of_time(&mut self) {
+    fn fail_for_timeout(&mut self) {
         let error = match &self.planned {
-            Some(planned) if self.in_doubt => RollError::OutcomeUnknown {
+            Some(planned) if self.swap_in_doubt => RollError::OutcomeUnknown {
                 sequence: planned.record().sequence(),
             },
-            _ if self.refused => RollError::LostRace {
+            _ if self.swap_refused => RollError::LostRace {
                 winner: None,
                 in_doubt: false,
             },
@@ -227,33 +230,33 @@
         self.fail(error);
     }
 
-    fn ask(&mut self, now: Instant) {
-        let Some(operation) = self.operation() else {
+    fn send_request(&mut self, now: Instant) {
+        let Some(operation) = self.request_operation() else {
             return;
         };
-        let request = StoreRequestId(self.next_number);
-        self.next_number += 1;
-        self.outstanding = Some((request, now + self.request.tuning.answer_time));
+        let request = StoreRequestId(self.next_request_id);
+        self.next_request_id += 1;
+        self.outstanding = Some((request, now + self.request.tuning.answer_timeout));
         if self.stage == Stage::Swap {
-            self.swaps.push(request);
+            self.swap_requests.push(request);
         }
         self.actions.push(RollAction::Store { request, operation });
     }
 
-    fn operation(&self) -> Option<StoreOperation> {
+    fn request_operation(&self) -> Option<StoreOperation> {
         let planned = self.planned.as_ref();
         Some(match self.stage {
-            Stage::ReadCurrent | Stage::Confirm => read(StoreKey::Current),
-            Stage::ReadSnapshot(digest) => read(StoreKey::Snapshot(digest)),
-            Stage::CheckCopy => read(StoreKey::Snapshot(planned?.digest())),
-            Stage::WriteCopy { expected } => StoreOperation::CompareAndSwap {
+            Stage::ReadCurrent | Stage::Confirm => read_entry(StoreKey::Current),
+            Stage::ReadSnapshot(digest) => read_entry(StoreKey::Snapshot(digest)),
+            Stage::CheckSnapshot => read_entry(StoreKey::Snapshot(planned?.digest())),
+            Stage::WriteSnapshot { expected } => StoreOperation::CompareAndSwap {
                 key: StoreKey::Snapshot(planned?.digest()),
                 expected,
-                value: planned?.copy.clone(),
+                value: planned?.encoded_snapshot.clone(),
             },
             Stage::Swap => StoreOperation::CompareAndSwap {
                 key: StoreKey::Current,
-                expected: self.expected,
+                expected: self.expected_index,
                 value: encode(&planned?.stored),
             },
             Stage::Rollout | Stage::Finished => return None,
@@ -266,12 +269,12 @@
         };
         let summary = RollSummary::of(planned.record());
         self.actions.push(RollAction::Accepted(summary));
-        let time = self.request.tuning.rollout_timeout;
-        let rollout = Rollout::new(planned, &self.request.nodes, time, now);
-        let offers = rollout.offers(&mut self.random);
+        let timeout = self.request.tuning.rollout_timeout;
+        let rollout = Rollout::new(planned, &self.request.nodes, timeout, now);
+        let offers = rollout.initial_offers(&mut self.random);
         self.send_all(offers);
         self.rollout = Some(rollout);
-        self.go_on(Stage::Rollout, now);
+        self.enter_stage(Stage::Rollout, now);
     }
 
     fn run_rollout(&mut self, now: Instant) {
@@ -287,7 +290,7 @@
             self.finish(Ok(outcome));
             return;
         }
-        let due = rollout.due(now);
+        let due = rollout.due_status_requests(now);
         self.send_all(due);
     }
 
@@ -297,17 +300,17 @@
         };
         let answers: Vec<ControlMessage> = match message {
             ControlMessage::StatusReply(reply) => {
-                if rollout.reply(&reply) {
+                if rollout.handle_reply(&reply) {
                     let progress = rollout.progress();
                     self.actions.push(RollAction::Progress(progress));
                 }
-                rollout.offer_to_late(&reply, now).into_iter().collect()
+                rollout.offer_if_behind(&reply, now).into_iter().collect()
             }
             ControlMessage::RecordRequest(request) => {
-                rollout.answer_record(request).into_iter().collect()
+                rollout.answer_record_request(request).into_iter().collect()
             }
             ControlMessage::CopyRequest(request) => {
-                rollout.answer_copy(&request, now, &mut self.random)
+                rollout.answer_copy_request(&request, now, &mut self.random)
             }
             _ => return,
         };
@@ -322,7 +325,7 @@
         }
     }
 
-    fn send_all(&mut self, messages: Vec<Addressed>) {
+    fn send_all(&mut self, messages: Vec<AddressedMessage>) {
         let send = |(to, message)| RollAction::Send { to, message };
         self.actions.extend(messages.into_iter().map(send));
     }
@@ -338,6 +341,6 @@
     }
 }
 
-fn read(key: StoreKey) -> StoreOperation {
+fn read_entry(key: StoreKey) -> StoreOperation {
     StoreOperation::Read { key, wait: None }
 }
--- a/crates/woodladder-core/src/control/roll_command/mod.rs
+++ b/crates/woodladder-core/src/control/roll_command/mod.rs
@@ -1,21 +1,22 @@
 //! The roll command: an operator puts a signed-off bundle in force.
 //!
-//! A roll is one compare-and-swap of the current entry. The swap names the
-//! entry's index as it was read, so a command that was paused, or whose answer
-//! was lost, never overwrites a roll that it has not seen. After a lost answer
-//! the entry is read again: the own record there means that the roll took
-//! effect, the old index that the same swap may be tried again, anything else
-//! that another operator rolled.
+//! A roll is one compare-and-swap of the current entry of the key-value
+//! service. The swap expects the modify index that was read before. A command
+//! that was paused, or whose answer was lost, therefore never overwrites a roll
+//! that it has not read. After a lost answer the command reads the entry again.
+//! If the entry holds the command's own record, the roll took effect. If it
+//! still has the expected index, the command sends the same swap again.
+//! Otherwise another operator has rolled.
 //!
-//! The verdict never says more than is known: see
+//! The command reports success or failure only as far as it is certain; see
 //! [`RollError::may_have_taken_effect`].
 
 mod machine;
+mod outcome;
 mod plan;
 mod rollout;
 mod stages;
-mod verdict;
 
 pub use machine::{RollAction, RollCommand, RollEvent};
-pub use plan::{MAXIMUM_OPERATOR_NAME, RollRequest, RollTuning};
-pub use verdict::{RollError, RollOutcome, RollProgress, RollSummary};
+pub use outcome::{RollError, RollOutcome, RollProgress, RollSummary};
+pub use plan::{MAXIMUM_OPERATOR_NAME_LENGTH, RollRequest, RollTuning};
--- a/crates/woodladder-core/src/control/roll_command/verdict.rs
+++ b/crates/woodladder-core/src/control/roll_command/outcome.rs
@@ -1,4 +1,4 @@
-//! What a roll command reports.
+//! Results and progress that a roll command reports.
 
 use std::fmt;
 
@@ -8,90 +8,93 @@
 use crate::identifier::Sequence;
 use crate::signature::SignatureError;
 
-/// A roll, as named to operators.
+/// Summary of a roll, shown to operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RollSummary {
-    /// Name of the operator who rolled.
+    /// Name of the operator who rolled the bundle.
     pub operator: String,
-    /// Position in the order of all rolls.
+    /// Sequence of the roll.
     pub sequence: Sequence,
     /// Version of the bundle.
     pub bundle_version: u64,
-    /// When it was rolled, in seconds since the Unix epoch.
+    /// Time of the roll in seconds since the Unix epoch.
     pub rolled_at: u64,
 }
 
-/// How far a roll has come.
+/// How many nodes have a roll in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RollProgress {
-    /// Nodes that have the roll, or a later one, in force.
+    /// Nodes that have the roll or a later one in force.
     pub in_force: usize,
-    /// Nodes among them that have a later one.
+    /// Nodes that have a later roll in force; included in `in_force`.
     pub later: usize,
-    /// Nodes that answered at least once.
+    /// Nodes that answered at least one status request.
     pub answered: usize,
-    /// Nodes that were asked.
+    /// Nodes that the command knows.
     pub known: usize,
 }
 
-/// A roll that was accepted.
+/// Result of a roll that was accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RollOutcome {
-    /// The roll.
+    /// The accepted roll.
     pub roll: RollSummary,
-    /// Digest of the snapshot that it puts in force.
+    /// Digest of the snapshot that the roll puts in force.
     pub snapshot: Digest,
-    /// Where it was in force when the command ended.
+    /// Progress of the rollout when the command ended.
     pub progress: RollProgress,
 }
 
-/// Why a roll was not accepted, or is not known to be.
+/// Why a roll was not accepted, or why it is not known whether it was.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RollError {
-    /// The bundle's sign-off is not accepted.
+    /// The sign-off of the bundle is not valid.
     SignOff(SignatureError),
-    /// The own key is not among the trusted ones, so no node would accept the
-    /// roll.
+    /// The operator's key is not among the trusted keys, so no node would
+    /// accept the roll.
     OperatorNotTrusted,
-    /// The operator's name is empty or too long.
-    OperatorName,
-    /// The bundle breaks rules towards the one in force.
+    /// The operator's name is empty or longer than
+    /// [`MAXIMUM_OPERATOR_NAME_LENGTH`](super::MAXIMUM_OPERATOR_NAME_LENGTH).
+    InvalidOperatorName,
+    /// The bundle violates rules that involve the bundle in force.
     Findings(Findings),
     /// The roll in force belongs to another deployment, with this name.
-    OtherDeployment(String),
+    DeploymentMismatch(String),
     /// The bundle is in force already, by this roll.
-    NothingChanges(RollSummary),
-    /// The snapshot is longer than nodes accept.
-    TooLong,
-    /// No sequence is left.
-    SequencesUsedUp,
+    AlreadyInForce(RollSummary),
+    /// The encoded snapshot is longer than nodes accept.
+    SnapshotTooLong,
+    /// The sequence in force is the greatest one possible.
+    SequencesExhausted,
     /// The current entry cannot be decoded.
     CurrentMalformed,
-    /// The current record's signature is not accepted.
+    /// The signature of the current record is not valid.
     CurrentSignature(SignatureError),
-    /// The current record's snapshot is missing from the key-value service.
+    /// The snapshot of the current record is missing from the key-value
+    /// service.
     CurrentSnapshotMissing(Digest),
-    /// The current record's snapshot in the key-value service is damaged.
+    /// The snapshot of the current record is damaged in the key-value service.
     CurrentSnapshotDamaged(Digest),
-    /// The key-value service could not be used in time; nothing was written
-    /// to the current entry.
+    /// The key-value service could not be used in time; nothing was written to the
+    /// current entry.
     StoreUnavailable,
-    /// Another operator rolled first.
+    /// Another operator's roll is in force or was written first.
     LostRace {
-        /// The roll in force, when it could be read.
+        /// The roll in force, if it could be read.
         winner: Option<RollSummary>,
-        /// Whether the own roll may have been in force before it.
+        /// Whether this command's roll may have been in force before it.
         in_doubt: bool,
     },
-    /// The swap was sent, and what came of it could not be found out.
+    /// A swap was sent, and the command could not find out whether it took
+    /// effect.
     OutcomeUnknown {
-        /// Sequence that the roll has if it took effect.
+        /// Sequence of the roll if it took effect.
         sequence: Sequence,
     },
 }
 
 impl RollSummary {
-    /// Names the roll of a record.
+    /// Summary of the roll of a record.
     #[must_use]
     pub fn of(record: &RollRecord) -> Self {
         let statement = &record.statement;
@@ -105,7 +108,7 @@
 }
 
 impl RollError {
-    /// Whether the roll may be, or may have been, in force all the same.
+    /// Whether the roll may be in force, or may have been, despite the error.
     #[must_use]
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(
@@ -128,33 +131,48 @@
 impl fmt::Display for RollError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::SignOff(error) => write!(formatter, "the bundle's sign-off: {error}"),
+            Self::SignOff(error) => {
+                write!(formatter, "the bundle's sign-off is not valid: {error}")
+            }
             Self::OperatorNotTrusted => {
                 formatter.write_str("the operator's key is not among the trusted keys")
             }
-            Self::OperatorName => {
+            Self::InvalidOperatorName => {
                 formatter.write_str("the operator's name is empty or longer than 64 bytes")
             }
             Self::Findings(findings) => findings.fmt(formatter),
-            Self::OtherDeployment(name) => {
+            Self::DeploymentMismatch(name) => {
                 write!(formatter, "the roll in force belongs to deployment {name}")
             }
-            Self::NothingChanges(roll) => {
+            Self::AlreadyInForce(roll) => {
                 write!(formatter, "this bundle is in force already: {roll}")
             }
-            Self::TooLong => formatter.write_str("the bundle is too long"),
-            Self::SequencesUsedUp => formatter.write_str("no sequence is left"),
+            Self::SnapshotTooLong => {
+                formatter.write_str("the encoded snapshot is longer than nodes accept")
+            }
+            Self::SequencesExhausted => {
+                formatter.write_str("the sequence in force is the greatest one possible")
+            }
             Self::CurrentMalformed => formatter.write_str("the current entry cannot be decoded"),
-            Self::CurrentSignature(error) => write!(formatter, "the roll in force: {error}"),
+            Self::CurrentSignature(error) => write!(
+                formatter,
+                "the signature of the roll in force is not valid: {error}"
+            ),
             Self::CurrentSnapshotMissing(digest) => {
-                write!(formatter, "the snapshot in force {digest} is missing")
+                write!(
+                    formatter,
+                    "the snapshot in force ({digest}) is missing from the key-value service"
+                )
             }
             Self::CurrentSnapshotDamaged(digest) => {
-                write!(formatter, "the snapshot in force {digest} is damaged")
+                write!(
+                    formatter,
+                    "the snapshot in force ({digest}) is damaged in the key-value service"
+                )
             }
             Self::StoreUnavailable => formatter
                 .write_str("the key-value service could not be used in time; nothing was rolled"),
-            Self::LostRace { winner, in_doubt } => fmt_other_won(formatter, winner, *in_doubt),
+            Self::LostRace { winner, in_doubt } => fmt_lost_race(formatter, winner, *in_doubt),
             Self::OutcomeUnknown { sequence } => write!(
                 formatter,
                 "the roll was sent and may have taken effect as sequence {sequence}; \
@@ -164,7 +182,7 @@
     }
 }
 
-fn fmt_other_won(
+fn fmt_lost_race(
     formatter: &mut fmt::Formatter<'_>,
     winner: &Option<RollSummary>,
     in_doubt: bool,
--- a/crates/woodladder-core/src/control/roll_command/plan.rs
+++ b/crates/woodladder-core/src/control/roll_command/plan.rs
@@ -1,4 +1,4 @@
-//! From a signed bundle and the roll in force to the roll that follows.
+//! Builds the next roll from a signed bundle and the roll in force.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,25 +17,26 @@
 use crate::signature::{OperatorKey, Purpose, TrustedKeys};
 
 /// Longest name of an operator in bytes.
-pub const MAXIMUM_OPERATOR_NAME: usize = 64;
-/// A longer delta is not put beside the record in the current entry.
-const MAXIMUM_STORED_DELTA: usize = 16 * 1024;
+pub const MAXIMUM_OPERATOR_NAME_LENGTH: usize = 64;
+/// Longest encoded delta in bytes that the current entry holds next to the
+/// record.
+const MAXIMUM_STORED_DELTA_LENGTH: usize = 16 * 1024;
 
-/// What an operator asks for.
+/// What an operator requests.
 pub struct RollRequest {
-    /// The bundle, signed off.
+    /// Bundle to put in force, with its sign-off.
     pub bundle: SignedBundle,
-    /// Name of the operator, for messages to others.
+    /// Name of the operator, shown to other operators.
     pub operator: String,
-    /// Key that signs the roll.
+    /// Key that signs the roll record.
     pub key: OperatorKey,
     /// Keys that the nodes trust.
     pub trusted: TrustedKeys,
     /// Time of the roll in seconds since the Unix epoch.
     pub rolled_at: u64,
-    /// How long removed targets are kept.
+    /// How long targets that the bundle removes stay in the snapshot.
     pub linger: Duration,
-    /// Control addresses of the nodes to report on.
+    /// Control addresses of the nodes whose progress is reported.
     pub nodes: Vec<SocketAddr>,
     /// Time limits.
     pub tuning: RollTuning,
@@ -44,37 +45,39 @@
 /// Time limits of a roll command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RollTuning {
-    /// Time until the key-value service must have taken the swap.
-    pub store_time: Duration,
-    /// Further time to find out what came of a swap without an answer.
-    pub confirm_time: Duration,
-    /// Time that an answer of the key-value service may take.
-    pub answer_time: Duration,
-    /// Time to wait for the nodes after the roll was accepted.
+    /// Time for reading the roll in force and for writing the new one.
+    pub store_timeout: Duration,
+    /// Further time to find out whether a swap without an answer took effect.
+    pub confirm_timeout: Duration,
+    /// Time to wait for one answer of the key-value service.
+    pub answer_timeout: Duration,
+    /// Time to wait, after the roll was accepted, until the nodes have it in
+    /// force.
     pub rollout_timeout: Duration,
 }
 
-/// A roll that is ready to be written.
+/// A signed roll that can be written to the key-value service.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedRoll {
     pub(super) stored: StoredRoll,
     pub(super) delta: Option<SnapshotDelta>,
-    pub(super) copy: Vec<u8>,
+    pub(super) encoded_snapshot: Vec<u8>,
 }
 
 impl Default for RollTuning {
     fn default() -> Self {
         Self {
-            store_time: Duration::from_secs(20),
-            confirm_time: Duration::from_secs(20),
-            answer_time: Duration::from_secs(5),
+            store_timeout: Duration::from_secs(20),
+            confirm_timeout: Duration::from_secs(20),
+            answer_timeout: Duration::from_secs(5),
             rollout_timeout: Duration::from_secs(11),
         }
     }
 }
 
 impl RollRequest {
-    /// A request with the usual linger and time limits and no nodes.
+    /// A request with the default linger time and time limits, and without
+    /// nodes.
     #[must_use]
     pub fn new(
         bundle: SignedBundle,
@@ -95,46 +98,47 @@
         }
     }
 
-    /// Checks what can be checked without the roll in force.
+    /// Checks whatever does not depend on the roll in force.
     pub(super) fn check(&self) -> Result<(), RollError> {
         self.bundle
             .verify(&self.trusted)
             .map_err(RollError::SignOff)?;
-        let proof = self.key.sign(Purpose::Roll, &[]);
+        let signature = self.key.sign(Purpose::Roll, &[]);
         self.trusted
-            .verify(Purpose::Roll, &[], &proof)
+            .verify(Purpose::Roll, &[], &signature)
             .map_err(|_| RollError::OperatorNotTrusted)?;
-        let name = self.operator.len();
-        if name == 0 || name > MAXIMUM_OPERATOR_NAME {
-            return Err(RollError::OperatorName);
+        let name_length = self.operator.len();
+        if name_length == 0 || name_length > MAXIMUM_OPERATOR_NAME_LENGTH {
+            return Err(RollError::InvalidOperatorName);
         }
         Ok(())
     }
 
-    /// The roll that follows the one in force.
+    /// Builds the roll that follows the one in force.
     pub(super) fn plan(
         &self,
         previous: Option<(&RollRecord, &Snapshot)>,
         nonce: RollNonce,
     ) -> Result<PlannedRoll, RollError> {
         if let Some((record, snapshot)) = previous {
-            self.check_against(record, snapshot)?;
+            self.check_against_current(record, snapshot)?;
         }
         let base = previous.map(|(_, snapshot)| snapshot);
         let bundle = self.bundle.clone();
         let snapshot = Snapshot::following(base, bundle, self.rolled_at, self.linger)
             .map_err(RollError::Findings)?;
-        let copy = snapshot.encode();
-        if copy.len() > MAXIMUM_SNAPSHOT_LENGTH {
-            return Err(RollError::TooLong);
+        let encoded_snapshot = snapshot.encode();
+        if encoded_snapshot.len() > MAXIMUM_SNAPSHOT_LENGTH {
+            return Err(RollError::SnapshotTooLong);
         }
-        let last = previous.map_or(Sequence::default(), |(record, _)| record.sequence());
+        let last_sequence = previous.map_or(Sequence::default(), |(record, _)| record.sequence());
         let statement = RollStatement {
-            sequence: last.next(),
+            sequence: last_sequence.next(),
             nonce,
             bundle_version: snapshot.bundle.version,
-            snapshot_digest: Digest::of(&copy),
-            snapshot_length: u32::try_from(copy.len()).map_err(|_| RollError::TooLong)?,
+            snapshot_digest: Digest::of(&encoded_snapshot),
+            snapshot_length: u32::try_from(encoded_snapshot.len())
+                .map_err(|_| RollError::SnapshotTooLong)?,
             operator: self.operator.clone(),
             rolled_at_unix_seconds: self.rolled_at,
         };
@@ -142,23 +146,27 @@
         Ok(PlannedRoll {
             stored: StoredRoll {
                 record: RollRecord::sign(statement, &self.key),
-                delta: delta.clone().filter(is_short),
+                delta: delta.clone().filter(fits_current_entry),
             },
             delta,
-            copy,
+            encoded_snapshot,
         })
     }
 
-    fn check_against(&self, record: &RollRecord, snapshot: &Snapshot) -> Result<(), RollError> {
+    fn check_against_current(
+        &self,
+        record: &RollRecord,
+        snapshot: &Snapshot,
+    ) -> Result<(), RollError> {
         if record.sequence().next() == record.sequence() {
-            return Err(RollError::SequencesUsedUp);
+            return Err(RollError::SequencesExhausted);
         }
         if snapshot.bundle.deployment != self.bundle.bundle.deployment {
             let name = snapshot.bundle.deployment.clone();
-            return Err(RollError::OtherDeployment(name));
+            return Err(RollError::DeploymentMismatch(name));
         }
         if snapshot.bundle == self.bundle.bundle {
-            return Err(RollError::NothingChanges(RollSummary::of(record)));
+            return Err(RollError::AlreadyInForce(RollSummary::of(record)));
         }
         Ok(())
     }
@@ -173,14 +181,14 @@
         self.stored.record.statement.snapshot_digest
     }
 
-    /// An offer to a node that has the snapshot `have`.
-    pub(super) fn offer(&self, have: Digest) -> Offer {
-        let delta = self.delta.as_ref().filter(|delta| delta.base == have);
+    /// Builds an offer for a node that has the snapshot `base` in force.
+    pub(super) fn offer(&self, base: Digest) -> Offer {
+        let delta = self.delta.as_ref().filter(|delta| delta.base == base);
         Offer::fitting_datagram(self.record().clone(), delta)
     }
 }
 
-/// Reads the current entry and checks its signature.
+/// Decodes the current entry and verifies the signature of its record.
 pub(super) fn read_stored(value: &[u8], trusted: &TrustedKeys) -> Result<StoredRoll, RollError> {
     let stored = StoredRoll::try_from_slice(value).map_err(|_| RollError::CurrentMalformed)?;
     stored
@@ -190,7 +198,7 @@
     Ok(stored)
 }
 
-/// Reads the snapshot that a record names.
+/// Decodes a snapshot after comparing its digest with the one in the record.
 pub(super) fn read_snapshot(value: &[u8], digest: Digest) -> Result<Snapshot, RollError> {
     if Digest::of(value) != digest {
         return Err(RollError::CurrentSnapshotDamaged(digest));
@@ -198,6 +206,6 @@
     Snapshot::try_from_slice(value).map_err(|_| RollError::CurrentSnapshotDamaged(digest))
 }
 
-fn is_short(delta: &SnapshotDelta) -> bool {
-    encode(delta).len() <= MAXIMUM_STORED_DELTA
+fn fits_current_entry(delta: &SnapshotDelta) -> bool {
+    encode(delta).len() <= MAXIMUM_STORED_DELTA_LENGTH
 }
--- a/crates/woodladder-core/src/control/roll_command/rollout.rs
+++ b/crates/woodladder-core/src/control/roll_command/rollout.rs
@@ -1,4 +1,5 @@
-//! After a roll was accepted: offers it to nodes and asks where it is in force.
+//! After a roll was accepted: offers it to nodes and polls which nodes have it
+//! in force.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,51 +18,52 @@
 use crate::control::roll_command::plan::PlannedRoll;
 use crate::digest::Digest;
 
-/// Nodes that get an offer at once; they spread it further.
-const OFFER_FANOUT: usize = 32;
+/// Number of nodes that are offered the roll at the start; they spread it to
+/// the others.
+const INITIAL_OFFER_FANOUT: usize = 32;
 /// Time between two batches of status requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Status requests in one batch.
+/// Largest number of status requests in one batch.
 const POLL_BATCH: usize = 1000;
-/// Time that nodes get to hear of the roll from each other, before one that
-/// is behind gets an offer of its own.
-const OFFER_AGAIN_AFTER: Duration = Duration::from_secs(1);
-/// Time before a node is asked again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(700);
-/// Bytes a second of copies that the command sends.
+/// Time for nodes to learn of the roll from each other. After it, the command
+/// offers the roll to each node whose status reply shows that it is behind.
+const DIRECT_OFFER_DELAY: Duration = Duration::from_secs(1);
+/// Least time between two status requests to the same node.
+const NODE_POLL_INTERVAL: Duration = Duration::from_millis(700);
+/// Mean rate of copies that the command sends.
 const COPY_BYTES_PER_SECOND: u32 = 1024 * 1024;
 
-/// A node that is reported on.
+/// A node whose status is polled.
 #[derive(Clone, Copy, Debug)]
-struct AskedNode {
+struct PolledNode {
     control_address: SocketAddr,
-    asked: Option<Instant>,
+    last_polled: Option<Instant>,
     answered: bool,
     in_force: bool,
 }
 
-/// Watches a roll come into force.
+/// Offers a roll to nodes and counts the nodes that have it in force.
 #[derive(Clone, Debug)]
 pub(super) struct Rollout {
     planned: PlannedRoll,
-    nodes: Vec<AskedNode>,
+    nodes: Vec<PolledNode>,
     known: FxHashSet<SocketAddr>,
     copies: CopyServer,
-    next_position: usize,
+    next_poll_position: usize,
     next_poll: Instant,
-    offers_again_at: Instant,
+    direct_offers_from: Instant,
     ends_at: Instant,
     progress: RollProgress,
 }
 
-/// A message and where it goes.
-pub(super) type Addressed = (SocketAddr, ControlMessage);
+/// A message with the address of its receiver.
+pub(super) type AddressedMessage = (SocketAddr, ControlMessage);
 
 impl Rollout {
     pub(super) fn new(
         planned: PlannedRoll,
         nodes: &[SocketAddr],
-        time: Duration,
+        timeout: Duration,
         now: Instant,
     ) -> Self {
         let mut rollout = Self {
@@ -69,10 +71,10 @@
             nodes: Vec::with_capacity(nodes.len()),
             known: FxHashSet::default(),
             copies: CopyServer::new(COPY_BYTES_PER_SECOND, now),
-            next_position: 0,
+            next_poll_position: 0,
             next_poll: now + POLL_INTERVAL,
-            offers_again_at: now + OFFER_AGAIN_AFTER,
-            ends_at: now + time,
+            direct_offers_from: now + DIRECT_OFFER_DELAY,
+            ends_at: now + timeout,
             progress: RollProgress::default(),
         };
         rollout.add_nodes(nodes);
@@ -87,15 +89,15 @@
         self.progress
     }
 
-    /// Adds nodes that are not known yet.
+    /// Adds the nodes that are not known yet.
     pub(super) fn add_nodes(&mut self, nodes: &[SocketAddr]) {
         for control_address in nodes {
             if !self.known.insert(*control_address) {
                 continue;
             }
-            self.nodes.push(AskedNode {
+            self.nodes.push(PolledNode {
                 control_address: *control_address,
-                asked: None,
+                last_polled: None,
                 answered: false,
                 in_force: false,
             });
@@ -103,9 +105,9 @@
         self.progress.known = self.nodes.len();
     }
 
-    /// The first offers.
-    pub(super) fn offers(&self, random: &mut impl Rng) -> Vec<Addressed> {
-        let count = OFFER_FANOUT.min(self.nodes.len());
+    /// The offers to a few random nodes at the start.
+    pub(super) fn initial_offers(&self, random: &mut impl Rng) -> Vec<AddressedMessage> {
+        let count = INITIAL_OFFER_FANOUT.min(self.nodes.len());
         let base = self.planned.delta.as_ref().map(|delta| delta.base);
         let offer = self.planned.offer(base.unwrap_or_default());
         index::sample(random, self.nodes.len(), count)
@@ -117,22 +119,22 @@
             .collect()
     }
 
-    /// Whether all nodes have it in force or the time is over.
+    /// Whether all nodes have the roll in force or the time limit has passed.
     pub(super) fn is_over(&self, now: Instant) -> bool {
         self.progress.in_force == self.progress.known || now >= self.ends_at
     }
 
-    /// Status requests that are due.
-    pub(super) fn due(&mut self, now: Instant) -> Vec<Addressed> {
+    /// The status requests that are due.
+    pub(super) fn due_status_requests(&mut self, now: Instant) -> Vec<AddressedMessage> {
         if now < self.next_poll {
             return Vec::new();
         }
         self.next_poll = now + POLL_INTERVAL;
         let mut due = Vec::new();
         for _ in 0..self.nodes.len() {
-            let position = self.next_position;
-            self.next_position = (position + 1) % self.nodes.len();
-            due.extend(self.ask(position, now));
+            let position = self.next_poll_position;
+            self.next_poll_position = (position + 1) % self.nodes.len();
+            due.extend(self.poll_node(position, now));
             if due.len() == POLL_BATCH {
                 break;
             }
@@ -140,8 +142,8 @@
         due
     }
 
-    /// Takes a reply; true when the progress changed.
-    pub(super) fn reply(&mut self, reply: &StatusReply) -> bool {
+    /// Handles a status reply; returns whether the progress changed.
+    pub(super) fn handle_reply(&mut self, reply: &StatusReply) -> bool {
         let Some(node) = self.nodes.get_mut(reply.number.0 as usize) else {
             return false;
         };
@@ -159,23 +161,24 @@
         before != self.progress
     }
 
-    /// The offer to a node whose reply shows that it is still behind.
-    pub(super) fn offer_to_late(
+    /// The offer for a node whose status reply shows that it is still behind.
+    pub(super) fn offer_if_behind(
         &self,
         reply: &StatusReply,
         now: Instant,
     ) -> Option<ControlMessage> {
-        if now < self.offers_again_at {
+        if now < self.direct_offers_from {
             return None;
         }
-        self.answer_record(RecordRequest {
+        self.answer_record_request(RecordRequest {
             sequence: reply.sequence,
             snapshot_digest: reply.snapshot,
         })
     }
 
-    /// The offer that a node asks for.
-    pub(super) fn answer_record(&self, request: RecordRequest) -> Option<ControlMessage> {
+    /// The answer to a node's request for an offer; `None` if the node is not
+    /// behind.
+    pub(super) fn answer_record_request(&self, request: RecordRequest) -> Option<ControlMessage> {
         if request.sequence >= self.planned.record().sequence() {
             return None;
         }
@@ -183,39 +186,41 @@
         Some(ControlMessage::Offer(Box::new(offer)))
     }
 
-    /// The chunks that a node asks for.
-    pub(super) fn answer_copy(
+    /// The answer to a node's request for chunks.
+    pub(super) fn answer_copy_request(
         &mut self,
         request: &CopyRequest,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<ControlMessage> {
         let planned = &self.planned;
-        let load = |content: &CopyContent| planned_content(planned, content);
-        self.copies.answer(request, now, random, load)
+        let encode_content = |content: &CopyContent| encoded_planned_content(planned, content);
+        self.copies.answer(request, now, random, encode_content)
     }
 
     pub(super) fn next_wakeup(&self) -> Instant {
         self.next_poll.min(self.ends_at)
     }
 
-    fn ask(&mut self, position: usize, now: Instant) -> Option<Addressed> {
+    fn poll_node(&mut self, position: usize, now: Instant) -> Option<AddressedMessage> {
         let node = &mut self.nodes[position];
-        let lately = |asked: Instant| now.since(asked) < ASK_AGAIN_AFTER;
-        if node.in_force || node.asked.is_some_and(lately) {
+        let polled_recently = |last_polled: Instant| now.since(last_polled) < NODE_POLL_INTERVAL;
+        if node.in_force || node.last_polled.is_some_and(polled_recently) {
             return None;
         }
-        node.asked = Some(now);
+        node.last_polled = Some(now);
         let number = ProbeNumber(u32::try_from(position).ok()?);
         let request = StatusRequest { number };
         Some((node.control_address, ControlMessage::StatusRequest(request)))
     }
 }
 
-fn planned_content(planned: &PlannedRoll, content: &CopyContent) -> Option<Vec<u8>> {
+fn encoded_planned_content(planned: &PlannedRoll, content: &CopyContent) -> Option<Vec<u8>> {
     let result: Digest = planned.digest();
     match content {
-        CopyContent::Snapshot(digest) if *digest == result => Some(planned.copy.clone()),
+        CopyContent::Snapshot(digest) if *digest == result => {
+            Some(planned.encoded_snapshot.clone())
+        }
         CopyContent::Delta { base, result: to } if *to == result => {
             let delta = planned.delta.as_ref().filter(|delta| delta.base == *base)?;
             Some(crate::configuration::bundle::encode(delta))
--- a/crates/woodladder-core/src/control/roll_command/stages.rs
+++ b/crates/woodladder-core/src/control/roll_command/stages.rs
@@ -1,4 +1,4 @@
-//! What the roll command makes of the key-value service's answers.
+//! How the roll command handles answers of the key-value service.
 
 use std::time::Duration;
 
@@ -13,22 +13,22 @@
 use crate::control::store_operation::{StoreAnswer, StoreIndex, StoreRequestId};
 use crate::digest::Digest;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-const LONGEST_PAUSE_STEPS: u32 = 5;
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+const LONGEST_RETRY_DELAY: Duration = Duration::from_secs(3);
+const MAXIMUM_RETRY_DOUBLINGS: u32 = 5;
 
 impl RollCommand {
-    /// Takes an answer. An answer to an earlier request counts only when it
-    /// says that the swap took effect.
+    /// Handles an answer. A late answer to an earlier request is ignored,
+    /// unless it says that a swap took effect.
     pub(super) fn handle_answer(
         &mut self,
         request: StoreRequestId,
         answer: &StoreAnswer,
         now: Instant,
     ) {
-        let is_swap = self.swaps.contains(&request);
-        let undecided = matches!(self.stage, Stage::Swap | Stage::Confirm);
-        if is_swap && undecided && *answer == StoreAnswer::Written {
+        let is_swap_answer = self.swap_requests.contains(&request);
+        let awaits_swap_result = matches!(self.stage, Stage::Swap | Stage::Confirm);
+        if is_swap_answer && awaits_swap_result && *answer == StoreAnswer::Written {
             self.accept(now);
             return;
         }
@@ -40,66 +40,69 @@
             | (_, StoreAnswer::Unreachable | StoreAnswer::Unknown) => {
                 self.handle_failure(answer, now);
             }
-            (Stage::ReadCurrent, _) => self.take_current(answer, now),
-            (Stage::ReadSnapshot(digest), _) => self.take_snapshot(digest, answer, now),
-            (Stage::WriteCopy { .. }, StoreAnswer::Written) => self.go_on(Stage::Swap, now),
-            (Stage::WriteCopy { .. }, _) => self.go_on(Stage::CheckCopy, now),
-            (Stage::CheckCopy, _) => self.check_copy(answer, now),
+            (Stage::ReadCurrent, _) => self.handle_current(answer, now),
+            (Stage::ReadSnapshot(digest), _) => self.handle_snapshot(digest, answer, now),
+            (Stage::WriteSnapshot { .. }, StoreAnswer::Written) => {
+                self.enter_stage(Stage::Swap, now)
+            }
+            (Stage::WriteSnapshot { .. }, _) => self.enter_stage(Stage::CheckSnapshot, now),
+            (Stage::CheckSnapshot, _) => self.check_stored_snapshot(answer, now),
             (Stage::Swap, _) => {
-                self.refused = true;
+                self.swap_refused = true;
                 self.confirming_since.get_or_insert(now);
-                self.go_on(Stage::Confirm, now);
+                self.enter_stage(Stage::Confirm, now);
             }
             (Stage::Confirm, _) => self.confirm(answer, now),
             (Stage::Rollout | Stage::Finished, _) => {}
         }
     }
 
-    /// A request failed or went without an answer.
+    /// Handles a request that failed or was not answered in time, and schedules
+    /// a retry.
     pub(super) fn handle_failure(&mut self, answer: &StoreAnswer, now: Instant) {
         self.outstanding = None;
         if self.stage == Stage::Swap && *answer == StoreAnswer::Unknown {
-            self.in_doubt = true;
+            self.swap_in_doubt = true;
             self.confirming_since.get_or_insert(now);
         }
-        if self.stage == Stage::Swap && self.in_doubt {
+        if self.stage == Stage::Swap && self.swap_in_doubt {
             self.stage = Stage::Confirm;
         }
-        let asked_to_wait = match answer {
+        let requested_delay = match answer {
             StoreAnswer::RateLimited { retry_after } => retry_after.unwrap_or_default(),
             _ => Duration::ZERO,
         };
-        let steps = self.failures.min(LONGEST_PAUSE_STEPS);
+        let doublings = self.failures.min(MAXIMUM_RETRY_DOUBLINGS);
         self.failures += 1;
-        let pause = LONGEST_PAUSE.min(FIRST_PAUSE * 2_u32.pow(steps));
+        let retry_delay = LONGEST_RETRY_DELAY.min(FIRST_RETRY_DELAY * 2_u32.pow(doublings));
         let jitter = self.random.random_range(0.5..1.5);
-        self.retry_at = now + pause.mul_f64(jitter).max(asked_to_wait);
+        self.retry_at = now + retry_delay.mul_f64(jitter).max(requested_delay);
     }
 
-    pub(super) fn go_on(&mut self, stage: Stage, now: Instant) {
+    pub(super) fn enter_stage(&mut self, stage: Stage, now: Instant) {
         self.outstanding = None;
         self.stage = stage;
         self.retry_at = now;
     }
 
-    fn take_current(&mut self, answer: &StoreAnswer, now: Instant) {
+    fn handle_current(&mut self, answer: &StoreAnswer, now: Instant) {
         let StoreAnswer::Value { index, value } = answer else {
-            self.expected = StoreIndex::default();
+            self.expected_index = StoreIndex::default();
             self.plan(None, now);
             return;
         };
         match read_stored(value, &self.request.trusted) {
             Ok(stored) => {
-                self.expected = *index;
+                self.expected_index = *index;
                 let digest = stored.record.statement.snapshot_digest;
                 self.previous = Some(stored);
-                self.go_on(Stage::ReadSnapshot(digest), now);
+                self.enter_stage(Stage::ReadSnapshot(digest), now);
             }
             Err(error) => self.fail(error),
         }
     }
 
-    fn take_snapshot(&mut self, digest: Digest, answer: &StoreAnswer, now: Instant) {
+    fn handle_snapshot(&mut self, digest: Digest, answer: &StoreAnswer, now: Instant) {
         let StoreAnswer::Value { value, .. } = answer else {
             self.fail(RollError::CurrentSnapshotMissing(digest));
             return;
@@ -116,31 +119,31 @@
             Ok(planned) => {
                 self.planned = Some(planned);
                 let expected = StoreIndex::default();
-                self.go_on(Stage::WriteCopy { expected }, now);
+                self.enter_stage(Stage::WriteSnapshot { expected }, now);
             }
             Err(error) => self.fail(error),
         }
     }
 
-    /// Something is stored under the copy's key already: the copy itself, or
-    /// damaged bytes that are to be replaced.
-    fn check_copy(&mut self, answer: &StoreAnswer, now: Instant) {
+    /// Handles the entry that already exists under the digest of the snapshot:
+    /// the snapshot itself, or damaged bytes to be replaced.
+    fn check_stored_snapshot(&mut self, answer: &StoreAnswer, now: Instant) {
         let wanted = self.planned.as_ref().map(PlannedRoll::digest);
         match answer {
             StoreAnswer::Value { value, .. } if Some(Digest::of(value)) == wanted => {
-                self.go_on(Stage::Swap, now);
+                self.enter_stage(Stage::Swap, now);
             }
             StoreAnswer::Value { index, .. } => {
-                self.go_on(Stage::WriteCopy { expected: *index }, now);
+                self.enter_stage(Stage::WriteSnapshot { expected: *index }, now);
             }
             _ => {
                 let expected = StoreIndex::default();
-                self.go_on(Stage::WriteCopy { expected }, now);
+                self.enter_stage(Stage::WriteSnapshot { expected }, now);
             }
         }
     }
 
-    /// The current entry as it is after a swap that was refused or whose
+    /// Handles the current entry as read after a swap that was refused or whose
     /// answer was lost.
     fn confirm(&mut self, answer: &StoreAnswer, now: Instant) {
         let StoreAnswer::Value { index, value } = answer else {
@@ -149,55 +152,56 @@
         };
         let stored = match read_stored(value, &self.request.trusted) {
             Ok(stored) => stored,
-            Err(error) => return self.fail_unreadable(error),
+            Err(error) => return self.fail_for_unreadable_entry(error),
         };
-        if self.is_own(&stored.record) {
+        if self.is_own_record(&stored.record) {
             self.accept(now);
-        } else if *index == self.expected {
+        } else if *index == self.expected_index {
             self.swap_again(now);
         } else {
-            self.fail_to_other(&stored.record);
+            self.fail_for_lost_race(&stored.record);
         }
     }
 
     fn confirm_absent(&mut self, now: Instant) {
-        if self.expected == StoreIndex::default() {
+        if self.expected_index == StoreIndex::default() {
             self.swap_again(now);
         } else {
             self.handle_failure(&StoreAnswer::NotFound, now);
         }
     }
 
-    /// The entry is as it was before the swap. After a refusal that reading is
-    /// an old one, so it is read once more.
+    /// The current entry still has the expected index. After a refused swap
+    /// this reading must be stale, so the entry is read once more.
     fn swap_again(&mut self, now: Instant) {
-        if self.refused {
+        if self.swap_refused {
             self.handle_failure(&StoreAnswer::NotFound, now);
         } else {
-            self.go_on(Stage::Swap, now);
+            self.enter_stage(Stage::Swap, now);
         }
     }
 
-    fn is_own(&self, record: &RollRecord) -> bool {
+    fn is_own_record(&self, record: &RollRecord) -> bool {
         let planned = self.planned.as_ref();
         planned.is_some_and(|planned| planned.record() == record)
     }
 
-    /// Another operator rolled. One sequence has one winner, so the own roll
-    /// may have been in force before only if the sequence there is greater.
-    fn fail_to_other(&mut self, record: &RollRecord) {
+    /// Fails because another operator's roll is in force. Exactly one roll
+    /// takes effect under each sequence, so this command's roll can have been
+    /// in force before only if the sequence in force is greater than its own.
+    fn fail_for_lost_race(&mut self, record: &RollRecord) {
         let planned = self.planned.as_ref();
         let own = planned.map(|planned| planned.record().sequence());
-        let overtaken = own.is_some_and(|own| record.sequence() > own);
+        let other_is_later = own.is_some_and(|own| record.sequence() > own);
         self.fail(RollError::LostRace {
             winner: Some(RollSummary::of(record)),
-            in_doubt: self.in_doubt && overtaken,
+            in_doubt: self.swap_in_doubt && other_is_later,
         });
     }
 
-    fn fail_unreadable(&mut self, error: RollError) {
+    fn fail_for_unreadable_entry(&mut self, error: RollError) {
         match &self.planned {
-            Some(planned) if self.in_doubt => {
+            Some(planned) if self.swap_in_doubt => {
                 let sequence = planned.record().sequence();
                 self.fail(RollError::OutcomeUnknown { sequence });
             }
--- a/crates/woodladder-core/tests/roll_command.rs
+++ b/crates/woodladder-core/tests/roll_command.rs
@@ -109,7 +109,7 @@
     let again = run(&mut command(request(1, "lin"), 2), |operation| {
         Some(store.answer(operation))
     });
-    let Err(RollError::NothingChanges(known)) = again else {
+    let Err(RollError::AlreadyInForce(known)) = again else {
         panic!("{again:?}");
     };
     assert_eq!(known.sequence, Sequence(1));
@@ -127,7 +127,7 @@
     let verdict = run(&mut command(other_key, 1), refuse);
     assert_eq!(verdict, Err(RollError::OperatorNotTrusted));
     let verdict = run(&mut command(request(1, ""), 1), refuse);
-    assert_eq!(verdict, Err(RollError::OperatorName));
+    assert_eq!(verdict, Err(RollError::InvalidOperatorName));
 }
 
 #[test]
@@ -233,5 +233,8 @@
     let verdict = run(&mut command(wanted, 1), |operation| {
         Some(store.answer(operation))
     });
-    assert_eq!(verdict, Err(RollError::OtherDeployment("test".to_owned())));
+    assert_eq!(
+        verdict,
+        Err(RollError::DeploymentMismatch("test".to_owned()))
+    );
 }
