--- a/crates/woodladder-core/src/control/replica/adoption.rs
+++ b/crates/woodladder-core/src/control/replica/adoption.rs
@@ -1,4 +1,5 @@
-//! The checks between a record that was heard and a roll in force.
+//! Validates a record and its snapshot, and builds the roll that is put in
+//! force.
 
 use std::sync::Arc;
 
@@ -14,28 +15,30 @@
 /// Longest encoding of a snapshot in bytes that a node accepts.
 pub const MAXIMUM_SNAPSHOT_LENGTH: usize = 8 * 1024 * 1024;
 
-/// Why a record, delta or copy was not adopted.
+/// Why a record, delta or copy was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rejection {
-    /// The record's signature is not accepted.
+    /// The signature of the record is not valid.
     RecordSignature(SignatureError),
-    /// The record has the sequence in force and states something else.
-    SequenceTaken,
-    /// The record names a snapshot that is empty or too long.
+    /// The record has the sequence in force but differs from the record in
+    /// force.
+    SequenceConflict,
+    /// The record states that the snapshot is empty or longer than
+    /// [`MAXIMUM_SNAPSHOT_LENGTH`].
     SnapshotLength,
-    /// The delta does not lead to the snapshot that the record names.
+    /// The delta does not lead to the snapshot that the record states.
     Delta(DeltaError),
-    /// The copy does not have the digest that the record names.
+    /// The copy has another digest than the record states.
     CopyDigest,
     /// The bytes cannot be decoded.
     Malformed,
-    /// The bundle's sign-off is not accepted.
+    /// The sign-off of the bundle is not valid.
     SignOff(SignatureError),
-    /// The record states another bundle version than the snapshot holds.
+    /// The bundle version in the record differs from the one in the snapshot.
     BundleVersion,
 }
 
-/// Checks a record on its own.
+/// Checks whatever does not depend on the snapshot.
 pub(super) fn check_record(record: &RollRecord, trusted: &TrustedKeys) -> Result<(), Rejection> {
     record.verify(trusted).map_err(Rejection::RecordSignature)?;
     let length = record.statement.snapshot_length as usize;
@@ -45,7 +48,7 @@
     Ok(())
 }
 
-/// The roll that a copy of the snapshot makes.
+/// Builds a roll from a record and a copy of its snapshot.
 pub(super) fn adopt_copy(
     record: &RollRecord,
     copy: &[u8],
@@ -58,7 +61,8 @@
     adopt_snapshot(record, snapshot, trusted)
 }
 
-/// The roll that a delta from the snapshot in force makes.
+/// Builds a roll from a record and a delta that starts from the snapshot in
+/// force.
 pub(super) fn adopt_delta(
     record: &RollRecord,
     delta: &SnapshotDelta,
@@ -90,7 +94,8 @@
 }
 
 impl Rejection {
-    /// Whether no other source can make the record acceptable.
+    /// Whether the record stays unacceptable, whichever source delivers its
+    /// snapshot.
     pub(super) fn is_final(self) -> bool {
         matches!(self, Self::SignOff(_) | Self::BundleVersion)
     }
@@ -100,17 +105,21 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::RecordSignature(error) => write!(formatter, "roll record: {error}"),
-            Self::SequenceTaken => {
-                formatter.write_str("another roll with the sequence in force was heard")
-            }
+            Self::SequenceConflict => formatter.write_str(
+                "the record has the sequence in force but differs from the record in force",
+            ),
             Self::SnapshotLength => {
-                formatter.write_str("the record names an empty or too long snapshot")
+                formatter.write_str("the record states an empty or too long snapshot")
             }
             Self::Delta(error) => write!(formatter, "delta: {error}"),
-            Self::CopyDigest => formatter.write_str("the copy has another digest"),
+            Self::CopyDigest => {
+                formatter.write_str("the copy has another digest than the record states")
+            }
             Self::Malformed => formatter.write_str("the copy cannot be decoded"),
             Self::SignOff(error) => write!(formatter, "sign-off: {error}"),
-            Self::BundleVersion => formatter.write_str("the record states another bundle version"),
+            Self::BundleVersion => {
+                formatter.write_str("the record states another bundle version than the snapshot")
+            }
         }
     }
 }
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -1,5 +1,5 @@
-//! Spreads what is known of targets' agents, and tells the data path which
-//! targets are to get no new flows.
+//! Spreads availability reports among nodes, and supplies the data path with a
+//! routing table without the unavailable targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,42 +16,42 @@
 use crate::control::control_message::{
     AvailabilityReports, ControlMessage, DigestMessage, MAXIMUM_REPORTS_PER_MESSAGE,
 };
-use crate::control::replica::pace::Pace;
 use crate::control::replica::probing::Probing;
 use crate::control::replica::store_reader::jittered;
+use crate::control::replica::token_bucket::TokenBucket;
 use crate::control::replica::{Replica, ReplicaAction, ReplicaSettings};
 use crate::identifier::TargetId;
 use crate::packets::routing_table::TargetStatus;
 
-/// Times that a node passes on what it learned from others.
-const RELAY_SENDS: u8 = 2;
-/// Times that a node passes on what it says itself.
-const ANNOUNCEMENT_SENDS: u8 = 4;
-/// Nodes that each of these goes to.
-const FANOUT: usize = 4;
-/// Longest time for which a node gathers news before it passes them on.
-const GATHERING_TIME: Duration = Duration::from_millis(50);
-/// Mean time until the same news are passed on again.
-const REPEAT_TIME: Duration = Duration::from_millis(400);
-/// Time until news are tried again that could not be passed on.
-const RETRY_TIME: Duration = Duration::from_millis(300);
-/// Least time between two directories for the data path.
-const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after which a marked target's agent is probed again: between this and
-/// this with the spread.
-const RECHECK_TIME: Duration = Duration::from_secs(20);
-const RECHECK_SPREAD: Duration = Duration::from_secs(10);
+/// How many times a node sends a report that it received.
+const RECEIVED_REPORT_SENDS: u8 = 2;
+/// How many times a node sends a report of its own.
+const OWN_REPORT_SENDS: u8 = 4;
+/// Number of nodes to which a report is sent each time.
+const REPORT_FANOUT: usize = 4;
+/// Longest time for which a node collects reports before it sends them.
+const BATCHING_TIME: Duration = Duration::from_millis(50);
+/// Mean time until the same report is sent again.
+const RESEND_DELAY: Duration = Duration::from_millis(400);
+/// Delay before reports that could not be sent are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Least time between two routing tables for the data path.
+const MINIMUM_ROUTING_TABLE_INTERVAL: Duration = Duration::from_millis(100);
+/// The agent of an unavailable target is probed again after this time plus a
+/// random part of [`RECHECK_DELAY_SPREAD`].
+const MINIMUM_RECHECK_DELAY: Duration = Duration::from_secs(20);
+const RECHECK_DELAY_SPREAD: Duration = Duration::from_secs(10);
 
-/// What a replica knows of targets' agents.
+/// Availability of targets as a replica knows it.
 #[derive(Clone, Debug)]
 pub(super) struct AvailabilityState {
     pub(super) own: Option<OwnAvailability>,
     pub(super) table: AvailabilityTable,
     pub(super) probing: Probing,
-    pub(super) pace: Pace,
+    pub(super) report_bucket: TokenBucket,
     report_queue: ReportQueue,
-    refreshed: Instant,
-    refresh_at: Option<Instant>,
+    last_routing_table_at: Instant,
+    next_routing_table_at: Option<Instant>,
 }
 
 impl AvailabilityState {
@@ -60,16 +60,16 @@
         let own = own.map(|served| OwnAvailability::new(served, settings.control_address));
         let mut report_queue = ReportQueue::default();
         if let Some(own) = &own {
-            report_queue.add(own.report().target, ANNOUNCEMENT_SENDS, now);
+            report_queue.add(own.report().target, OWN_REPORT_SENDS, now);
         }
         Self {
             own,
             table: AvailabilityTable::default(),
             probing: Probing::default(),
-            pace: Pace::new(settings.tuning.report_bytes_per_second, now),
+            report_bucket: TokenBucket::new(settings.tuning.report_bytes_per_second, now),
             report_queue,
-            refreshed: now,
-            refresh_at: None,
+            last_routing_table_at: now,
+            next_routing_table_at: None,
         }
     }
 
@@ -78,19 +78,19 @@
             self.report_queue.next_due(),
             self.table.next_recheck(),
             self.probing.next_wakeup(),
-            self.refresh_at,
+            self.next_routing_table_at,
         ];
         wakeups.into_iter().flatten().min()
     }
 
-    /// Fingerprint of the marks, the own one included.
+    /// Fingerprint of the set of unavailable targets, the own target included.
     pub(super) fn fingerprint(&self) -> u64 {
         let own = self.own.as_ref();
         self.table.fingerprint() ^ own.map_or(0, |own| own.report().fingerprint())
     }
 
-    /// Targets that are to get no new flows.
-    fn marked(&self) -> impl Iterator<Item = TargetId> {
+    /// The targets that are to get no new flows.
+    fn unavailable_targets(&self) -> impl Iterator<Item = TargetId> {
         let own = self.own.iter().map(OwnAvailability::report);
         let own = own.filter(|own| own.availability.is_unavailable());
         self.table
@@ -104,26 +104,29 @@
         own.next().or_else(|| self.table.report(target)).copied()
     }
 
-    fn marks_changed(&mut self, now: Instant) {
-        let at = now.max(self.refreshed + REFRESH_INTERVAL);
-        self.refresh_at.get_or_insert(at);
+    fn schedule_routing_table(&mut self, now: Instant) {
+        let at = now.max(self.last_routing_table_at + MINIMUM_ROUTING_TABLE_INTERVAL);
+        self.next_routing_table_at.get_or_insert(at);
     }
 }
 
 impl Replica {
-    /// Targets that are known to take no new flows, the own one included.
+    /// Number of targets known to accept no new flows, the own target included.
     #[must_use]
     pub fn unavailable_target_count(&self) -> usize {
-        self.availability.marked().count()
+        self.availability.unavailable_targets().count()
     }
 
-    /// Whether a target is known to take no new flows.
+    /// Whether a target is known to accept no new flows.
     #[must_use]
-    pub fn is_marked(&self, target: TargetId) -> bool {
-        self.availability.marked().any(|marked| marked == target)
+    pub fn is_unavailable(&self, target: TargetId) -> bool {
+        self.availability
+            .unavailable_targets()
+            .any(|unavailable| unavailable == target)
     }
 
-    /// Says of the own target whether it takes new flows.
+    /// Changes the availability of the own target and announces it to other
+    /// nodes.
     pub(super) fn announce(&mut self, availability: Availability, now: Instant) {
         let Some(own) = &mut self.availability.own else {
             return;
@@ -134,11 +137,12 @@
         let target = own.report().target;
         self.availability
             .report_queue
-            .add(target, ANNOUNCEMENT_SENDS, now);
-        self.availability.marks_changed(now);
+            .add(target, OWN_REPORT_SENDS, now);
+        self.availability.schedule_routing_table(now);
     }
 
-    /// Takes reports that another node passed on.
+    /// Handles reports that another node sent. Answers with the newer reports
+    /// that this node has.
     pub(super) fn handle_reports(
         &mut self,
         from: SocketAddr,
@@ -147,28 +151,35 @@
     ) {
         let reports = batch.reports.iter();
         let newer: Vec<AvailabilityReport> = reports
-            .filter_map(|report| self.take_report(*report, now))
+            .filter_map(|report| self.merge_report(*report, now))
             .collect();
         self.send_reports(from, newer, now);
     }
 
-    /// Takes what a digest message says of its sender's target and marks.
-    pub(super) fn compare_marks(&mut self, from: SocketAddr, digest: &DigestMessage, now: Instant) {
+    /// Handles the report about the sender's target and the fingerprint in a
+    /// digest message. Answers with newer reports, and with some reports about
+    /// unavailable targets if the fingerprints differ.
+    pub(super) fn compare_unavailable_targets(
+        &mut self,
+        from: SocketAddr,
+        digest: &DigestMessage,
+        now: Instant,
+    ) {
         let own = digest.own_report;
         let own = own.filter(|own| own.control_address == digest.sender.control_address);
         let mut differing: Vec<AvailabilityReport> = own
-            .and_then(|own| self.take_report(own, now))
+            .and_then(|own| self.merge_report(own, now))
             .into_iter()
             .collect();
         if digest.unavailable_fingerprint != self.availability.fingerprint() {
-            differing.extend(self.some_marks());
+            differing.extend(self.some_unavailable_reports());
             differing.truncate(MAXIMUM_REPORTS_PER_MESSAGE);
         }
         self.send_reports(from, differing, now);
     }
 
-    /// Calls a target's agent unreachable.
-    pub(super) fn accuse(&mut self, target: TargetId, now: Instant) {
+    /// Reports a target's agent as unreachable.
+    pub(super) fn report_unreachable(&mut self, target: TargetId, now: Instant) {
         let Some(known) = self.availability.table.report(target) else {
             return;
         };
@@ -177,50 +188,55 @@
             ..*known
         };
         self.counters.agents_declared_unreachable += 1;
-        self.learn(report, ANNOUNCEMENT_SENDS, now);
+        self.merge_and_queue(report, OWN_REPORT_SENDS, now);
     }
 
-    /// Forgets what is known of targets that the roll in force removed.
+    /// Forgets reports about targets that the roll in force has removed.
     pub(super) fn forget_removed_targets(&mut self) {
         let Some(installed) = &self.installed else {
             return;
         };
-        let directory = &installed.directory;
+        let routing_table = &installed.directory;
         let table = &mut self.availability.table;
-        let marked: FxHashSet<TargetId> = table.unavailable_targets().collect();
+        let unavailable: FxHashSet<TargetId> = table.unavailable_targets().collect();
         let full = table.is_full();
-        table.retain(|target| match directory.target(target) {
+        table.retain(|target| match routing_table.target(target) {
             Some(entry) => entry.status != TargetStatus::Retired,
-            None => !full && !marked.contains(&target),
+            None => !full && !unavailable.contains(&target),
         });
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub(super) fn run_availability(&mut self, now: Instant) {
         self.run_probing(now);
         self.run_rechecks(now);
-        self.run_rumors(now);
-        if self.availability.refresh_at.is_some_and(|at| at <= now) {
-            self.refresh(now);
+        self.send_queued_reports(now);
+        if self
+            .availability
+            .next_routing_table_at
+            .is_some_and(|at| at <= now)
+        {
+            self.replace_routing_table(now);
         }
     }
 
-    /// Gives the data path a directory with the marks as they are.
-    pub(super) fn refresh(&mut self, now: Instant) {
-        self.availability.refresh_at = None;
-        self.availability.refreshed = now;
+    /// Gives the data path a routing table without the targets that are
+    /// unavailable now.
+    pub(super) fn replace_routing_table(&mut self, now: Instant) {
+        self.availability.next_routing_table_at = None;
+        self.availability.last_routing_table_at = now;
         let Some(installed) = &self.installed else {
             return;
         };
-        let marked: FxHashSet<TargetId> = self.availability.marked().collect();
+        let unavailable: FxHashSet<TargetId> = self.availability.unavailable_targets().collect();
         let own = self.settings.served_target.map(|served| served.target);
-        let directory = installed.directory.with_unavailable(&marked, own);
+        let routing_table = installed.directory.with_unavailable(&unavailable, own);
         self.actions
-            .push(ReplicaAction::ReplaceDirectory(Arc::new(directory)));
+            .push(ReplicaAction::ReplaceDirectory(Arc::new(routing_table)));
     }
 
-    /// Takes a report; returns a newer one when there is one.
-    fn take_report(
+    /// Merges a received report; returns the newer one if this node has one.
+    fn merge_report(
         &mut self,
         report: AvailabilityReport,
         now: Instant,
@@ -228,40 +244,41 @@
         if let Some(own) = &mut self.availability.own
             && own.report().target == report.target
         {
-            let hearing = own.compare(&report);
+            let outcome = own.compare(&report);
             let own = *own.report();
-            return self.answer_hearing(hearing, own, now);
+            return self.handle_own_report_outcome(outcome, own, now);
         }
-        if report.availability.is_unavailable() && !self.may_be_marked(report.target) {
+        if report.availability.is_unavailable() && !self.is_target_in_force(report.target) {
             return None;
         }
-        match self.learn(report, RELAY_SENDS, now) {
+        match self.merge_and_queue(report, RECEIVED_REPORT_SENDS, now) {
             MergeOutcome::Outdated(known) => Some(known),
             MergeOutcome::New { .. } | MergeOutcome::Repeated | MergeOutcome::Full => None,
         }
     }
 
-    fn answer_hearing(
+    fn handle_own_report_outcome(
         &mut self,
-        hearing: OwnReportOutcome,
+        outcome: OwnReportOutcome,
         own: AvailabilityReport,
         now: Instant,
     ) -> Option<AvailabilityReport> {
-        match hearing {
+        match outcome {
             OwnReportOutcome::Repeated | OwnReportOutcome::Superseded => None,
             OwnReportOutcome::Outdated => Some(own),
             OwnReportOutcome::Refuted => {
                 self.counters.own_reports_refuted += 1;
                 self.availability
                     .report_queue
-                    .add(own.target, ANNOUNCEMENT_SENDS, now);
+                    .add(own.target, OWN_REPORT_SENDS, now);
                 Some(own)
             }
         }
     }
 
-    /// Marks matter only for targets of the bundle in force.
-    fn may_be_marked(&self, target: TargetId) -> bool {
+    /// Whether the bundle in force contains the target; reports that make other
+    /// targets unavailable have no effect.
+    fn is_target_in_force(&self, target: TargetId) -> bool {
         let Some(installed) = &self.installed else {
             return true;
         };
@@ -269,38 +286,43 @@
         entry.is_some_and(|entry| entry.status != TargetStatus::Retired)
     }
 
-    fn learn(&mut self, report: AvailabilityReport, sends: u8, now: Instant) -> MergeOutcome {
+    fn merge_and_queue(
+        &mut self,
+        report: AvailabilityReport,
+        sends: u8,
+        now: Instant,
+    ) -> MergeOutcome {
         if self.availability.table.is_full() {
             self.forget_removed_targets();
         }
-        let recheck = now + self.recheck_time();
-        let learned = self.availability.table.merge(report, recheck);
+        let recheck = now + self.recheck_delay();
+        let outcome = self.availability.table.merge(report, recheck);
         if let MergeOutcome::New {
             unavailable_changed,
-        } = learned
+        } = outcome
         {
-            let due = now + jittered(GATHERING_TIME / 2, &mut self.random);
+            let due = now + jittered(BATCHING_TIME / 2, &mut self.random);
             self.availability
                 .report_queue
                 .add(report.target, sends, due);
             if unavailable_changed {
-                self.availability.marks_changed(now);
+                self.availability.schedule_routing_table(now);
             }
         }
-        learned
+        outcome
     }
 
     fn run_rechecks(&mut self, now: Instant) {
         loop {
-            let again = now + self.recheck_time();
+            let again = now + self.recheck_delay();
             let Some(report) = self.availability.table.take_due_recheck(now, again) else {
                 return;
             };
-            self.probe_again(report.control_address, now);
+            self.probe_now(report.control_address, now);
         }
     }
 
-    fn run_rumors(&mut self, now: Instant) {
+    fn send_queued_reports(&mut self, now: Instant) {
         if self
             .availability
             .report_queue
@@ -318,22 +340,23 @@
             .filter_map(|target| self.availability.report(*target))
             .collect();
         let mut sent = false;
-        for control_address in self.members.pick(FANOUT, &mut self.random) {
+        for control_address in self.members.pick(REPORT_FANOUT, &mut self.random) {
             sent |= self.send_reports(control_address, reports.clone(), now);
         }
         for target in due {
             if sent {
-                let again = now + jittered(REPEAT_TIME, &mut self.random);
+                let again = now + jittered(RESEND_DELAY, &mut self.random);
                 self.availability.report_queue.record_sent(target, again);
             } else {
                 self.availability
                     .report_queue
-                    .postpone(target, now + RETRY_TIME);
+                    .postpone(target, now + RETRY_DELAY);
             }
         }
     }
 
-    /// Sends reports if there are any and the rate allows for it.
+    /// Sends reports if there are any and the rate limit allows it; returns
+    /// whether they were sent.
     fn send_reports(
         &mut self,
         to: SocketAddr,
@@ -345,7 +368,7 @@
         }
         let message = ControlMessage::AvailabilityReports(AvailabilityReports { reports });
         let length = message.datagram_length();
-        if !self.availability.pace.take(length, now) {
+        if !self.availability.report_bucket.take(length, now) {
             return false;
         }
         self.counters.report_bytes_sent += length as u64;
@@ -353,20 +376,21 @@
         true
     }
 
-    /// Marks from a random place in their order, as many as a message carries.
-    fn some_marks(&mut self) -> Vec<AvailabilityReport> {
-        let marked: Vec<TargetId> = self.availability.marked().collect();
-        if marked.is_empty() {
+    /// Up to one message of reports about unavailable targets, from a random
+    /// position in their order.
+    fn some_unavailable_reports(&mut self) -> Vec<AvailabilityReport> {
+        let unavailable: Vec<TargetId> = self.availability.unavailable_targets().collect();
+        if unavailable.is_empty() {
             return Vec::new();
         }
-        let start = self.random.random_range(0..marked.len());
-        let from_start = marked[start..].iter().chain(&marked[..start]);
+        let start = self.random.random_range(0..unavailable.len());
+        let from_start = unavailable[start..].iter().chain(&unavailable[..start]);
         let some = from_start.take(MAXIMUM_REPORTS_PER_MESSAGE);
         some.filter_map(|target| self.availability.report(*target))
             .collect()
     }
 
-    fn recheck_time(&mut self) -> Duration {
-        RECHECK_TIME + RECHECK_SPREAD.mul_f64(self.random.random_range(0.0..1.0))
+    fn recheck_delay(&mut self) -> Duration {
+        MINIMUM_RECHECK_DELAY + RECHECK_DELAY_SPREAD.mul_f64(self.random.random_range(0.0..1.0))
     }
 }
--- a/crates/woodladder-core/src/control/replica/catch_up.rs
+++ b/crates/woodladder-core/src/control/replica/catch_up.rs
@@ -1,4 +1,4 @@
-//! From a record that was heard to its snapshot.
+//! From a received record to the snapshot that the record states.
 
 use std::net::SocketAddr;
 
@@ -12,20 +12,20 @@
     ControlMessage, CopyChunk, CopyContent, CopyRefused, CopyRequest, Offer, OfferedDelta,
 };
 use crate::control::replica::adoption::{Rejection, adopt_copy, adopt_delta, check_record};
+use crate::control::replica::delta_history::DeltaHistory;
 use crate::control::replica::fetch::{Fetch, FetchAction, Fetched};
-use crate::control::replica::history::History;
-use crate::control::replica::install::Way;
+use crate::control::replica::install::SnapshotOrigin;
 use crate::control::replica::joining::JoinProgress;
 use crate::control::replica::{InstalledRoll, Replica};
 
 impl Replica {
-    /// Takes an offer from a node.
+    /// Handles an offer.
     pub(super) fn handle_offer(&mut self, from: SocketAddr, offer: Offer, now: Instant) {
         let Offer { record, delta } = offer;
-        self.consider(record, delta, Some(from), now);
+        self.handle_record(record, delta, Some(from), now);
     }
 
-    /// Answers a request for chunks.
+    /// Handles a request for chunks.
     pub(super) fn handle_copy_request(
         &mut self,
         from: SocketAddr,
@@ -49,31 +49,35 @@
             && fetch.assembly().content() == request.content
         {
             fetch.add_source(from);
-            let part = fetch.assembly();
-            return self
-                .copies
-                .answer_part(request, part, now, &mut self.random);
+            let partial_copy = fetch.assembly();
+            return self.copies.answer_from_partial_copy(
+                request,
+                partial_copy,
+                now,
+                &mut self.random,
+            );
         }
         let installed = self.installed.as_deref();
-        let history = &self.history;
-        let load = |content: &CopyContent| encoded_content(installed?, history, content);
-        self.copies.answer(request, now, &mut self.random, load)
+        let history = &self.delta_history;
+        let encode_content = |content: &CopyContent| encoded_content(installed?, history, content);
+        self.copies
+            .answer(request, now, &mut self.random, encode_content)
     }
 
-    /// Takes a chunk.
+    /// Handles a chunk.
     pub(super) fn handle_copy_chunk(&mut self, chunk: CopyChunk, now: Instant) {
         let Some(fetch) = &mut self.fetch else {
             return;
         };
         self.counters.copy_bytes_received += chunk.bytes.len() as u64;
-        match fetch.chunk(chunk, &mut self.fetch_pace, now) {
+        match fetch.add_chunk(chunk, &mut self.fetch_bucket, now) {
             None => {}
-            Some(Fetched::Snapshot(bytes)) => self.take_chunked_copy(&bytes, now),
-            Some(Fetched::Delta(bytes)) => self.take_delta(&bytes, now),
+            Some(Fetched::Snapshot(bytes)) => self.adopt_chunked_copy(&bytes, now),
+            Some(Fetched::Delta(bytes)) => self.adopt_fetched_delta(&bytes, now),
         }
     }
 
-    /// Takes a refusal.
+    /// Handles a refused request for chunks.
     pub(super) fn handle_copy_refused(
         &mut self,
         from: SocketAddr,
@@ -81,17 +85,17 @@
         now: Instant,
     ) {
         if let Some(fetch) = &mut self.fetch {
-            fetch.refused(from, refused, &mut self.fetch_pace, now);
+            fetch.record_refusal(from, refused, &mut self.fetch_bucket, now);
         }
     }
 
-    /// Carries the fetch on.
-    pub(super) fn run_fetch(&mut self, now: Instant) {
+    /// Sends the requests of the fetch that are due.
+    pub(super) fn send_due_fetch_requests(&mut self, now: Instant) {
         let Some(mut fetch) = self.fetch.take() else {
             return;
         };
-        let spread = self.store_spread();
-        let due = fetch.due(spread, &mut self.fetch_pace, now, &mut self.random);
+        let read_spread = self.store_read_spread();
+        let due = fetch.due_actions(read_spread, &mut self.fetch_bucket, now, &mut self.random);
         for action in due {
             match action {
                 FetchAction::Send(to, message) => self.send(to, message),
@@ -101,37 +105,38 @@
         self.fetch = Some(fetch);
     }
 
-    /// Turns ready when enough was heard.
+    /// Makes the node ready if it has received enough.
     pub(super) fn update_joining(&mut self, now: Instant) {
         let progress = JoinProgress {
             installed: self.installed.as_ref().map(|known| known.sequence()),
-            greatest_heard: self.greatest_heard,
+            greatest_known_sequence: self.greatest_known_sequence,
             fetching: self.fetch.is_some(),
             known_nodes: self.members.len(),
         };
         self.joining.update(progress, now);
     }
 
-    /// Looks at a record that was heard and adopts, fetches or refuses it.
-    pub(super) fn consider(
+    /// Handles a received record: rejects it, adopts its roll, or starts to
+    /// fetch its snapshot.
+    pub(super) fn handle_record(
         &mut self,
         record: RollRecord,
         delta: OfferedDelta,
         source: Option<SocketAddr>,
         now: Instant,
     ) {
-        if !self.is_news(&record) {
+        if !self.is_adoptable(&record) {
             return;
         }
         let is_new = self.fetch.as_ref().map(Fetch::record) != Some(&record);
         if is_new {
             if let Err(rejection) = check_record(&record, &self.settings.trusted) {
-                self.refuse(rejection);
+                self.count_rejection(rejection);
                 return;
             }
-            self.greatest_heard = self.greatest_heard.max(record.sequence());
+            self.greatest_known_sequence = self.greatest_known_sequence.max(record.sequence());
         }
-        if self.try_same_snapshot(&record, now) {
+        if self.try_unchanged_snapshot(&record, now) {
             return;
         }
         if let OfferedDelta::Inline(delta) = &delta
@@ -143,57 +148,58 @@
             return;
         }
         match (&mut self.fetch, source) {
-            (Some(fetch), Some(source)) => fetch.offered(source, &delta, now),
-            _ => self.allow_store_read(now),
+            (Some(fetch), Some(source)) => fetch.record_offer(source, &delta, now),
+            _ => self.schedule_store_read(now),
         }
         if is_new {
-            self.spread_fetched();
+            self.offer_fetched_roll();
         }
     }
 
-    /// Whether a record is greater than the one in force and not known to be
-    /// unacceptable.
-    fn is_news(&mut self, record: &RollRecord) -> bool {
+    /// Whether a record has a greater sequence than the one in force and is not
+    /// known to be unacceptable. Counts a rejection if the record conflicts
+    /// with the one in force.
+    fn is_adoptable(&mut self, record: &RollRecord) -> bool {
         let Some(installed) = &self.installed else {
-            return !self.is_unacceptable(record);
+            return !self.is_known_unacceptable(record);
         };
         if record.sequence() == installed.sequence() && *record != installed.record {
             let verified = record.verify(&self.settings.trusted);
-            self.refuse(match verified {
-                Ok(()) => Rejection::SequenceTaken,
+            self.count_rejection(match verified {
+                Ok(()) => Rejection::SequenceConflict,
                 Err(error) => Rejection::RecordSignature(error),
             });
             return false;
         }
-        record.sequence() > installed.sequence() && !self.is_unacceptable(record)
+        record.sequence() > installed.sequence() && !self.is_known_unacceptable(record)
     }
 
-    /// Makes sure that the record is being fetched; false when a greater one
-    /// is already.
+    /// Starts to fetch the snapshot of a record; returns false when the fetch
+    /// of a record with the same or a greater sequence makes progress.
     fn begin_fetch(&mut self, record: RollRecord, now: Instant) -> bool {
         let sequence = record.sequence();
         if let Some(fetch) = &self.fetch {
             if *fetch.record() == record {
                 return true;
             }
-            let greater = fetch.record().sequence() >= sequence;
-            if greater && !fetch.is_stuck(now) {
+            let current_is_not_older = fetch.record().sequence() >= sequence;
+            if current_is_not_older && !fetch.is_stuck(now) {
                 return false;
             }
-            if greater {
-                let put_off = fetch.record().clone();
+            if current_is_not_older {
+                let deferred = fetch.record().clone();
                 let known = self.deferred.take();
                 self.deferred = known
-                    .filter(|known| known.sequence() > put_off.sequence())
-                    .or(Some(put_off));
+                    .filter(|known| known.sequence() > deferred.sequence())
+                    .or(Some(deferred));
             }
         }
         self.fetch = Some(Fetch::new(record, self.record_request(), now));
         true
     }
 
-    /// Adopts a record that rolls the snapshot in force once more.
-    fn try_same_snapshot(&mut self, record: &RollRecord, now: Instant) -> bool {
+    /// Adopts a record whose snapshot is the one in force already.
+    fn try_unchanged_snapshot(&mut self, record: &RollRecord, now: Instant) -> bool {
         let Some(installed) = &self.installed else {
             return false;
         };
@@ -205,20 +211,20 @@
         self.try_delta(&record, &delta, now)
     }
 
-    /// Fetches the greater record that was put off, once the smaller one is in
-    /// force.
+    /// Resumes the fetch of the deferred record, once a roll with a smaller
+    /// sequence is in force.
     pub(super) fn resume_deferred(&mut self, now: Instant) {
         let Some(record) = self.deferred.take() else {
             return;
         };
         if record.sequence() > self.sequence() && self.begin_fetch(record, now) {
-            self.allow_store_read(now);
+            self.schedule_store_read(now);
         }
     }
 
-    fn allow_store_read(&mut self, now: Instant) {
+    fn schedule_store_read(&mut self, now: Instant) {
         if let Some(fetch) = &mut self.fetch {
-            fetch.store_read().soon(now, &mut self.random);
+            fetch.store_read().schedule_soon(now, &mut self.random);
         }
     }
 
@@ -232,69 +238,70 @@
         let adopted = adopt_delta(record, delta, &installed, &self.settings.trusted);
         match adopted {
             Ok(next) => {
-                self.install(next, Some(delta.clone()), Way::Delta, now);
+                self.install(next, Some(delta.clone()), SnapshotOrigin::Delta, now);
                 true
             }
             Err(rejection) => {
-                self.refuse_content(record, rejection);
+                self.reject_content(record, rejection);
                 rejection.is_final()
             }
         }
     }
 
-    fn take_delta(&mut self, bytes: &[u8], now: Instant) {
+    fn adopt_fetched_delta(&mut self, bytes: &[u8], now: Instant) {
         let Some(fetch) = &mut self.fetch else {
             return;
         };
         let record = fetch.record().clone();
-        fetch.copy_was_wrong();
+        fetch.discard_copy();
         match SnapshotDelta::try_from_slice(bytes) {
             Ok(delta) => {
                 self.try_delta(&record, &delta, now);
             }
-            Err(_) => self.refuse(Rejection::Malformed),
+            Err(_) => self.count_rejection(Rejection::Malformed),
         }
     }
 
-    fn take_chunked_copy(&mut self, bytes: &[u8], now: Instant) {
-        let Some(rejection) = self.take_copy(bytes, now) else {
+    fn adopt_chunked_copy(&mut self, bytes: &[u8], now: Instant) {
+        let Some(rejection) = self.adopt_fetched_copy(bytes, now) else {
             return;
         };
         if let Some(fetch) = &mut self.fetch {
-            fetch.copy_was_wrong();
+            fetch.discard_copy();
         }
-        self.refuse_fetched(rejection);
+        self.reject_fetched(rejection);
     }
 
-    /// Adopts the copy that was fetched, or tells why not.
-    pub(super) fn take_copy(&mut self, bytes: &[u8], now: Instant) -> Option<Rejection> {
+    /// Adopts the roll with the fetched copy, or returns why the copy is
+    /// rejected.
+    pub(super) fn adopt_fetched_copy(&mut self, bytes: &[u8], now: Instant) -> Option<Rejection> {
         let record = self.fetch.as_ref()?.record();
         match adopt_copy(record, bytes, &self.settings.trusted) {
             Ok(next) => {
-                self.install(next, None, Way::Copy, now);
+                self.install(next, None, SnapshotOrigin::Copy, now);
                 None
             }
             Err(rejection) => Some(rejection),
         }
     }
 
-    pub(super) fn refuse_fetched(&mut self, rejection: Rejection) {
+    pub(super) fn reject_fetched(&mut self, rejection: Rejection) {
         if let Some(record) = self.fetch.as_ref().map(|fetch| fetch.record().clone()) {
-            self.refuse_content(&record, rejection);
+            self.reject_content(&record, rejection);
         }
     }
 }
 
 fn encoded_content(
     installed: &InstalledRoll,
-    history: &History,
+    history: &DeltaHistory,
     content: &CopyContent,
 ) -> Option<Vec<u8>> {
     let current = installed.digest();
     match content {
         CopyContent::Snapshot(digest) if *digest == current => Some(installed.snapshot.encode()),
         CopyContent::Delta { base, result } if *result == current => {
-            history.since(*base).map(|delta| encode(&delta))
+            history.delta_from(*base).map(|delta| encode(&delta))
         }
         _ => None,
     }
--- a/crates/woodladder-core/src/control/replica/copy_assembly.rs
+++ b/crates/woodladder-core/src/control/replica/copy_assembly.rs
@@ -1,9 +1,9 @@
-//! Puts a copy together from its chunks.
+//! Assembles a copy from its chunks.
 
 use crate::control::chunk_set::ChunkSet;
 use crate::control::control_message::{CHUNK_LENGTH, CopyChunk, CopyContent};
 
-/// A copy of known length, of which some chunks may be missing.
+/// A copy of known length, some of whose chunks may be missing.
 #[derive(Clone, Debug)]
 pub(super) struct CopyAssembly {
     content: CopyContent,
@@ -13,7 +13,7 @@
 }
 
 impl CopyAssembly {
-    /// An assembly without chunks yet.
+    /// An assembly without any chunk.
     pub(super) fn new(content: CopyContent, length: u32) -> Self {
         let length = length as usize;
         let count = length.div_ceil(CHUNK_LENGTH);
@@ -25,27 +25,27 @@
         }
     }
 
-    /// What is put together.
+    /// What the copy contains.
     pub(super) fn content(&self) -> CopyContent {
         self.content
     }
 
-    /// Length of the whole copy in bytes.
+    /// Length of the complete copy in bytes.
     pub(super) fn byte_length(&self) -> u32 {
         u32::try_from(self.length).unwrap_or(u32::MAX)
     }
 
-    /// Whether a chunk has come.
-    pub(super) fn is_begun(&self) -> bool {
+    /// Whether any chunk has arrived.
+    pub(super) fn has_chunks(&self) -> bool {
         self.missing < self.chunks.len()
     }
 
-    /// How many chunks are missing.
+    /// Number of missing chunks.
     pub(super) fn missing_count(&self) -> usize {
         self.missing
     }
 
-    /// The chunks that are missing.
+    /// Positions of the missing chunks.
     pub(super) fn missing(&self) -> ChunkSet {
         let chunks = self.chunks.iter().enumerate();
         chunks
@@ -54,21 +54,22 @@
             .collect()
     }
 
-    /// A chunk that is there.
+    /// Bytes of a chunk that has arrived.
     pub(super) fn chunk(&self, index: usize) -> Option<&[u8]> {
         self.chunks.get(index)?.as_deref()
     }
 
-    /// Adds a chunk; false when it does not belong here or is there already.
+    /// Adds a chunk; returns false when it does not belong to this copy or has
+    /// arrived before.
     pub(super) fn add(&mut self, chunk: CopyChunk) -> bool {
         let index = chunk.index as usize;
-        let belongs = chunk.content == self.content;
-        if !belongs || chunk.bytes.len() != self.expected_length(index) {
+        let is_same_copy = chunk.content == self.content;
+        if !is_same_copy || chunk.bytes.len() != self.expected_length(index) {
             return false;
         }
         match self.chunks.get_mut(index) {
-            Some(place @ None) => {
-                *place = Some(chunk.bytes);
+            Some(slot @ None) => {
+                *slot = Some(chunk.bytes);
                 self.missing -= 1;
                 true
             }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// The whole copy, once no chunk is missing.
-    pub(super) fn whole(&self) -> Option<Vec<u8>> {
+    /// The complete copy, once no chunk is missing.
+    pub(super) fn complete_bytes(&self) -> Option<Vec<u8>> {
         if self.missing > 0 {
             return None;
         }
--- a/crates/woodladder-core/src/control/replica/copy_server.rs
+++ b/crates/woodladder-core/src/control/replica/copy_server.rs
@@ -1,4 +1,4 @@
-//! Sends copies in chunks to nodes that ask for them.
+//! Sends copies in chunks to nodes that request them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,68 +12,72 @@
     MAXIMUM_CHUNKS_PER_REQUEST,
 };
 use crate::control::replica::copy_assembly::CopyAssembly;
-use crate::control::replica::pace::Pace;
+use crate::control::replica::token_bucket::TokenBucket;
 
-const MAXIMUM_HELD: usize = 4;
-const IDLE_TIME: Duration = Duration::from_secs(30);
+const MAXIMUM_CACHED_COPIES: usize = 4;
+const CACHE_IDLE_TIME: Duration = Duration::from_secs(30);
 
-/// Encoded copies that were asked for lately.
+/// Limits the rate of the copies that are sent, and caches the encoded copies
+/// that were requested recently.
 #[derive(Clone, Debug)]
 pub struct CopyServer {
-    pace: Pace,
-    held: Vec<HeldCopy>,
+    bucket: TokenBucket,
+    cached: Vec<CachedCopy>,
 }
 
 #[derive(Clone, Debug)]
-struct HeldCopy {
+struct CachedCopy {
     content: CopyContent,
     bytes: Arc<[u8]>,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl CopyServer {
-    /// A server that sends so many bytes a second at most.
+    /// A server that sends at most this mean rate.
     #[must_use]
     pub fn new(bytes_per_second: u32, now: Instant) -> Self {
         Self {
-            pace: Pace::new(bytes_per_second, now),
-            held: Vec::new(),
+            bucket: TokenBucket::new(bytes_per_second, now),
+            cached: Vec::new(),
         }
     }
 
-    /// Messages that answer a request; `load` encodes content that is not
-    /// held yet.
+    /// Returns the messages that answer a request. `encode` encodes a copy that
+    /// is not cached.
     pub fn answer(
         &mut self,
         request: &CopyRequest,
         now: Instant,
         random: &mut impl Rng,
-        load: impl FnOnce(&CopyContent) -> Option<Vec<u8>>,
+        encode: impl FnOnce(&CopyContent) -> Option<Vec<u8>>,
     ) -> Vec<ControlMessage> {
-        let Some(bytes) = self.hold(request.content, now, load) else {
+        let Some(bytes) = self.get_or_encode(request.content, now, encode) else {
             return refused(request, CopyRefusal::NotHeld);
         };
-        self.send(request, |index| chunk_of(&bytes, index), now, random)
+        self.send(request, |index| chunk_at(&bytes, index), now, random)
     }
 
-    /// Messages that answer a request for a copy that is not whole here yet.
-    pub(super) fn answer_part(
+    /// Returns the messages that answer a request for a copy of which only some
+    /// chunks have arrived.
+    pub(super) fn answer_from_partial_copy(
         &mut self,
         request: &CopyRequest,
-        part: &CopyAssembly,
+        partial_copy: &CopyAssembly,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<ControlMessage> {
-        self.send(request, |index| part.chunk(index), now, random)
+        self.send(request, |index| partial_copy.chunk(index), now, random)
     }
 
-    /// Drops copies that nobody asked for lately.
-    pub fn release_idle(&mut self, now: Instant) {
-        self.held.retain(|copy| now.since(copy.used) < IDLE_TIME);
+    /// Drops the cached copies that have not been requested recently.
+    pub fn drop_idle_copies(&mut self, now: Instant) {
+        self.cached
+            .retain(|copy| now.since(copy.last_used) < CACHE_IDLE_TIME);
     }
 
-    /// Sends wanted chunks, chosen at random so that nodes which ask at the
-    /// same time get different ones to pass on.
+    /// Sends some of the wanted chunks. They are chosen at random, so that
+    /// nodes which ask at the same time get different chunks and can pass them
+    /// on to each other.
     fn send<'a>(
         &mut self,
         request: &CopyRequest,
@@ -82,44 +86,44 @@
         random: &mut impl Rng,
     ) -> Vec<ControlMessage> {
         let wanted = request.wanted_chunks.iter();
-        let held: Vec<(usize, &[u8])> = wanted
+        let available: Vec<(usize, &[u8])> = wanted
             .filter_map(|index| chunk(index).map(|bytes| (index, bytes)))
             .collect();
-        if held.is_empty() {
+        if available.is_empty() {
             return refused(request, CopyRefusal::NoWantedChunk);
         }
         let limit = usize::from(request.maximum_chunks.min(MAXIMUM_CHUNKS_PER_REQUEST));
         let mut chosen = Vec::new();
-        for place in index::sample(random, held.len(), limit.min(held.len())) {
-            if !self.pace.take(held[place].1.len(), now) {
+        for position in index::sample(random, available.len(), limit.min(available.len())) {
+            if !self.bucket.take(available[position].1.len(), now) {
                 break;
             }
-            chosen.push(held[place]);
+            chosen.push(available[position]);
         }
         if chosen.is_empty() {
             return refused(request, CopyRefusal::Busy);
         }
-        messages(request.content, &chosen)
+        chunk_messages(request.content, &chosen)
     }
 
-    fn hold(
+    fn get_or_encode(
         &mut self,
         content: CopyContent,
         now: Instant,
-        load: impl FnOnce(&CopyContent) -> Option<Vec<u8>>,
+        encode: impl FnOnce(&CopyContent) -> Option<Vec<u8>>,
     ) -> Option<Arc<[u8]>> {
-        if let Some(copy) = self.held.iter_mut().find(|copy| copy.content == content) {
-            copy.used = now;
+        if let Some(copy) = self.cached.iter_mut().find(|copy| copy.content == content) {
+            copy.last_used = now;
             return Some(Arc::clone(&copy.bytes));
         }
-        let bytes: Arc<[u8]> = load(&content)?.into();
-        if self.held.len() == MAXIMUM_HELD {
-            self.held.remove(0);
+        let bytes: Arc<[u8]> = encode(&content)?.into();
+        if self.cached.len() == MAXIMUM_CACHED_COPIES {
+            self.cached.remove(0);
         }
-        self.held.push(HeldCopy {
+        self.cached.push(CachedCopy {
             content,
             bytes: Arc::clone(&bytes),
-            used: now,
+            last_used: now,
         });
         Some(bytes)
     }
@@ -130,13 +134,13 @@
     vec![ControlMessage::CopyRefused(CopyRefused { content, reason })]
 }
 
-fn chunk_of(copy: &[u8], index: usize) -> Option<&[u8]> {
+fn chunk_at(copy: &[u8], index: usize) -> Option<&[u8]> {
     let start = index.checked_mul(CHUNK_LENGTH)?;
     let rest = copy.get(start..).filter(|rest| !rest.is_empty())?;
     Some(&rest[..rest.len().min(CHUNK_LENGTH)])
 }
 
-fn messages(content: CopyContent, chosen: &[(usize, &[u8])]) -> Vec<ControlMessage> {
+fn chunk_messages(content: CopyContent, chosen: &[(usize, &[u8])]) -> Vec<ControlMessage> {
     let mut left = chosen.len();
     let mut messages = Vec::with_capacity(left);
     for (index, bytes) in chosen {
--- a/crates/woodladder-core/src/control/replica/counters.rs
+++ b/crates/woodladder-core/src/control/replica/counters.rs
@@ -1,74 +1,75 @@
-//! What a replica counts.
+//! Counters of a replica.
 
 use crate::control::control_message::FrameError;
 use crate::control::replica::Rejection;
 
-/// Counts since the start of the replica.
+/// Counters since the start of the replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReplicaCounters {
     /// Rolls put in force.
     pub rolls_adopted: u64,
-    /// Rolls among them that came by a delta.
+    /// Rolls put in force by applying a delta.
     pub rolls_adopted_by_delta: u64,
     /// Messages sent.
     pub messages_sent: u64,
     /// Messages received.
     pub messages_received: u64,
-    /// Bytes of copies sent to others.
+    /// Bytes of copies sent to other nodes.
     pub copy_bytes_sent: u64,
-    /// Bytes of copies received.
+    /// Bytes of copies received from other nodes.
     pub copy_bytes_received: u64,
     /// Reads of the key-value service.
     pub store_reads: u64,
-    /// Bytes of reports about targets' availability sent to others.
+    /// Bytes of availability reports sent to other nodes.
     pub report_bytes_sent: u64,
-    /// Agents that this node found unreachable.
+    /// Agents that this node reported as unreachable.
     pub agents_declared_unreachable: u64,
-    /// Reports about the own target that were wrong.
+    /// Wrong reports about the own target that this agent refuted.
     pub own_reports_refuted: u64,
-    /// Pauses that were noticed.
+    /// Pauses of the process that were detected.
     pub pauses_detected: u64,
-    /// Refusals by reason.
+    /// Rejected frames, records, deltas and copies by reason.
     pub rejections: RejectionCounts,
 }
 
-/// Refusals by reason.
+/// Rejected frames, records, deltas and copies by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RejectionCounts {
-    /// Frames cut short.
+    /// Frames that ended too early.
     pub frame_truncated: u64,
-    /// Frames too long.
+    /// Frames longer than a datagram may be.
     pub frame_oversized: u64,
-    /// Frames of an unknown version.
+    /// Frames of an unknown format version.
     pub frame_unknown_version: u64,
     /// Frames whose tag does not match.
     pub frame_tag_mismatch: u64,
     /// Frames that cannot be decoded.
     pub frame_malformed: u64,
-    /// Records signed by a key that is not trusted, or wrongly signed.
+    /// Records signed by an untrusted key, or with an invalid signature.
     pub record_signature: u64,
-    /// Other records under the sequence in force.
-    pub sequence_taken: u64,
-    /// Records that name an empty or too long snapshot.
+    /// Records that have the sequence in force but differ from the record in
+    /// force.
+    pub sequence_conflict: u64,
+    /// Records with an empty or too long snapshot.
     pub snapshot_length: u64,
-    /// Deltas that do not lead to the snapshot rolled.
+    /// Deltas that do not lead to the snapshot that the record states.
     pub delta: u64,
-    /// Copies with another digest.
+    /// Copies with another digest than the record states.
     pub copy_digest: u64,
     /// Values that cannot be decoded.
     pub malformed: u64,
-    /// Sign-offs that are not accepted.
+    /// Bundles whose sign-off is not valid.
     pub sign_off: u64,
-    /// Records that contradict their snapshot.
+    /// Records whose bundle version differs from the one in the snapshot.
     pub bundle_version: u64,
 }
 
 impl RejectionCounts {
-    /// Counts a refused record, delta or copy.
+    /// Counts a rejected record, delta or copy.
     pub(super) fn count(&mut self, rejection: Rejection) {
         let counter = match rejection {
             Rejection::RecordSignature(_) => &mut self.record_signature,
-            Rejection::SequenceTaken => &mut self.sequence_taken,
+            Rejection::SequenceConflict => &mut self.sequence_conflict,
             Rejection::SnapshotLength => &mut self.snapshot_length,
             Rejection::Delta(_) => &mut self.delta,
             Rejection::CopyDigest => &mut self.copy_digest,
@@ -79,7 +80,7 @@
         *counter += 1;
     }
 
-    /// Counts a refused frame.
+    /// Counts a rejected frame.
     pub(super) fn count_frame(&mut self, error: FrameError) {
         let counter = match error {
             FrameError::Truncated => &mut self.frame_truncated,
@@ -99,7 +100,7 @@
             + self.frame_unknown_version
             + self.frame_tag_mismatch
             + self.frame_malformed;
-        let records = self.record_signature + self.sequence_taken + self.snapshot_length;
+        let records = self.record_signature + self.sequence_conflict + self.snapshot_length;
         let copies = self.delta + self.copy_digest + self.malformed;
         frames + records + copies + self.sign_off + self.bundle_version
     }
--- a/crates/woodladder-core/src/control/replica/history.rs
+++ b/crates/woodladder-core/src/control/replica/delta_history.rs
@@ -1,5 +1,5 @@
-//! The last few deltas, so that a node a few rolls behind gets one small
-//! message in place of a full copy.
+//! The last few deltas. A node that is a few rolls behind gets them merged into
+//! one delta instead of a full copy of the snapshot.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,18 +8,18 @@
 use crate::digest::Digest;
 
 const MAXIMUM_DELTAS: usize = 8;
-/// A longer delta is not kept: a full copy serves as well.
+/// A longer delta is not kept, because a full copy serves as well.
 const MAXIMUM_DELTA_LENGTH: usize = 48 * 1024;
 
 /// Consecutive deltas that lead to the snapshot in force.
 #[derive(Clone, Debug, Default)]
-pub(super) struct History {
+pub(super) struct DeltaHistory {
     result: Digest,
     deltas: VecDeque<SnapshotDelta>,
 }
 
-impl History {
-    /// Takes note that `delta` led to the snapshot `result`.
+impl DeltaHistory {
+    /// Records that `delta` led to the snapshot `result`.
     pub(super) fn push(&mut self, delta: SnapshotDelta, result: Digest) {
         if delta.base != self.result {
             self.deltas.clear();
@@ -35,39 +35,39 @@
         self.deltas.push_back(delta);
     }
 
-    /// Takes note of the first snapshot.
-    pub(super) fn begin(&mut self, result: Digest) {
+    /// Records the first snapshot in force.
+    pub(super) fn reset(&mut self, result: Digest) {
         self.deltas.clear();
         self.result = result;
     }
 
-    /// The delta from the snapshot before to the one in force.
-    pub(super) fn last(&self) -> Option<&SnapshotDelta> {
+    /// The delta from the previous snapshot to the one in force.
+    pub(super) fn latest(&self) -> Option<&SnapshotDelta> {
         self.deltas.back()
     }
 
-    /// One delta from `base` to the snapshot in force.
-    pub(super) fn since(&self, base: Digest) -> Option<SnapshotDelta> {
+    /// One delta from the snapshot `base` to the one in force.
+    pub(super) fn delta_from(&self, base: Digest) -> Option<SnapshotDelta> {
         let start = self.deltas.iter().position(|delta| delta.base == base)?;
         let mut parts = self.deltas.range(start..);
         let first = parts.next()?.clone();
-        Some(parts.fold(first, join))
+        Some(parts.fold(first, merge))
     }
 }
 
-/// The delta that does what `first` and then `next` do.
-fn join(first: SnapshotDelta, next: &SnapshotDelta) -> SnapshotDelta {
-    let (services, removed_services) = join_lists(
+/// The delta that has the effect of `first` followed by `next`.
+fn merge(first: SnapshotDelta, next: &SnapshotDelta) -> SnapshotDelta {
+    let (services, removed_services) = merge_changes(
         (first.services, first.removed_services),
         (&next.services, &next.removed_services),
         |service| service.id,
     );
-    let (targets, removed_targets) = join_lists(
+    let (targets, removed_targets) = merge_changes(
         (first.targets, first.removed_targets),
         (&next.targets, &next.removed_targets),
         |target| target.id,
     );
-    let (retired, removed_retired) = join_lists(
+    let (retired, removed_retired) = merge_changes(
         (first.retired, first.removed_retired),
         (&next.retired, &next.removed_retired),
         |target| target.id,
@@ -86,7 +86,7 @@
     }
 }
 
-fn join_lists<T, K>(
+fn merge_changes<T, K>(
     first: (Vec<T>, Vec<K>),
     next: (&[T], &[K]),
     key: impl Fn(&T) -> K,
@@ -100,9 +100,9 @@
     for item in first.0 {
         changed.insert(key(&item), item);
     }
-    for gone in next.1 {
-        changed.remove(gone);
-        removed.insert(gone.clone());
+    for removed_key in next.1 {
+        changed.remove(removed_key);
+        removed.insert(removed_key.clone());
     }
     for item in next.0 {
         removed.remove(&key(item));
--- a/crates/woodladder-core/src/control/replica/event.rs
+++ b/crates/woodladder-core/src/control/replica/event.rs
@@ -1,4 +1,4 @@
-//! What a replica is told and what it asks for.
+//! Inputs and outputs of a replica.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,58 +10,60 @@
 use crate::identifier::Sequence;
 use crate::packets::routing_table::RoutingTable;
 
-/// Something that happened.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum ReplicaEvent {
-    /// The wake-up time came, or the process woke for another reason.
+    /// The time of [`Replica::next_wakeup`](super::Replica::next_wakeup) came,
+    /// or the process woke for another reason.
     Tick,
-    /// A control message came.
+    /// A control message arrived.
     Message {
-        /// Address that it came from; answers go there.
+        /// Address of the sender, to which answers are sent.
         from: SocketAddr,
         /// The message.
         message: ControlMessage,
     },
-    /// A datagram that is no control message came.
+    /// A datagram arrived that is not a valid control message.
     BadFrame(FrameError),
-    /// The key-value service answered, or a request to it failed. Answers may
-    /// come late, in any order, several times or never.
+    /// The key-value service answered a request, or the request failed. Answers
+    /// may arrive late, in any order, several times or never.
     StoreAnswer {
-        /// The request.
+        /// Identifier of the request.
         request: StoreRequestId,
-        /// What came of it.
+        /// Result of the request.
         answer: StoreAnswer,
     },
-    /// The machine list was read.
+    /// A new reading of the machine list.
     MachineList(Vec<ListedMachine>),
-    /// The data path saw a packet under this sequence.
+    /// The data path received a packet that carries this sequence.
     SequenceSeen(Sequence),
     /// The node begins a planned stop.
     Leaving,
-    /// The agent's drain lets new flows in, or lets them in no longer.
+    /// Whether the agent accepts new flows, after its drain was started or
+    /// withdrawn.
     TakesNewFlows(bool),
 }
 
-/// Something to be done.
+/// Output of a replica, for the caller to carry out.
 #[derive(Clone, Debug)]
 pub enum ReplicaAction {
     /// Send a control message.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The message.
         message: ControlMessage,
     },
     /// Send a request to the key-value service.
     Store {
-        /// Number to give with the answer.
+        /// Identifier to pass back with the answer.
         request: StoreRequestId,
         /// The request; a replica only reads.
         operation: StoreOperation,
     },
     /// Put a roll in force.
     Install(Arc<InstalledRoll>),
-    /// Use this directory from now on: the one of the roll in force, with the
-    /// targets that take no new flows at the moment left out.
+    /// Use this routing table from now on: the one of the roll in force without
+    /// the targets that are unavailable at the moment.
     ReplaceDirectory(Arc<RoutingTable>),
 }
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches the snapshot of a record: by chunks from nodes that have it, or
-//! from the key-value service when none has.
+//! Fetches the snapshot of a record: in chunks from nodes that have it, or from
+//! the key-value service when no node delivers it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,63 +13,68 @@
     MAXIMUM_CHUNKS_PER_REQUEST, OfferedDelta, RecordRequest,
 };
 use crate::control::replica::copy_assembly::CopyAssembly;
-use crate::control::replica::pace::Pace;
 use crate::control::replica::snapshot_read::SnapshotRead;
+use crate::control::replica::token_bucket::TokenBucket;
 use crate::control::store_operation::StoreRequestId;
 use crate::digest::Digest;
 
+/// Largest number of nodes that a fetch alternates between.
 const MAXIMUM_SOURCES: usize = 8;
 const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(400);
-/// A fetch without a new chunk for this long looks for another way.
+/// A fetch that has received no new chunk for this long counts as stuck.
 const PROGRESS_TIME_LIMIT: Duration = Duration::from_secs(2);
-const FIRST_REFUSED_PAUSE: Duration = Duration::from_millis(25);
-const LONGEST_REFUSED_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause while nothing comes from anybody.
-const STUCK_REFUSED_PAUSE: Duration = Duration::from_secs(2);
-const FAILURES_BEFORE_STORE: u32 = 3;
-/// Longest delta worth fetching in chunks.
-const MAXIMUM_DELTA_LENGTH: u32 = 256 * 1024;
-
-/// What a fetch asks for.
+/// Pause after the first refusal; it doubles with each further one.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(25);
+const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Longest pause after refusals while the fetch is stuck.
+const LONGEST_STUCK_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// A fetch with more unanswered requests in a row than this counts as stuck.
+const FAILURES_BEFORE_STUCK: u32 = 3;
+/// Longest delta in bytes that is fetched in chunks.
+const MAXIMUM_CHUNKED_DELTA_LENGTH: u32 = 256 * 1024;
+
+/// Output of a fetch.
 #[derive(Clone, Debug)]
 pub(super) enum FetchAction {
     Send(SocketAddr, ControlMessage),
     ReadStore(Digest),
 }
 
-/// A whole copy.
+/// A complete copy.
 #[derive(Clone, Debug)]
 pub(super) enum Fetched {
     Snapshot(Vec<u8>),
     Delta(Vec<u8>),
 }
 
-/// A question to a source without an answer so far.
+/// A request that the first source has not answered yet.
 #[derive(Clone, Copy, Debug)]
-enum Question {
+enum Outstanding {
+    /// A record request, to be offered a delta.
     Delta,
-    /// So many chunks that did not come yet.
+    /// This many of the requested chunks have not arrived yet.
     Chunks(usize),
 }
 
-/// The fetch of one record's snapshot.
+/// The fetch of the snapshot of one record.
 #[derive(Clone, Debug)]
 pub(super) struct Fetch {
     record: RollRecord,
     record_request: RecordRequest,
     sources: Vec<SocketAddr>,
     assembly: CopyAssembly,
-    delta_asked: bool,
-    question: Option<(Question, Instant)>,
-    resume_at: Instant,
-    refused_pause: Duration,
+    delta_requested: bool,
+    outstanding: Option<(Outstanding, Instant)>,
+    next_request_at: Instant,
+    retry_pause: Duration,
     failures: u32,
-    progress_at: Instant,
+    last_progress: Instant,
     store_read: SnapshotRead,
 }
 
 impl Fetch {
-    /// Begins to fetch what `record` names, starting from what `have` states.
+    /// Starts to fetch the snapshot of `record`. `record_request` states what
+    /// the node has in force.
     pub(super) fn new(record: RollRecord, record_request: RecordRequest, now: Instant) -> Self {
         let assembly = snapshot_assembly(&record);
         Self {
@@ -77,12 +82,12 @@
             record_request,
             sources: Vec::new(),
             assembly,
-            delta_asked: record_request.snapshot_digest == Digest::default(),
-            question: None,
-            resume_at: now,
-            refused_pause: FIRST_REFUSED_PAUSE,
+            delta_requested: record_request.snapshot_digest == Digest::default(),
+            outstanding: None,
+            next_request_at: now,
+            retry_pause: FIRST_RETRY_PAUSE,
             failures: 0,
-            progress_at: now,
+            last_progress: now,
             store_read: SnapshotRead::new(),
         }
     }
@@ -91,18 +96,19 @@
         &self.record
     }
 
-    /// Whether no source has delivered for a while.
+    /// Whether the sources do not deliver: there is none, they have failed too
+    /// often, or no chunk has arrived for [`PROGRESS_TIME_LIMIT`].
     pub(super) fn is_stuck(&self, now: Instant) -> bool {
-        let silent = now.since(self.progress_at) >= PROGRESS_TIME_LIMIT;
-        self.sources.is_empty() || self.failures > FAILURES_BEFORE_STORE || silent
+        let has_no_progress = now.since(self.last_progress) >= PROGRESS_TIME_LIMIT;
+        self.sources.is_empty() || self.failures > FAILURES_BEFORE_STUCK || has_no_progress
     }
 
-    /// What has come so far.
+    /// The chunks that have arrived.
     pub(super) fn assembly(&self) -> &CopyAssembly {
         &self.assembly
     }
 
-    /// The delta that is being fetched, as it is offered to others.
+    /// What is being fetched, as the delta of an offer to other nodes.
     pub(super) fn offered_delta(&self) -> OfferedDelta {
         match self.assembly.content() {
             CopyContent::Snapshot(_) => OfferedDelta::None,
@@ -113,12 +119,12 @@
         }
     }
 
-    /// The reading of the snapshot from the key-value service.
+    /// The read of the snapshot from the key-value service.
     pub(super) fn store_read(&mut self) -> &mut SnapshotRead {
         &mut self.store_read
     }
 
-    /// Adds a node that has the snapshot or fetches it.
+    /// Adds a node that has the snapshot or is fetching it.
     pub(super) fn add_source(&mut self, source: SocketAddr) {
         if self.sources.contains(&source) {
             return;
@@ -129,44 +135,45 @@
         self.sources.push(source);
     }
 
-    /// Takes note of an offer: its sender is asked next, and first for the
-    /// delta if it offers one.
-    pub(super) fn offered(&mut self, source: SocketAddr, delta: &OfferedDelta, now: Instant) {
+    /// Records an offer. Its sender is the next source; if it offers a delta
+    /// that starts from the snapshot in force, the delta is fetched instead of
+    /// the snapshot.
+    pub(super) fn record_offer(&mut self, source: SocketAddr, delta: &OfferedDelta, now: Instant) {
         self.sources.retain(|known| *known != source);
         self.sources.insert(0, source);
         self.sources.truncate(MAXIMUM_SOURCES);
-        self.resume_at = now;
-        self.refused_pause = FIRST_REFUSED_PAUSE;
-        if matches!(self.question, Some((Question::Delta, _))) {
-            self.question = None;
+        self.next_request_at = now;
+        self.retry_pause = FIRST_RETRY_PAUSE;
+        if matches!(self.outstanding, Some((Outstanding::Delta, _))) {
+            self.outstanding = None;
         }
         match delta {
             OfferedDelta::Chunked { base, length }
                 if *base == self.record_request.snapshot_digest =>
             {
-                self.begin_delta(*length);
+                self.fetch_delta(*length);
             }
             _ => {}
         }
     }
 
-    /// What is due.
-    pub(super) fn due(
+    /// Returns the requests that are due.
+    pub(super) fn due_actions(
         &mut self,
-        store_spread: Duration,
-        pace: &mut Pace,
+        store_read_spread: Duration,
+        bucket: &mut TokenBucket,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<FetchAction> {
-        self.give_up_overdue(now);
+        self.handle_timeout(now);
         let mut actions = Vec::new();
-        if self.question.is_none() && now >= self.resume_at {
-            actions.extend(self.ask(pace, now));
+        if self.outstanding.is_none() && now >= self.next_request_at {
+            actions.extend(self.next_request(bucket, now));
         }
-        let stuck = self.is_stuck(now);
-        let delivered = self.assembly.is_begun();
+        let is_stuck = self.is_stuck(now);
+        let has_chunks = self.assembly.has_chunks();
         self.store_read
-            .plan(delivered, stuck, store_spread, now, random);
+            .update(has_chunks, is_stuck, store_read_spread, now, random);
         if self.store_read.is_due(now) {
             let digest = self.record.statement.snapshot_digest;
             actions.push(FetchAction::ReadStore(digest));
@@ -174,110 +181,111 @@
         actions
     }
 
-    /// Whether this is the number of the read under way.
+    /// Whether the read with this identifier is outstanding.
     pub(super) fn is_reading(&self, request: StoreRequestId) -> bool {
         self.store_read.is_reading(request)
     }
 
-    /// Takes a chunk; the whole copy once it is complete.
-    pub(super) fn chunk(
+    /// Adds a chunk; returns the copy when it is complete.
+    pub(super) fn add_chunk(
         &mut self,
         chunk: CopyChunk,
-        pace: &mut Pace,
+        bucket: &mut TokenBucket,
         now: Instant,
     ) -> Option<Fetched> {
         let last = chunk.is_last && chunk.content == self.assembly.content();
         let added = self.assembly.add(chunk);
         if added {
             self.failures = 0;
-            self.progress_at = now;
-            self.refused_pause = FIRST_REFUSED_PAUSE;
+            self.last_progress = now;
+            self.retry_pause = FIRST_RETRY_PAUSE;
         }
-        if let Some((Question::Chunks(awaited), _)) = &mut self.question {
-            *awaited = awaited.saturating_sub(usize::from(added));
+        if let Some((Outstanding::Chunks(missing_chunks), _)) = &mut self.outstanding {
+            *missing_chunks = missing_chunks.saturating_sub(usize::from(added));
         }
         if last {
-            self.end_question(pace);
+            self.end_chunk_request(bucket);
         }
         if !added {
             return None;
         }
-        let bytes = self.assembly.whole()?;
+        let bytes = self.assembly.complete_bytes()?;
         Some(match self.assembly.content() {
             CopyContent::Snapshot(_) => Fetched::Snapshot(bytes),
             CopyContent::Delta { .. } => Fetched::Delta(bytes),
         })
     }
 
-    /// Takes note that a source refused.
-    pub(super) fn refused(
+    /// Records that a source refused a request.
+    pub(super) fn record_refusal(
         &mut self,
         from: SocketAddr,
         refused: &CopyRefused,
-        pace: &mut Pace,
+        bucket: &mut TokenBucket,
         now: Instant,
     ) {
         if refused.content != self.assembly.content() {
             return;
         }
-        self.end_question(pace);
+        self.end_chunk_request(bucket);
         match refused.reason {
             CopyRefusal::Busy | CopyRefusal::NoWantedChunk => {
-                self.rotate();
-                self.resume_at = now + self.refused_pause;
+                self.try_next_source();
+                self.next_request_at = now + self.retry_pause;
                 let longest = match self.is_stuck(now) {
-                    true => STUCK_REFUSED_PAUSE,
-                    false => LONGEST_REFUSED_PAUSE,
+                    true => LONGEST_STUCK_RETRY_PAUSE,
+                    false => LONGEST_RETRY_PAUSE,
                 };
-                self.refused_pause = longest.min(self.refused_pause * 2);
+                self.retry_pause = longest.min(self.retry_pause * 2);
             }
-            CopyRefusal::NotHeld if self.is_fetching_delta() => self.begin_snapshot(),
+            CopyRefusal::NotHeld if self.is_fetching_delta() => self.fetch_snapshot(),
             CopyRefusal::NotHeld => self.sources.retain(|source| *source != from),
         }
     }
 
-    /// Begins again, after a copy that was wrong as a whole.
-    pub(super) fn copy_was_wrong(&mut self) {
+    /// Discards a complete copy and fetches the full snapshot. If the discarded
+    /// copy was a snapshot, the source that is first in line is dropped.
+    pub(super) fn discard_copy(&mut self) {
         if !self.is_fetching_delta() && !self.sources.is_empty() {
             self.sources.remove(0);
         }
-        self.begin_snapshot();
+        self.fetch_snapshot();
     }
 
-    pub(super) fn next_wakeup(&self, pace: &Pace) -> Option<Instant> {
+    pub(super) fn next_wakeup(&self, bucket: &TokenBucket) -> Option<Instant> {
         let store = self.store_read.next_wakeup();
-        let question = match self.question {
-            Some((_, limit)) => Some(limit),
+        let outstanding = match self.outstanding {
+            Some((_, deadline)) => Some(deadline),
             None if self.sources.is_empty() => None,
-            None => Some(self.resume_at.max(self.pace_allows_at(pace))),
+            None => Some(self.next_request_at.max(self.bucket_allows_at(bucket))),
         };
-        [store, question].into_iter().flatten().min()
+        [store, outstanding].into_iter().flatten().min()
     }
 
-    fn pace_allows_at(&self, pace: &Pace) -> Instant {
-        pace.available_at(self.next_length())
+    fn bucket_allows_at(&self, bucket: &TokenBucket) -> Instant {
+        bucket.available_at(self.next_request_length())
     }
 
-    fn ask(&mut self, pace: &mut Pace, now: Instant) -> Option<FetchAction> {
+    fn next_request(&mut self, bucket: &mut TokenBucket, now: Instant) -> Option<FetchAction> {
         let source = *self.sources.first()?;
-        let limit = now + ANSWER_TIME_LIMIT;
-        if !self.delta_asked {
-            self.delta_asked = true;
-            self.question = Some((Question::Delta, limit));
+        let deadline = now + ANSWER_TIME_LIMIT;
+        if !self.delta_requested {
+            self.delta_requested = true;
+            self.outstanding = Some((Outstanding::Delta, deadline));
             return Some(FetchAction::Send(
                 source,
                 ControlMessage::RecordRequest(self.record_request),
             ));
         }
-        let awaited = self.next_count();
-        if awaited == 0 || !pace.take(self.next_length(), now) {
+        let missing_chunks = self.next_chunk_count();
+        if missing_chunks == 0 || !bucket.take(self.next_request_length(), now) {
             return None;
         }
-        self.question = Some((Question::Chunks(awaited), limit));
+        self.outstanding = Some((Outstanding::Chunks(missing_chunks), deadline));
         let request = CopyRequest {
             content: self.assembly.content(),
             wanted_chunks: self.assembly.missing(),
-            maximum_chunks: u16::try_from(awaited).unwrap_or(MAXIMUM_CHUNKS_PER_REQUEST),
+            maximum_chunks: u16::try_from(missing_chunks).unwrap_or(MAXIMUM_CHUNKS_PER_REQUEST),
         };
         Some(FetchAction::Send(
             source,
@@ -285,35 +293,39 @@
         ))
     }
 
-    fn give_up_overdue(&mut self, now: Instant) {
-        if self.question.is_some_and(|(_, limit)| now >= limit) {
-            self.question = None;
+    fn handle_timeout(&mut self, now: Instant) {
+        if self
+            .outstanding
+            .is_some_and(|(_, deadline)| now >= deadline)
+        {
+            self.outstanding = None;
             self.failures = self.failures.saturating_add(1);
-            self.rotate();
+            self.try_next_source();
             if self.is_fetching_delta() && self.failures > 1 {
-                self.begin_snapshot();
+                self.fetch_snapshot();
             }
         }
     }
 
-    /// Chunks that the next request asks for.
-    fn next_count(&self) -> usize {
-        let limit = usize::from(MAXIMUM_CHUNKS_PER_REQUEST);
-        self.assembly.missing_count().min(limit)
+    /// Number of chunks that the next request asks for.
+    fn next_chunk_count(&self) -> usize {
+        let maximum = usize::from(MAXIMUM_CHUNKS_PER_REQUEST);
+        self.assembly.missing_count().min(maximum)
     }
 
-    fn next_length(&self) -> usize {
-        self.next_count() * CHUNK_LENGTH
+    fn next_request_length(&self) -> usize {
+        self.next_chunk_count() * CHUNK_LENGTH
     }
 
-    /// Ends a question for chunks and gives back what it did not use.
-    fn end_question(&mut self, pace: &mut Pace) {
-        if let Some((Question::Chunks(awaited), _)) = self.question.take() {
-            pace.give_back(awaited * CHUNK_LENGTH);
+    /// Ends a request for chunks and returns the bytes of missing chunks to the
+    /// token bucket.
+    fn end_chunk_request(&mut self, bucket: &mut TokenBucket) {
+        if let Some((Outstanding::Chunks(missing_chunks), _)) = self.outstanding.take() {
+            bucket.give_back(missing_chunks * CHUNK_LENGTH);
         }
     }
 
-    fn rotate(&mut self) {
+    fn try_next_source(&mut self) {
         if self.sources.len() > 1 {
             self.sources.rotate_left(1);
         }
@@ -323,23 +335,23 @@
         matches!(self.assembly.content(), CopyContent::Delta { .. })
     }
 
-    fn begin_delta(&mut self, length: u32) {
+    fn fetch_delta(&mut self, length: u32) {
         let content = CopyContent::Delta {
             base: self.record_request.snapshot_digest,
             result: self.record.statement.snapshot_digest,
         };
-        let shorter = length < self.record.statement.snapshot_length;
-        let worthwhile = length > 0 && length <= MAXIMUM_DELTA_LENGTH && shorter;
-        if worthwhile && content != self.assembly.content() {
-            self.delta_asked = true;
-            self.question = None;
+        let is_shorter = length < self.record.statement.snapshot_length;
+        let is_worthwhile = length > 0 && length <= MAXIMUM_CHUNKED_DELTA_LENGTH && is_shorter;
+        if is_worthwhile && content != self.assembly.content() {
+            self.delta_requested = true;
+            self.outstanding = None;
             self.assembly = CopyAssembly::new(content, length);
         }
     }
 
-    fn begin_snapshot(&mut self) {
-        self.question = None;
-        self.delta_asked = true;
+    fn fetch_snapshot(&mut self) {
+        self.outstanding = None;
+        self.delta_requested = true;
         self.assembly = snapshot_assembly(&self.record);
     }
 }
--- a/crates/woodladder-core/src/control/replica/gossip.rs
+++ b/crates/woodladder-core/src/control/replica/gossip.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy: digest messages at intervals, offers to whoever is behind,
-//! and offers to a few nodes at once when a roll was adopted.
+//! Gossip among nodes: digest messages at intervals, offers to nodes that are
+//! behind, and offers to a few nodes as soon as a roll is adopted or being
+//! fetched.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,23 +10,23 @@
 use crate::control::control_message::{
     ControlMessage, DigestMessage, Exchange, MAXIMUM_PEER_SAMPLE, Offer, ProbeNumber, RecordRequest,
 };
-use crate::control::replica::pace::Pace;
 use crate::control::replica::store_reader::jittered;
+use crate::control::replica::token_bucket::TokenBucket;
 use crate::control::replica::{Replica, ReplicaTuning};
 use crate::digest::Digest;
 use crate::identifier::Sequence;
 
-/// Peers that are asked at once by a node that starts, wakes from a pause or
-/// learns that a greater sequence exists.
+/// Number of nodes that a node contacts at once when it starts, resumes after a
+/// pause, begins a planned stop or learns of a greater sequence.
 const URGENT_FANOUT: usize = 5;
-/// Time between rounds of a node that is not ready yet.
+/// Mean time between the rounds of a node that is not ready yet.
 const JOINING_INTERVAL: Duration = Duration::from_millis(300);
-/// Rounds that a node that starts runs at the short interval, at most.
+/// Largest number of rounds at this short interval after the start.
 const JOINING_ROUNDS: u32 = 20;
 /// Least time between two requests for the same record.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// When rounds run and what was asked lately.
+/// Schedule of the rounds, and the last record request.
 #[derive(Clone, Debug)]
 pub(super) struct Gossip {
     next_round: Instant,
@@ -33,7 +34,7 @@
     short_rounds_left: u32,
     probe: ProbeNumber,
     requested: Option<(Sequence, Instant)>,
-    offer_pace: Pace,
+    offer_bucket: TokenBucket,
 }
 
 impl Gossip {
@@ -44,7 +45,7 @@
             short_rounds_left: JOINING_ROUNDS,
             probe: ProbeNumber(1),
             requested: None,
-            offer_pace: Pace::new(tuning.copy_bytes_per_second, now),
+            offer_bucket: TokenBucket::new(tuning.copy_bytes_per_second, now),
         }
     }
 
@@ -57,27 +58,29 @@
         self.probe
     }
 
-    /// Runs the next round now, with more nodes than usual.
-    pub(super) fn round_soon(&mut self, now: Instant) {
+    /// Makes the next round due at once, with more nodes than usual.
+    pub(super) fn schedule_urgent_round(&mut self, now: Instant) {
         self.next_round = now;
         self.urgent = true;
     }
 
-    /// Whether a record may be requested: not when it was a moment ago.
+    /// Whether a record may be requested: only if the last request for it, or
+    /// for a greater sequence, is at least [`REQUEST_INTERVAL`] ago. Notes the
+    /// request if it may be sent.
     fn may_request(&mut self, sequence: Sequence, now: Instant) -> bool {
-        let lately = self.requested.is_some_and(|(requested, at)| {
+        let is_recent = self.requested.is_some_and(|(requested, at)| {
             requested >= sequence && now.since(at) < REQUEST_INTERVAL
         });
-        if !lately {
+        if !is_recent {
             self.requested = Some((sequence, now));
         }
-        !lately
+        !is_recent
     }
 }
 
 impl Replica {
-    /// Sends this round's digest messages, when it is due.
-    pub(super) fn run_round(&mut self, now: Instant) {
+    /// Sends the probes of a round when the round is due.
+    pub(super) fn send_due_round(&mut self, now: Instant) {
         if now < self.gossip.next_round {
             return;
         }
@@ -92,15 +95,15 @@
         self.gossip.probe = ProbeNumber(number.0.wrapping_add(1));
         for control_address in self.members.pick(fanout, &mut self.random) {
             self.members.record_request_sent(control_address);
-            self.watch(control_address, now);
+            self.track_probe(control_address, now);
             let message = self.digest_message(Exchange::Probe(number), now);
             self.send(control_address, message);
         }
-        self.copies.release_idle(now);
+        self.copies.drop_idle_copies(now);
     }
 
-    /// Takes a node's digest message: answers it, and offers or requests a
-    /// record when one of both is behind.
+    /// Handles a digest message: answers a probe, and offers or requests a
+    /// record if either node is behind.
     pub(super) fn handle_digest(&mut self, from: SocketAddr, digest: &DigestMessage, now: Instant) {
         if digest.sender.node == self.settings.node {
             return;
@@ -110,23 +113,23 @@
         for peer in &digest.peer_sample {
             self.members.record_named_peer(*peer);
         }
-        self.note_alive(digest, now);
-        self.compare_marks(from, digest, now);
+        self.record_digest(digest, now);
+        self.compare_unavailable_targets(from, digest, now);
         match digest.exchange {
             Exchange::Probe(number) => {
                 let answer = self.digest_message(Exchange::Answer(number), now);
                 self.send(from, answer);
             }
-            Exchange::Answer(number) => self.note_answer(number, digest),
+            Exchange::Answer(number) => self.record_probe_answer(number, digest),
         }
         if digest.sequence > self.sequence() {
-            self.note_greater(from, digest.sequence, now);
+            self.handle_greater_sequence(from, digest.sequence, now);
         } else if digest.sequence < self.sequence() {
             self.offer_to(from, digest.snapshot_digest, now);
         }
     }
 
-    /// Takes a request for what is in force here.
+    /// Handles a request for an offer.
     pub(super) fn handle_record_request(
         &mut self,
         from: SocketAddr,
@@ -142,12 +145,13 @@
         }
     }
 
-    /// The data path saw a packet under a sequence.
+    /// Handles a sequence that the data path saw in a packet, and requests its
+    /// record if the sequence is greater than the one in force.
     pub(super) fn handle_sequence_seen(&mut self, sequence: Sequence, now: Instant) {
         if sequence <= self.sequence() || self.is_fetching(sequence, now) {
             return;
         }
-        self.greatest_heard = self.greatest_heard.max(sequence);
+        self.greatest_known_sequence = self.greatest_known_sequence.max(sequence);
         if !self.gossip.may_request(sequence, now) {
             return;
         }
@@ -158,11 +162,11 @@
     }
 
     /// Offers the roll that was just adopted to a few nodes.
-    pub(super) fn spread(&mut self) {
-        let Some(offer) = self.newest_offer() else {
+    pub(super) fn offer_adopted_roll(&mut self) {
+        let Some(offer) = self.adopted_offer() else {
             return;
         };
-        let fanout = self.settings.tuning.rumor_fanout;
+        let fanout = self.settings.tuning.offer_fanout;
         for control_address in self.members.pick(fanout, &mut self.random) {
             self.send(
                 control_address,
@@ -171,13 +175,13 @@
         }
     }
 
-    /// Tells a few nodes of the record that is being fetched, so that they
-    /// fetch it at the same time and pass chunks to each other.
-    pub(super) fn spread_fetched(&mut self) {
+    /// Offers the record that is being fetched to a few nodes, so that they
+    /// fetch its snapshot at the same time and exchange chunks.
+    pub(super) fn offer_fetched_roll(&mut self) {
         let Some(offer) = self.fetched_offer() else {
             return;
         };
-        let fanout = self.settings.tuning.rumor_fanout;
+        let fanout = self.settings.tuning.offer_fanout;
         for control_address in self.members.pick(fanout, &mut self.random) {
             self.send(
                 control_address,
@@ -204,18 +208,18 @@
         }
     }
 
-    fn note_answer(&mut self, number: ProbeNumber, digest: &DigestMessage) {
+    fn record_probe_answer(&mut self, number: ProbeNumber, digest: &DigestMessage) {
         if digest.sequence > Sequence::default() {
-            self.joining.peer_answered(digest.sender.node);
+            self.joining.record_peer_answer(digest.sender.node);
         }
         if digest.sequence <= self.sequence() {
-            self.vigilance.confirmed_by_peer(number);
+            self.pause_detector.record_peer_confirmation(number);
         }
     }
 
-    /// A node has a greater sequence in force.
-    fn note_greater(&mut self, from: SocketAddr, sequence: Sequence, now: Instant) {
-        self.greatest_heard = self.greatest_heard.max(sequence);
+    /// Handles the information that a node has a greater sequence in force.
+    fn handle_greater_sequence(&mut self, from: SocketAddr, sequence: Sequence, now: Instant) {
+        self.greatest_known_sequence = self.greatest_known_sequence.max(sequence);
         if let Some(fetch) = &mut self.fetch
             && fetch.record().sequence() == sequence
         {
@@ -234,13 +238,17 @@
         fetch.is_some_and(|fetch| fetch.record().sequence() >= sequence && !fetch.is_stuck(now))
     }
 
-    fn offer_to(&mut self, to: SocketAddr, have: Digest, now: Instant) {
-        let delta = self.history.since(have);
+    fn offer_to(&mut self, to: SocketAddr, base: Digest, now: Instant) {
+        let delta = self.delta_history.delta_from(base);
         let Some(offer) = self.offer(delta.as_ref()) else {
             return;
         };
         let message = ControlMessage::Offer(Box::new(offer));
-        if self.gossip.offer_pace.take(message.datagram_length(), now) {
+        if self
+            .gossip
+            .offer_bucket
+            .take(message.datagram_length(), now)
+        {
             self.send(to, message);
         }
     }
@@ -252,11 +260,11 @@
         }
     }
 
-    fn newest_offer(&self) -> Option<Offer> {
-        self.offer(self.history.last())
+    fn adopted_offer(&self) -> Option<Offer> {
+        self.offer(self.delta_history.latest())
     }
 
-    /// An offer of the roll in force, with the delta as far as it fits.
+    /// An offer of the roll in force, with the delta if it fits.
     fn offer(&self, delta: Option<&SnapshotDelta>) -> Option<Offer> {
         let record = self.installed.as_ref()?.record.clone();
         Some(Offer::fitting_datagram(record, delta))
--- a/crates/woodladder-core/src/control/replica/install.rs
+++ b/crates/woodladder-core/src/control/replica/install.rs
@@ -1,4 +1,4 @@
-//! Puts a roll in force, or refuses it for good.
+//! Puts a roll in force, or rejects its record.
 
 use std::sync::Arc;
 
@@ -11,87 +11,88 @@
 use crate::control::replica::{InstalledRoll, Replica, ReplicaAction};
 use crate::digest::Digest;
 
-const MAXIMUM_REMEMBERED: usize = 16;
+const MAXIMUM_UNACCEPTABLE_RECORDS: usize = 16;
 
-/// How a snapshot came.
+/// Whether a snapshot was built from a delta or received as a full copy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Way {
+pub(super) enum SnapshotOrigin {
     Delta,
     Copy,
 }
 
 impl Replica {
-    /// Puts a roll in force and offers it to others.
+    /// Puts a roll in force and offers it to other nodes.
     pub(super) fn install(
         &mut self,
         next: Arc<InstalledRoll>,
         delta: Option<SnapshotDelta>,
-        way: Way,
+        origin: SnapshotOrigin,
         now: Instant,
     ) {
         if next.sequence() <= self.sequence() {
             return;
         }
-        self.remember_delta(&next, delta);
+        self.record_delta(&next, delta);
         self.counters.rolls_adopted += 1;
-        if way == Way::Delta {
+        if origin == SnapshotOrigin::Delta {
             self.counters.rolls_adopted_by_delta += 1;
         }
         let first = self.installed.is_none();
         self.installed = Some(Arc::clone(&next));
-        let overtaken = |fetch: &Fetch| fetch.record().sequence() <= next.sequence();
-        if self.fetch.as_ref().is_some_and(overtaken) {
+        let is_superseded = |fetch: &Fetch| fetch.record().sequence() <= next.sequence();
+        if self.fetch.as_ref().is_some_and(is_superseded) {
             self.fetch = None;
         }
-        self.joining.installed(now);
-        if first || self.vigilance.is_suspect(now) {
-            self.gossip.round_soon(now);
+        self.joining.record_install(now);
+        if first || self.pause_detector.is_suspect(now) {
+            self.gossip.schedule_urgent_round(now);
         }
         self.actions.push(ReplicaAction::Install(next));
         self.forget_removed_targets();
         if self.unavailable_target_count() > 0 {
-            self.refresh(now);
+            self.replace_routing_table(now);
         }
-        self.spread();
+        self.offer_adopted_roll();
         self.resume_deferred(now);
     }
 
-    fn remember_delta(&mut self, next: &InstalledRoll, delta: Option<SnapshotDelta>) {
+    fn record_delta(&mut self, next: &InstalledRoll, delta: Option<SnapshotDelta>) {
         let Some(previous) = &self.installed else {
-            self.history.begin(next.digest());
+            self.delta_history.reset(next.digest());
             return;
         };
         let delta =
             delta.unwrap_or_else(|| SnapshotDelta::between(&previous.snapshot, &next.snapshot));
-        self.history.push(delta, next.digest());
+        self.delta_history.push(delta, next.digest());
     }
 
-    /// Refuses the snapshot of a record; for good when no other source can
-    /// make it acceptable.
-    pub(super) fn refuse_content(&mut self, record: &RollRecord, rejection: Rejection) {
-        self.refuse(rejection);
+    /// Rejects the snapshot of a record. If no other source can make the record
+    /// acceptable, the record is remembered as unacceptable and no longer
+    /// fetched.
+    pub(super) fn reject_content(&mut self, record: &RollRecord, rejection: Rejection) {
+        self.count_rejection(rejection);
         if !rejection.is_final() {
             return;
         }
-        if self.unacceptable.len() == MAXIMUM_REMEMBERED {
-            self.unacceptable.remove(0);
+        if self.unacceptable_records.len() == MAXIMUM_UNACCEPTABLE_RECORDS {
+            self.unacceptable_records.remove(0);
         }
-        self.unacceptable.push(record_digest(record));
+        self.unacceptable_records.push(record_digest(record));
         if self.fetch.as_ref().map(Fetch::record) == Some(record) {
             self.fetch = None;
         }
-        if self.greatest_heard == record.sequence() {
-            self.greatest_heard = self.sequence();
+        if self.greatest_known_sequence == record.sequence() {
+            self.greatest_known_sequence = self.sequence();
         }
     }
 
-    /// Whether the record was refused for good.
-    pub(super) fn is_unacceptable(&self, record: &RollRecord) -> bool {
-        self.unacceptable.contains(&record_digest(record))
+    /// Whether the record is remembered as unacceptable.
+    pub(super) fn is_known_unacceptable(&self, record: &RollRecord) -> bool {
+        self.unacceptable_records.contains(&record_digest(record))
     }
 
-    /// Counts a refusal.
-    pub(super) fn refuse(&mut self, rejection: Rejection) {
+    /// Counts a rejection.
+    pub(super) fn count_rejection(&mut self, rejection: Rejection) {
         self.counters.rejections.count(rejection);
     }
 }
--- a/crates/woodladder-core/src/control/replica/installed.rs
+++ b/crates/woodladder-core/src/control/replica/installed.rs
@@ -1,4 +1,4 @@
-//! A roll in force, ready for use by the data path.
+//! A roll in force, prepared for the data path.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use crate::identifier::Sequence;
 use crate::packets::routing_table::RoutingTable;
 
-/// A roll that passed all checks, with its directory.
+/// A roll that passed all checks, with its routing table.
 #[derive(Clone, Debug)]
 pub struct InstalledRoll {
     /// The signed record.
     pub record: RollRecord,
-    /// The snapshot that the record names.
+    /// The snapshot that the record states.
     pub snapshot: Snapshot,
-    /// The snapshot, laid out for looking up.
+    /// The snapshot, prepared for lookups.
     pub directory: RoutingTable,
 }
 
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Position in the order of all rolls.
+    /// Sequence of the roll.
     #[must_use]
     pub fn sequence(&self) -> Sequence {
         self.record.sequence()
--- a/crates/woodladder-core/src/control/replica/joining.rs
+++ b/crates/woodladder-core/src/control/replica/joining.rs
@@ -1,8 +1,8 @@
-//! Decides when a node that started has heard enough to serve.
+//! Decides when a node that has started becomes ready to serve.
 //!
-//! The first roll heard may be an old one. A node waits for the answers of
-//! several others and of the key-value service, or for a bounded time after
-//! the first roll was put in force.
+//! The first roll that a node receives may be outdated. Before the node becomes
+//! ready, it waits for answers of several other nodes and of the key-value
+//! service, or for a bounded time after its first roll was put in force.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::control::replica::ReplicaTuning;
 use crate::identifier::{NodeId, Sequence};
 
-/// What a node has heard since its first roll.
+/// What the node has received since it started.
 #[derive(Clone, Debug)]
 pub(super) struct Joining {
-    wanted_answers: usize,
-    time: Duration,
-    first_installed_at: Option<Instant>,
-    answered: Vec<NodeId>,
-    store_settled: bool,
+    required_answers: usize,
+    timeout: Duration,
+    first_install: Option<Instant>,
+    answered_nodes: Vec<NodeId>,
+    store_answered_or_failed: bool,
     ready: bool,
 }
 
-/// What a node has in force and is fetching.
+/// Progress of the replica as far as readiness depends on it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JoinProgress {
     pub(super) installed: Option<Sequence>,
-    pub(super) greatest_heard: Sequence,
+    pub(super) greatest_known_sequence: Sequence,
     pub(super) fetching: bool,
     pub(super) known_nodes: usize,
 }
@@ -33,11 +33,11 @@
 impl Joining {
     pub(super) fn new(tuning: &ReplicaTuning) -> Self {
         Self {
-            wanted_answers: tuning.join_answers,
-            time: tuning.join_time,
-            first_installed_at: None,
-            answered: Vec::new(),
-            store_settled: false,
+            required_answers: tuning.join_answers,
+            timeout: tuning.join_timeout,
+            first_install: None,
+            answered_nodes: Vec::new(),
+            store_answered_or_failed: false,
             ready: false,
         }
     }
@@ -46,49 +46,52 @@
         self.ready
     }
 
-    /// Takes note that the first roll was put in force.
-    pub(super) fn installed(&mut self, now: Instant) {
-        self.first_installed_at.get_or_insert(now);
+    /// Records that a roll was put in force; only the first one counts.
+    pub(super) fn record_install(&mut self, now: Instant) {
+        self.first_install.get_or_insert(now);
     }
 
-    /// Takes note that a node answered which has a roll in force.
-    pub(super) fn peer_answered(&mut self, node: NodeId) {
-        if !self.ready && !self.answered.contains(&node) {
-            self.answered.push(node);
+    /// Records an answer of a node that has a roll in force.
+    pub(super) fn record_peer_answer(&mut self, node: NodeId) {
+        if !self.ready && !self.answered_nodes.contains(&node) {
+            self.answered_nodes.push(node);
         }
     }
 
-    /// Takes note that the key-value service answered or could not be read.
-    pub(super) fn store_settled(&mut self) {
-        self.store_settled = true;
+    /// Records that a read of the key-value service succeeded or failed.
+    pub(super) fn record_store_result(&mut self) {
+        self.store_answered_or_failed = true;
     }
 
-    /// Turns ready when enough was heard or the time is over.
+    /// Makes the node ready if it has enough answers or the time limit has
+    /// passed.
     pub(super) fn update(&mut self, progress: JoinProgress, now: Instant) {
         let Some(installed) = progress.installed else {
             return;
         };
-        let wanted = self.wanted_answers.min(progress.known_nodes);
-        let enough = self.answered.len() >= wanted && self.store_settled;
-        let up_to_date = installed >= progress.greatest_heard;
-        if enough && up_to_date && !progress.fetching {
+        let required = self.required_answers.min(progress.known_nodes);
+        let has_enough_answers =
+            self.answered_nodes.len() >= required && self.store_answered_or_failed;
+        let is_up_to_date = installed >= progress.greatest_known_sequence;
+        if has_enough_answers && is_up_to_date && !progress.fetching {
             self.ready = true;
         }
-        let limit = self.limit(progress.fetching);
-        if limit.is_some_and(|limit| now >= limit) {
+        let deadline = self.deadline(progress.fetching);
+        if deadline.is_some_and(|deadline| now >= deadline) {
             self.ready = true;
         }
     }
 
-    /// When the node turns ready at the latest, if nothing changes.
+    /// When the node becomes ready at the latest, if nothing changes.
     pub(super) fn next_wakeup(&self, fetching: bool) -> Option<Instant> {
-        self.limit(fetching).filter(|_| !self.ready)
+        self.deadline(fetching).filter(|_| !self.ready)
     }
 
-    /// A greater roll that is being fetched gets as much time again.
-    fn limit(&self, fetching: bool) -> Option<Instant> {
+    /// Time limit, which is twice as long while a roll with a greater sequence
+    /// is being fetched.
+    fn deadline(&self, fetching: bool) -> Option<Instant> {
         let factor = if fetching { 2 } else { 1 };
-        self.first_installed_at
-            .map(|first| first + self.time * factor)
+        self.first_install
+            .map(|first| first + self.timeout * factor)
     }
 }
--- a/crates/woodladder-core/src/control/replica/machine.rs
+++ b/crates/woodladder-core/src/control/replica/machine.rs
@@ -1,4 +1,4 @@
-//! The replica's state and the dispatch of events.
+//! State of a replica and dispatch of events.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use crate::control::membership::{MemberCounts, Membership};
 use crate::control::replica::availability::AvailabilityState;
 use crate::control::replica::copy_server::CopyServer;
+use crate::control::replica::delta_history::DeltaHistory;
 use crate::control::replica::fetch::Fetch;
 use crate::control::replica::gossip::Gossip;
-use crate::control::replica::history::History;
 use crate::control::replica::joining::Joining;
-use crate::control::replica::pace::Pace;
+use crate::control::replica::pause_detector::PauseDetector;
 use crate::control::replica::store_reader::StoreReader;
-use crate::control::replica::vigilance::Vigilance;
+use crate::control::replica::token_bucket::TokenBucket;
 use crate::control::replica::{
     InstalledRoll, ReplicaAction, ReplicaCounters, ReplicaEvent, ReplicaSettings,
 };
@@ -32,27 +32,28 @@
     pub(super) random: ChaCha8Rng,
     pub(super) members: Membership,
     pub(super) installed: Option<Arc<InstalledRoll>>,
-    pub(super) history: History,
+    pub(super) delta_history: DeltaHistory,
     pub(super) fetch: Option<Fetch>,
-    /// A greater record whose fetch got stuck while a smaller one could be had.
+    /// A record with a greater sequence than the one being fetched, put aside
+    /// because its fetch was stuck.
     pub(super) deferred: Option<RollRecord>,
-    pub(super) fetch_pace: Pace,
+    pub(super) fetch_bucket: TokenBucket,
     pub(super) copies: CopyServer,
     pub(super) gossip: Gossip,
     pub(super) store: StoreReader,
-    pub(super) next_request: StoreRequestId,
+    pub(super) next_store_request: StoreRequestId,
     pub(super) joining: Joining,
-    pub(super) vigilance: Vigilance,
+    pub(super) pause_detector: PauseDetector,
     pub(super) availability: AvailabilityState,
-    pub(super) greatest_heard: Sequence,
-    pub(super) unacceptable: Vec<Digest>,
+    pub(super) greatest_known_sequence: Sequence,
+    pub(super) unacceptable_records: Vec<Digest>,
     pub(super) leaving: bool,
     pub(super) counters: ReplicaCounters,
     pub(super) actions: Vec<ReplicaAction>,
 }
 
 impl Replica {
-    /// A replica that has no roll yet.
+    /// A replica without a roll in force.
     #[must_use]
     pub fn new(settings: ReplicaSettings, random: ChaCha8Rng, now: Instant) -> Self {
         let tuning = settings.tuning;
@@ -68,19 +69,19 @@
             random,
             members,
             installed: None,
-            history: History::default(),
+            delta_history: DeltaHistory::default(),
             fetch: None,
             deferred: None,
-            fetch_pace: Pace::new(tuning.copy_bytes_per_second, now),
+            fetch_bucket: TokenBucket::new(tuning.copy_bytes_per_second, now),
             copies: CopyServer::new(tuning.copy_bytes_per_second, now),
             gossip: Gossip::new(&tuning, now),
             store: StoreReader::new(&tuning, now),
-            next_request: StoreRequestId(1),
+            next_store_request: StoreRequestId(1),
             joining: Joining::new(&tuning),
-            vigilance: Vigilance::new(tuning.suspect_time, now),
+            pause_detector: PauseDetector::new(tuning.suspect_timeout, now),
             availability: AvailabilityState::new(&settings, now),
-            greatest_heard: Sequence::default(),
-            unacceptable: Vec::new(),
+            greatest_known_sequence: Sequence::default(),
+            unacceptable_records: Vec::new(),
             leaving: false,
             counters: ReplicaCounters::default(),
             actions: Vec::new(),
@@ -88,10 +89,10 @@
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: ReplicaEvent, now: Instant) -> Vec<ReplicaAction> {
-        if self.vigilance.called(now) {
-            self.begin_suspicion(now);
+        if self.pause_detector.record_call(now) {
+            self.become_suspect(now);
         }
         match event {
             ReplicaEvent::Tick => {}
@@ -101,14 +102,14 @@
             }
             ReplicaEvent::BadFrame(error) => self.counters.rejections.count_frame(error),
             ReplicaEvent::StoreAnswer { request, answer } => {
-                self.handle_store(request, answer, now)
+                self.handle_store_answer(request, answer, now)
             }
             ReplicaEvent::MachineList(machines) => self.members.apply_machine_list(&machines),
             ReplicaEvent::SequenceSeen(sequence) => self.handle_sequence_seen(sequence, now),
             ReplicaEvent::Leaving => {
                 self.leaving = true;
                 self.announce(Availability::Leaving, now);
-                self.gossip.round_soon(now);
+                self.gossip.schedule_urgent_round(now);
             }
             ReplicaEvent::TakesNewFlows(true) if !self.leaving => {
                 self.announce(Availability::Serving, now);
@@ -119,15 +120,15 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`ReplicaEvent::Tick`] is to be handled at the latest.
+    /// Latest time for the next [`ReplicaEvent::Tick`].
     #[must_use]
     pub fn next_wakeup(&self) -> Instant {
         let fetching = self.fetch.is_some();
         let fetch = self.fetch.as_ref();
         let optional = [
-            fetch.and_then(|fetch| fetch.next_wakeup(&self.fetch_pace)),
+            fetch.and_then(|fetch| fetch.next_wakeup(&self.fetch_bucket)),
             self.joining.next_wakeup(fetching),
-            self.vigilance.next_wakeup(),
+            self.pause_detector.next_wakeup(),
             self.availability.next_wakeup(),
         ];
         let regular = self.gossip.next_round().min(self.store.next_wakeup());
@@ -140,8 +141,9 @@
         self.installed.as_ref()
     }
 
-    /// Keeps `same` in place of its own copy of the roll in force, so that many
-    /// replicas of one process hold it once. Ignored when it is another roll.
+    /// Replaces the replica's own copy of the roll in force by `same`, so that
+    /// several replicas in one process share one allocation. Does nothing if
+    /// `same` is another roll.
     pub fn share_installed(&mut self, same: &Arc<InstalledRoll>) {
         let own = self.installed.as_ref();
         if own.is_some_and(|own| own.record == same.record) {
@@ -156,38 +158,40 @@
         installed.map_or(Sequence::default(), |installed| installed.sequence())
     }
 
-    /// Whether the node has a roll in force and heard enough to serve.
+    /// Whether the node has a roll in force and has heard from enough nodes to
+    /// serve.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.joining.is_ready()
     }
 
-    /// Whether the process was paused and nobody has confirmed the roll in
-    /// force since. True before the first call after the pause too.
+    /// Whether the process was paused and the roll in force has not been
+    /// confirmed since. Also true between the end of a pause and the first call
+    /// after it.
     #[must_use]
     pub fn is_suspect(&self, now: Instant) -> bool {
-        self.vigilance.is_suspect(now)
+        self.pause_detector.is_suspect(now)
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether the node has begun a planned stop.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counters(&self) -> &ReplicaCounters {
         &self.counters
     }
 
-    /// Counts over the members known.
+    /// Number of members by state.
     #[must_use]
     pub fn member_counts(&self, now: Instant) -> MemberCounts {
         self.members.counts(now)
     }
 
-    /// Status, as an operator's command gets it.
+    /// Status for an operator's command.
     #[must_use]
     pub fn status(&self, number: ProbeNumber, now: Instant) -> StatusReply {
         let counts = self.members.counts(now);
@@ -219,9 +223,9 @@
         self.actions.push(ReplicaAction::Send { to, message });
     }
 
-    pub(super) fn take_request_number(&mut self) -> StoreRequestId {
-        let number = self.next_request;
-        self.next_request = StoreRequestId(number.0 + 1);
+    pub(super) fn take_store_request_id(&mut self) -> StoreRequestId {
+        let number = self.next_store_request;
+        self.next_store_request = StoreRequestId(number.0 + 1);
         number
     }
 
@@ -255,19 +259,20 @@
         self.send(from, ControlMessage::StatusReply(reply));
     }
 
-    fn begin_suspicion(&mut self, now: Instant) {
+    fn become_suspect(&mut self, now: Instant) {
         self.counters.pauses_detected += 1;
         let probe = self.gossip.next_probe();
-        self.vigilance.suspect(probe, self.next_request, now);
-        self.gossip.round_soon(now);
-        self.store.read_soon(now);
-        self.availability.probing.forget();
+        self.pause_detector
+            .become_suspect(probe, self.next_store_request, now);
+        self.gossip.schedule_urgent_round(now);
+        self.store.schedule_read_now(now);
+        self.availability.probing.clear();
     }
 
     fn run_due(&mut self, now: Instant) {
-        self.run_round(now);
-        self.run_store(now);
-        self.run_fetch(now);
+        self.send_due_round(now);
+        self.send_due_store_reads(now);
+        self.send_due_fetch_requests(now);
         self.update_joining(now);
         self.run_availability(now);
     }
--- a/crates/woodladder-core/src/control/replica/mod.rs
+++ b/crates/woodladder-core/src/control/replica/mod.rs
@@ -1,18 +1,19 @@
 //! The replica: keeps the roll in force up to date at one node.
 //!
-//! Every node runs the same state machine; none leads. A replica adopts a roll
-//! only when its sequence is greater than the one in force, its record bears a
-//! trusted operator's signature, its snapshot has the digest that the record
-//! names and the bundle's sign-off is trusted. So it never goes back, and who
-//! delivered the roll does not matter.
+//! Every node runs the same state machine; there is no leader. A replica adopts
+//! a roll only if its sequence is greater than the one in force, its record is
+//! signed by a trusted operator, its snapshot has the digest that the record
+//! states, and the sign-off of its bundle is trusted. The roll in force
+//! therefore never reverts to an earlier one, and a roll may be accepted from
+//! any sender.
 //!
 //! | part | modules |
 //! | --- | --- |
 //! | interface | [`Replica`], [`ReplicaSettings`], [`ReplicaEvent`], [`ReplicaAction`], [`InstalledRoll`] |
-//! | checks | `adoption`, `install` |
-//! | spreading | `gossip`, `history`, `copy_server` |
-//! | catching up | `catch_up`, `fetch`, `copy_assembly`, `store_access`, `store_reader`, `snapshot_read`, `pace` |
-//! | confidence | `joining`, `vigilance` |
+//! | validation and installation | `adoption`, `install` |
+//! | dissemination | `gossip`, `delta_history`, `copy_server` |
+//! | fetching snapshots | `catch_up`, `fetch`, `copy_assembly`, `store_access`, `store_reader`, `snapshot_read`, `token_bucket` |
+//! | readiness and pauses | `joining`, `pause_detector` |
 //! | availability of targets | `availability`, `probing` |
 
 mod adoption;
@@ -21,21 +22,21 @@
 mod copy_assembly;
 mod copy_server;
 mod counters;
+mod delta_history;
 mod event;
 mod fetch;
 mod gossip;
-mod history;
 mod install;
 mod installed;
 mod joining;
 mod machine;
-mod pace;
+mod pause_detector;
 mod probing;
 mod settings;
 mod snapshot_read;
 mod store_access;
 mod store_reader;
-mod vigilance;
+mod token_bucket;
 
 pub use adoption::{MAXIMUM_SNAPSHOT_LENGTH, Rejection};
 pub use copy_server::CopyServer;
@@ -43,4 +44,4 @@
 pub use event::{ReplicaAction, ReplicaEvent};
 pub use installed::InstalledRoll;
 pub use machine::Replica;
-pub use settings::{LEASE_LENGTH, ReplicaSettings, ReplicaTuning};
+pub use settings::{PAUSE_THRESHOLD, ReplicaSettings, ReplicaTuning};
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -1,5 +1,5 @@
-//! Finds agents that do not answer: watches the probes that rounds send,
-//! repeats them, and asks other nodes to probe as well.
+//! Detects agents that do not answer: tracks the probes that gossip rounds
+//! send, repeats them, and asks other nodes to probe as well.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,30 +12,31 @@
 use crate::control::replica::Replica;
 use crate::identifier::TargetId;
 
-/// Time for which a node does not call an agent unreachable a second time, so
-/// that a path between just the two does not divert flows again and again.
-const SECOND_ACCUSATION_AFTER: Duration = Duration::from_secs(30);
-/// Time for which a node that probes on request waits for the answer.
-const REQUEST_TIME: Duration = Duration::from_secs(2);
-/// Nodes that are asked to probe one that does not answer.
-const HELPERS: usize = 2;
-/// Requests of others that a node sees to at the same time.
-const MAXIMUM_REQUESTS: usize = 32;
+/// Time during which a node does not report the same agent as unreachable
+/// again. Without this limit, a broken path between just these two nodes would
+/// divert flows from the agent again and again.
+const REPEATED_REPORT_INTERVAL: Duration = Duration::from_secs(30);
+/// How long a node that probes on behalf of another waits for the answer.
+const PROBE_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of nodes that are asked to probe an agent that does not answer.
+const INDIRECT_PROBERS: usize = 2;
+/// Largest number of probes on behalf of other nodes at the same time.
+const MAXIMUM_REQUESTED_PROBES: usize = 32;
 
-/// A probe that another node asked for.
+/// A probe on behalf of another node.
 #[derive(Clone, Copy, Debug)]
-struct Requested {
+struct RequestedProbe {
     control_address: SocketAddr,
-    by: SocketAddr,
-    until: Instant,
+    requester: SocketAddr,
+    expires_at: Instant,
 }
 
-/// Probes that wait for answers.
+/// Probes that have not been answered yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probing {
     pending_probes: PendingProbes,
-    requested: Vec<Requested>,
-    accused: TargetSchedule,
+    requested_probes: Vec<RequestedProbe>,
+    recently_reported: TargetSchedule,
 }
 
 impl Probing {
@@ -43,29 +44,31 @@
         self.pending_probes.next_deadline()
     }
 
-    /// A paused process cannot tell who was silent meanwhile.
-    pub(super) fn forget(&mut self) {
+    /// Drops all pending probes, because a process that was paused cannot tell
+    /// which nodes failed to answer in the meantime.
+    pub(super) fn clear(&mut self) {
         self.pending_probes.clear();
     }
 }
 
 impl Replica {
-    /// Takes note of a probe that a round sends.
-    pub(super) fn watch(&mut self, control_address: SocketAddr, now: Instant) {
+    /// Tracks a probe that a gossip round sends, if the receiver is an
+    /// available agent.
+    pub(super) fn track_probe(&mut self, control_address: SocketAddr, now: Instant) {
         let report = self
             .availability
             .table
             .report_at_address(control_address)
             .copied();
-        let serving = report.filter(|report| report.availability == Availability::Serving);
-        if let Some(report) = serving {
+        let available = report.filter(|report| report.availability == Availability::Serving);
+        if let Some(report) = available {
             let pending_probes = &mut self.availability.probing.pending_probes;
             pending_probes.track(report.target, control_address, now);
         }
     }
 
-    /// Takes note of a digest message from a node itself.
-    pub(super) fn note_alive(&mut self, digest: &DigestMessage, now: Instant) {
+    /// Records a digest message from a node itself.
+    pub(super) fn record_digest(&mut self, digest: &DigestMessage, now: Instant) {
         let control_address = digest.sender.control_address;
         let probing = &mut self.availability.probing;
         probing.pending_probes.record_alive(control_address);
@@ -73,90 +76,99 @@
             return;
         };
         probing.pending_probes.record_answer(now);
-        let (answered, waiting): (Vec<Requested>, Vec<Requested>) = probing
-            .requested
+        let (answered, waiting): (Vec<RequestedProbe>, Vec<RequestedProbe>) = probing
+            .requested_probes
             .iter()
             .partition(|requested| requested.control_address == control_address);
-        probing.requested = waiting;
+        probing.requested_probes = waiting;
         for requested in answered {
             let confirmed = ProbeConfirmed { control_address };
-            self.send(requested.by, ControlMessage::ProbeConfirmed(confirmed));
+            self.send(
+                requested.requester,
+                ControlMessage::ProbeConfirmed(confirmed),
+            );
         }
     }
 
-    /// Probes a node for another.
+    /// Probes a node on behalf of another.
     pub(super) fn handle_probe_request(
         &mut self,
         from: SocketAddr,
         request: ProbeRequest,
         now: Instant,
     ) {
-        let requested = &mut self.availability.probing.requested;
-        requested.retain(|known| known.until > now);
-        if requested.len() >= MAXIMUM_REQUESTS
+        let requested = &mut self.availability.probing.requested_probes;
+        requested.retain(|known| known.expires_at > now);
+        if requested.len() >= MAXIMUM_REQUESTED_PROBES
             || request.control_address == self.settings.control_address
         {
             return;
         }
-        requested.push(Requested {
+        requested.push(RequestedProbe {
             control_address: request.control_address,
-            by: from,
-            until: now + REQUEST_TIME,
+            requester: from,
+            expires_at: now + PROBE_REQUEST_TIMEOUT,
         });
-        self.probe_again(request.control_address, now);
+        self.probe_now(request.control_address, now);
     }
 
-    /// A node answered to another that probed it on request.
+    /// Records that a node answered the probe that another node sent on this
+    /// node's behalf.
     pub(super) fn handle_probe_confirmed(&mut self, confirmed: ProbeConfirmed, now: Instant) {
         let pending_probes = &mut self.availability.probing.pending_probes;
         pending_probes.record_alive(confirmed.control_address);
         pending_probes.record_answer(now);
     }
 
-    /// Probes a node outside the rounds, if the rate allows for it.
-    pub(super) fn probe_again(&mut self, control_address: SocketAddr, now: Instant) {
+    /// Probes a node outside the gossip rounds, if the rate limit allows it.
+    pub(super) fn probe_now(&mut self, control_address: SocketAddr, now: Instant) {
         let probe = Exchange::Probe(self.gossip.next_probe());
         let message = self.digest_message(probe, now);
-        if self.availability.pace.take(message.datagram_length(), now) {
+        if self
+            .availability
+            .report_bucket
+            .take(message.datagram_length(), now)
+        {
             self.send(control_address, message);
         }
     }
 
     pub(super) fn run_probing(&mut self, now: Instant) {
         let probing = &mut self.availability.probing;
-        while probing.accused.take_due(now).is_some() {}
+        while probing.recently_reported.take_due(now).is_some() {}
         for step in probing.pending_probes.take_due(now) {
             match step {
-                ProbeStep::Repeat(control_address) => self.probe_again(control_address, now),
+                ProbeStep::Repeat(control_address) => self.probe_now(control_address, now),
                 ProbeStep::RepeatIndirectly(control_address) => {
-                    self.probe_again(control_address, now);
-                    self.ask_to_probe(control_address, now);
+                    self.probe_now(control_address, now);
+                    self.request_indirect_probes(control_address, now);
                 }
-                ProbeStep::Unreachable(target) => self.judge(target, now),
+                ProbeStep::Unreachable(target) => self.handle_unreachable(target, now),
             }
         }
     }
 
-    /// Asks others to probe a node, and probes them: unless one of them
-    /// answers, the silence tells nothing about the node.
-    fn ask_to_probe(&mut self, control_address: SocketAddr, now: Instant) {
-        let picked = self.members.pick(HELPERS + 1, &mut self.random);
+    /// Asks other nodes to probe a node, and probes these helpers too: unless
+    /// one of them answers, the silence may be this node's own fault and proves
+    /// nothing.
+    fn request_indirect_probes(&mut self, control_address: SocketAddr, now: Instant) {
+        let picked = self.members.pick(INDIRECT_PROBERS + 1, &mut self.random);
         let helpers = picked
             .into_iter()
             .filter(|picked| *picked != control_address);
-        for helper in helpers.take(HELPERS) {
+        for helper in helpers.take(INDIRECT_PROBERS) {
             let request = ProbeRequest { control_address };
             self.send(helper, ControlMessage::ProbeRequest(request));
-            self.probe_again(helper, now);
+            self.probe_now(helper, now);
         }
     }
 
-    fn judge(&mut self, target: TargetId, now: Instant) {
-        let accused = &mut self.availability.probing.accused;
-        if accused.contains(target) || self.vigilance.is_suspect(now) {
+    fn handle_unreachable(&mut self, target: TargetId, now: Instant) {
+        let recently_reported = &mut self.availability.probing.recently_reported;
+        if recently_reported.contains(target) || self.pause_detector.is_suspect(now) {
             return;
         }
-        accused.set(target, now + SECOND_ACCUSATION_AFTER);
-        self.accuse(target, now);
+        recently_reported.set(target, now + REPEATED_REPORT_INTERVAL);
+        self.report_unreachable(target, now);
     }
 }
--- a/crates/woodladder-core/src/control/replica/settings.rs
+++ b/crates/woodladder-core/src/control/replica/settings.rs
@@ -1,4 +1,4 @@
-//! What a replica is told when it starts.
+//! Settings of a replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,26 +8,27 @@
 use crate::identifier::NodeId;
 use crate::signature::TrustedKeys;
 
-/// A replica that was not called for longer than this was paused, and does not
-/// trust what it has in force until it asked others again.
-pub const LEASE_LENGTH: Duration = Duration::from_secs(5);
+/// A replica that was not called for longer than this was paused. It does not
+/// rely on the roll in force until another node or the key-value service has
+/// confirmed it.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(5);
 
-/// Identity and surroundings of a replica.
+/// Identity and configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// Identifier of the process.
     pub node: NodeId,
-    /// What the node does.
+    /// Role of the node.
     pub role: Role,
-    /// Where the node is.
+    /// Location of the node.
     pub locality: Locality,
-    /// Address that other nodes send control messages to.
+    /// Address at which other nodes send control messages to this node.
     pub control_address: SocketAddr,
-    /// Target that the node stands beside, when it is an agent.
+    /// Target that the node serves; `None` when the node is not an agent.
     pub served_target: Option<ServedTarget>,
-    /// Addresses of other nodes from the settings file, if any.
+    /// Control addresses of other nodes from the settings file.
     pub seeds: Vec<SocketAddr>,
-    /// Operators whose signatures are accepted.
+    /// Keys of the operators whose signatures are accepted.
     pub trusted: TrustedKeys,
     /// Intervals, counts and limits.
     pub tuning: ReplicaTuning,
@@ -38,26 +39,31 @@
 pub struct ReplicaTuning {
     /// Mean time between two rounds of digest messages.
     pub digest_interval: Duration,
-    /// Nodes that each round asks.
+    /// Number of nodes that each round probes.
     pub digest_fanout: usize,
-    /// Nodes that a newly adopted roll is offered to at once.
-    pub rumor_fanout: usize,
-    /// Bytes a second that the node fetches of copies, and that it sends.
+    /// Number of nodes to which a newly adopted roll, or one that is being
+    /// fetched, is offered at once.
+    pub offer_fanout: usize,
+    /// Mean rate of copies that the node fetches; it also limits the copies
+    /// and, separately, the offers that the node sends.
     pub copy_bytes_per_second: u32,
-    /// Bytes a second that the node sends about targets' availability.
+    /// Mean rate of messages about the availability of targets that the node
+    /// sends.
     pub report_bytes_per_second: u32,
-    /// Reads a second of the key-value service by all nodes together.
+    /// Reads of the key-value service per second by all nodes together.
     pub store_reads_per_second: u32,
-    /// Nodes up to which each node watches the key-value service instead of
-    /// reading it at intervals.
-    pub watch_limit: usize,
-    /// Longest time that a node waits for answers before it serves.
-    pub join_time: Duration,
-    /// Nodes whose answers are enough to serve, with the service's answer.
+    /// Largest number of known nodes at which a node watches the key-value
+    /// service in addition to reading it at intervals.
+    pub maximum_watching_nodes: usize,
+    /// Longest time that a node waits for answers after its first roll before
+    /// it becomes ready.
+    pub join_timeout: Duration,
+    /// Number of nodes that must answer, in addition to the key-value service,
+    /// for a node to become ready.
     pub join_answers: usize,
     /// Longest time that a node stays suspect after a pause.
-    pub suspect_time: Duration,
-    /// Nodes that the table of members holds.
+    pub suspect_timeout: Duration,
+    /// Largest number of nodes in the member table.
     pub member_capacity: usize,
 }
 
@@ -66,21 +72,21 @@
         Self {
             digest_interval: Duration::from_secs(1),
             digest_fanout: 2,
-            rumor_fanout: 4,
+            offer_fanout: 4,
             copy_bytes_per_second: 64 * 1024,
             report_bytes_per_second: 16 * 1024,
             store_reads_per_second: 5,
-            watch_limit: 16,
-            join_time: Duration::from_secs(3),
+            maximum_watching_nodes: 16,
+            join_timeout: Duration::from_secs(3),
             join_answers: 3,
-            suspect_time: Duration::from_secs(3),
+            suspect_timeout: Duration::from_secs(3),
             member_capacity: DEFAULT_CAPACITY,
         }
     }
 }
 
 impl ReplicaSettings {
-    /// The node as it names itself to others.
+    /// The node's identity as other nodes receive it.
     #[must_use]
     pub fn peer(&self) -> Peer {
         Peer {
--- a/crates/woodladder-core/src/control/replica/snapshot_read.rs
+++ b/crates/woodladder-core/src/control/replica/snapshot_read.rs
@@ -10,13 +10,14 @@
 use crate::control::store_operation::StoreRequestId;
 
 const READ_TIME_LIMIT: Duration = Duration::from_secs(10);
-/// Mean time that a node waits for others before it reads a snapshot whose
-/// record it read in the key-value service.
-const SOON: Duration = Duration::from_millis(200);
+/// Mean time that a node waits for other nodes to deliver a snapshot, before it
+/// reads the snapshot from the key-value service. Applies when the node read
+/// the record there.
+const MEAN_READ_DELAY: Duration = Duration::from_millis(200);
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 const LONGEST_BACKOFF: Duration = Duration::from_secs(30);
 
-/// How far the reading has come.
+/// State of the read.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     NotNeeded,
@@ -24,50 +25,52 @@
     Reading(StoreRequestId, Instant),
 }
 
-/// The reading of one snapshot.
+/// Read of one snapshot from the key-value service.
 #[derive(Clone, Debug)]
 pub(super) struct SnapshotRead {
     stage: Stage,
     backoff: Duration,
-    /// Time over which all nodes spread their reads of one snapshot.
-    spread: Duration,
+    /// Time over which all nodes together spread their reads of one snapshot.
+    read_spread: Duration,
 }
 
 impl SnapshotRead {
-    /// A reading that is not needed yet.
+    /// A read that is not needed yet.
     pub(super) fn new() -> Self {
         Self {
             stage: Stage::NotNeeded,
             backoff: FIRST_BACKOFF,
-            spread: Duration::ZERO,
+            read_spread: Duration::ZERO,
         }
     }
 
-    /// Reads soon: the record was read in the service, so only as many nodes
-    /// know it as may read.
-    pub(super) fn soon(&mut self, now: Instant, random: &mut impl Rng) {
+    /// Schedules a read soon. The node read the record from the key-value
+    /// service, so the shared rate of those reads already limits how many nodes
+    /// know the record from there.
+    pub(super) fn schedule_soon(&mut self, now: Instant, random: &mut impl Rng) {
         if matches!(self.stage, Stage::NotNeeded) {
-            self.stage = Stage::DueAt(now + jittered(SOON, random));
+            self.stage = Stage::DueAt(now + jittered(MEAN_READ_DELAY, random));
         }
     }
 
-    /// Takes note of whether other nodes deliver; plans a read if not.
-    pub(super) fn plan(
+    /// Updates the schedule: plans a read if the fetch from other nodes is
+    /// stuck, cancels it if they deliver, and retries one that timed out.
+    pub(super) fn update(
         &mut self,
-        delivered: bool,
-        stuck: bool,
-        spread: Duration,
+        has_chunks: bool,
+        is_stuck: bool,
+        read_spread: Duration,
         now: Instant,
         random: &mut impl Rng,
     ) {
-        self.spread = spread;
+        self.read_spread = read_spread;
         match self.stage {
-            Stage::NotNeeded if stuck => {
-                let wait = spread.mul_f64(random.random_range(0.0..1.0));
+            Stage::NotNeeded if is_stuck => {
+                let wait = read_spread.mul_f64(random.random_range(0.0..1.0));
                 self.stage = Stage::DueAt(now + wait);
             }
-            Stage::DueAt(_) if delivered && !stuck => self.stage = Stage::NotNeeded,
-            Stage::Reading(_, limit) if now >= limit => self.failed(now, random),
+            Stage::DueAt(_) if has_chunks && !is_stuck => self.stage = Stage::NotNeeded,
+            Stage::Reading(_, limit) if now >= limit => self.schedule_retry(now, random),
             _ => {}
         }
     }
@@ -77,20 +80,20 @@
         matches!(self.stage, Stage::DueAt(due) if now >= due)
     }
 
-    /// Takes note of the number of the read.
-    pub(super) fn asked(&mut self, request: StoreRequestId, now: Instant) {
+    /// Records the identifier of the read.
+    pub(super) fn record_request(&mut self, request: StoreRequestId, now: Instant) {
         self.stage = Stage::Reading(request, now + READ_TIME_LIMIT);
     }
 
-    /// Whether this is the number of the read under way.
+    /// Whether the read with this identifier is outstanding.
     pub(super) fn is_reading(&self, request: StoreRequestId) -> bool {
         matches!(self.stage, Stage::Reading(known, _) if known == request)
     }
 
-    /// Takes note that the service did not deliver the snapshot. The next read
-    /// keeps to the rate that all nodes share.
-    pub(super) fn failed(&mut self, now: Instant, random: &mut impl Rng) {
-        let pause = self.backoff.max(self.spread);
+    /// Schedules a retry after the service did not deliver the snapshot, within
+    /// the rate that all nodes share.
+    pub(super) fn schedule_retry(&mut self, now: Instant, random: &mut impl Rng) {
+        let pause = self.backoff.max(self.read_spread);
         self.stage = Stage::DueAt(now + jittered(pause, random));
         self.backoff = LONGEST_BACKOFF.min(self.backoff * 2);
     }
--- a/crates/woodladder-core/src/control/replica/store_access.rs
+++ b/crates/woodladder-core/src/control/replica/store_access.rs
@@ -1,4 +1,5 @@
-//! What the replica reads from the key-value service and makes of it.
+//! What a replica reads from the key-value service, and how it handles the
+//! answers.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
 use crate::digest::Digest;
 
 impl Replica {
-    /// Takes an answer of the key-value service.
-    pub(super) fn handle_store(
+    /// Handles an answer of the key-value service.
+    pub(super) fn handle_store_answer(
         &mut self,
         request: StoreRequestId,
         answer: StoreAnswer,
@@ -26,27 +27,35 @@
             self.handle_stored_snapshot(&answer, now);
             return;
         }
-        let awaited = self.store.answered(request, &answer, now, &mut self.random);
-        if awaited {
-            self.joining.store_settled();
+        let is_expected = self
+            .store
+            .record_answer(request, &answer, now, &mut self.random);
+        if is_expected {
+            self.joining.record_store_result();
         }
         match &answer {
-            StoreAnswer::Value { value, .. } => self.handle_current(request, value, awaited, now),
-            StoreAnswer::NotFound if awaited => self.vigilance.confirmed_by_store(request),
+            StoreAnswer::Value { value, .. } => {
+                self.handle_current_entry(request, value, is_expected, now)
+            }
+            StoreAnswer::NotFound if is_expected => {
+                self.pause_detector.record_store_confirmation(request)
+            }
             _ => {}
         }
     }
 
     /// Sends the reads of the current entry that are due.
-    pub(super) fn run_store(&mut self, now: Instant) {
+    pub(super) fn send_due_store_reads(&mut self, now: Instant) {
         let known_nodes = self.members.len();
-        let next_request = &mut self.next_request;
-        let number = || {
-            let number = *next_request;
-            next_request.0 += 1;
+        let next_store_request = &mut self.next_store_request;
+        let next_id = || {
+            let number = *next_store_request;
+            next_store_request.0 += 1;
             number
         };
-        let due = self.store.due(known_nodes, now, &mut self.random, number);
+        let due = self
+            .store
+            .due_requests(known_nodes, now, &mut self.random, next_id);
         for (request, operation) in due {
             self.counters.store_reads += 1;
             self.actions
@@ -54,17 +63,17 @@
         }
     }
 
-    /// Time over which all nodes spread reads of one snapshot, so that they
-    /// stay within the rate that they share.
-    pub(super) fn store_spread(&self) -> Duration {
+    /// Time over which all nodes together spread their reads of one snapshot,
+    /// so that they stay within the shared rate.
+    pub(super) fn store_read_spread(&self) -> Duration {
         let rate = f64::from(self.settings.tuning.store_reads_per_second.max(1));
         let nodes = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
         Duration::from_secs_f64(f64::from(nodes) / rate)
     }
 
     pub(super) fn read_snapshot(&mut self, fetch: &mut Fetch, digest: Digest, now: Instant) {
-        let request = self.take_request_number();
-        fetch.store_read().asked(request, now);
+        let request = self.take_store_request_id();
+        fetch.store_read().record_request(request, now);
         self.counters.store_reads += 1;
         let operation = StoreOperation::Read {
             key: StoreKey::Snapshot(digest),
@@ -74,38 +83,39 @@
             .push(ReplicaAction::Store { request, operation });
     }
 
-    /// Takes a value of the current entry. A value that was not awaited may be
-    /// the late one of a snapshot, so it is no fault when it is no record.
-    fn handle_current(
+    /// Handles a value as one of the current entry. A value that was not
+    /// expected may be a late answer with a snapshot, so it is not counted as
+    /// malformed when it cannot be decoded.
+    fn handle_current_entry(
         &mut self,
         request: StoreRequestId,
         value: &[u8],
-        awaited: bool,
+        is_expected: bool,
         now: Instant,
     ) {
         let Ok(stored) = StoredRoll::try_from_slice(value) else {
-            if awaited {
-                self.refuse(Rejection::Malformed);
+            if is_expected {
+                self.count_rejection(Rejection::Malformed);
             }
             return;
         };
         if stored.record.sequence() <= self.sequence() {
-            self.vigilance.confirmed_by_store(request);
+            self.pause_detector.record_store_confirmation(request);
         }
         let delta = stored.delta.map_or(OfferedDelta::None, |delta| {
             OfferedDelta::Inline(Box::new(delta))
         });
-        self.consider(stored.record, delta, None, now);
+        self.handle_record(stored.record, delta, None, now);
     }
 
     fn handle_stored_snapshot(&mut self, answer: &StoreAnswer, now: Instant) {
         if let StoreAnswer::Value { value, .. } = answer
-            && let Some(rejection) = self.take_copy(value, now)
+            && let Some(rejection) = self.adopt_fetched_copy(value, now)
         {
-            self.refuse_fetched(rejection);
+            self.reject_fetched(rejection);
         }
         if let Some(fetch) = &mut self.fetch {
-            fetch.store_read().failed(now, &mut self.random);
+            fetch.store_read().schedule_retry(now, &mut self.random);
         }
     }
 }
--- a/crates/woodladder-core/src/control/replica/store_reader.rs
+++ b/crates/woodladder-core/src/control/replica/store_reader.rs
@@ -1,8 +1,9 @@
 //! Decides when a node reads the current entry of the key-value service.
 //!
-//! All nodes together stay within a rate, so a node of a large deployment
-//! reads rarely and learns of rolls from others. Watches only shorten the wait
-//! in small deployments; nothing rests on them.
+//! All nodes together stay within a shared rate. In a large deployment each
+//! node therefore reads rarely and learns of rolls from other nodes. Watches,
+//! which are reads that wait for a change, only shorten the delay in small
+//! deployments; correctness does not depend on them.
 
 use std::time::Duration;
 
@@ -15,106 +16,106 @@
 };
 
 const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
-const SHORTEST_PAUSE: Duration = Duration::from_millis(200);
+const SHORTEST_READ_DELAY: Duration = Duration::from_millis(200);
 const READ_TIME_LIMIT: Duration = Duration::from_secs(5);
 const WATCH_TIME_LIMIT: Duration = Duration::from_secs(90);
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
-const LONGEST_BACKOFF_STEPS: u32 = 6;
+const MAXIMUM_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// A request without an answer so far.
+/// A request that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     request: StoreRequestId,
-    given_up_at: Instant,
+    expires_at: Instant,
 }
 
-/// When to read next, and what is under way.
+/// When the next reads are due, and which requests are outstanding.
 #[derive(Clone, Debug)]
 pub(super) struct StoreReader {
     reads_per_second: u32,
-    watch_limit: usize,
+    maximum_watching_nodes: usize,
     watching: bool,
-    read_at: Instant,
+    next_read_at: Instant,
     read: Option<Outstanding>,
-    watch_at: Instant,
+    next_watch_at: Instant,
     watch: Option<Outstanding>,
-    index: Option<StoreIndex>,
+    last_index: Option<StoreIndex>,
     failures: u32,
-    blocked_until: Instant,
+    backoff_until: Instant,
 }
 
 impl StoreReader {
-    /// A reader that reads at once.
+    /// A reader whose first read is due at once.
     pub(super) fn new(tuning: &ReplicaTuning, now: Instant) -> Self {
         Self {
             reads_per_second: tuning.store_reads_per_second.max(1),
-            watch_limit: tuning.watch_limit,
+            maximum_watching_nodes: tuning.maximum_watching_nodes,
             watching: false,
-            read_at: now,
+            next_read_at: now,
             read: None,
-            watch_at: now,
+            next_watch_at: now,
             watch: None,
-            index: None,
+            last_index: None,
             failures: 0,
-            blocked_until: now,
+            backoff_until: now,
         }
     }
 
-    /// Brings the next read forward, unless the service refuses for now.
-    pub(super) fn read_soon(&mut self, now: Instant) {
-        self.read_at = now;
+    /// Makes the next read due at once, though not before the end of a backoff.
+    pub(super) fn schedule_read_now(&mut self, now: Instant) {
+        self.next_read_at = now;
         self.read = None;
     }
 
-    /// The requests that are due, by the numbers that `number` gives out.
-    pub(super) fn due(
+    /// Returns the requests that are due, with identifiers from `next_id`.
+    pub(super) fn due_requests(
         &mut self,
         known_nodes: usize,
         now: Instant,
         random: &mut impl Rng,
-        mut number: impl FnMut() -> StoreRequestId,
+        mut next_id: impl FnMut() -> StoreRequestId,
     ) -> Vec<(StoreRequestId, StoreOperation)> {
-        self.give_up_overdue(now);
+        self.drop_expired(now);
         let mut due = Vec::new();
-        if now < self.blocked_until {
+        if now < self.backoff_until {
             return due;
         }
-        if self.read.is_none() && now >= self.read_at {
-            let request = number();
+        if self.read.is_none() && now >= self.next_read_at {
+            let request = next_id();
             self.read = Some(outstanding(request, now + READ_TIME_LIMIT));
-            self.read_at = now + self.pause(known_nodes, random);
+            self.next_read_at = now + self.time_to_next_read(known_nodes, random);
             due.push((request, read_current(None)));
         }
-        self.watching = known_nodes <= self.watch_limit;
-        if let Some(index) = self.index.filter(|_| self.watch_is_due(now)) {
-            let request = number();
+        self.watching = known_nodes <= self.maximum_watching_nodes;
+        if let Some(index) = self.last_index.filter(|_| self.watch_is_due(now)) {
+            let request = next_id();
             self.watch = Some(outstanding(request, now + WATCH_TIME_LIMIT));
-            self.watch_at = now + jittered(SHORTEST_INTERVAL, random);
+            self.next_watch_at = now + jittered(SHORTEST_INTERVAL, random);
             due.push((request, read_current(Some(index))));
         }
         due
     }
 
-    /// Takes note of an answer; false when it is not to a request under way.
-    pub(super) fn answered(
+    /// Records an answer; returns false when the request is not outstanding.
+    pub(super) fn record_answer(
         &mut self,
         request: StoreRequestId,
         answer: &StoreAnswer,
         now: Instant,
         random: &mut impl Rng,
     ) -> bool {
-        let is = |outstanding: &Outstanding| outstanding.request == request;
-        if self.read.as_ref().is_some_and(is) {
+        let answers_request = |outstanding: &Outstanding| outstanding.request == request;
+        if self.read.as_ref().is_some_and(answers_request) {
             self.read = None;
-        } else if self.watch.as_ref().is_some_and(is) {
+        } else if self.watch.as_ref().is_some_and(answers_request) {
             self.watch = None;
         } else {
             return false;
         }
         match answer {
             StoreAnswer::Value { index, .. } => {
-                self.index = self.index.max(Some(*index));
+                self.last_index = self.last_index.max(Some(*index));
                 self.failures = 0;
             }
             StoreAnswer::NotFound => self.failures = 0,
@@ -124,29 +125,29 @@
         true
     }
 
-    /// When something is due next.
+    /// When the reader next has something to do.
     pub(super) fn next_wakeup(&self) -> Instant {
-        let read = self
-            .read
-            .map_or(self.read_at, |read| read.given_up_at.max(self.read_at));
-        let watch = match (self.watch, self.index) {
-            (Some(watch), _) => watch.given_up_at,
-            (None, Some(_)) if self.watching => self.watch_at,
+        let read = self.read.map_or(self.next_read_at, |read| {
+            read.expires_at.max(self.next_read_at)
+        });
+        let watch = match (self.watch, self.last_index) {
+            (Some(watch), _) => watch.expires_at,
+            (None, Some(_)) if self.watching => self.next_watch_at,
             (None, _) => read,
         };
-        read.min(watch).max(self.blocked_until)
+        read.min(watch).max(self.backoff_until)
     }
 
     fn watch_is_due(&self, now: Instant) -> bool {
-        self.watching && self.watch.is_none() && now >= self.watch_at
+        self.watching && self.watch.is_none() && now >= self.next_watch_at
     }
 
-    /// Time to the next read: anything up to twice the interval, so that nodes
-    /// which started together still read at all times.
-    fn pause(&self, known_nodes: usize, random: &mut impl Rng) -> Duration {
+    /// Time to the next read: random, up to twice the mean interval, so that
+    /// the reads of nodes that started together spread out over time.
+    fn time_to_next_read(&self, known_nodes: usize, random: &mut impl Rng) -> Duration {
         let interval = self.interval(known_nodes);
-        let pause = interval.mul_f64(random.random_range(0.0..2.0));
-        pause.max(SHORTEST_PAUSE)
+        let delay = interval.mul_f64(random.random_range(0.0..2.0));
+        delay.max(SHORTEST_READ_DELAY)
     }
 
     fn interval(&self, known_nodes: usize) -> Duration {
@@ -155,25 +156,25 @@
         SHORTEST_INTERVAL.max(Duration::from_secs_f64(seconds))
     }
 
-    fn give_up_overdue(&mut self, now: Instant) {
-        let waits = |outstanding: &Outstanding| now < outstanding.given_up_at;
-        self.read = self.read.filter(waits);
-        self.watch = self.watch.filter(waits);
+    fn drop_expired(&mut self, now: Instant) {
+        let has_not_expired = |outstanding: &Outstanding| now < outstanding.expires_at;
+        self.read = self.read.filter(has_not_expired);
+        self.watch = self.watch.filter(has_not_expired);
     }
 
     fn back_off(&mut self, retry_after: Option<Duration>, now: Instant, random: &mut impl Rng) {
-        let steps = self.failures.min(LONGEST_BACKOFF_STEPS);
+        let doublings = self.failures.min(MAXIMUM_BACKOFF_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let backoff = LONGEST_BACKOFF.min(FIRST_BACKOFF * 2_u32.pow(steps));
+        let backoff = LONGEST_BACKOFF.min(FIRST_BACKOFF * 2_u32.pow(doublings));
         let wait = jittered(backoff, random).max(retry_after.unwrap_or_default());
-        self.blocked_until = now + wait.min(LONGEST_BACKOFF * 2);
+        self.backoff_until = now + wait.min(LONGEST_BACKOFF * 2);
     }
 }
 
-fn outstanding(request: StoreRequestId, given_up_at: Instant) -> Outstanding {
+fn outstanding(request: StoreRequestId, expires_at: Instant) -> Outstanding {
     Outstanding {
         request,
-        given_up_at,
+        expires_at,
     }
 }
 
@@ -184,7 +185,7 @@
     }
 }
 
-/// Between half and one and a half of a time.
-pub(super) fn jittered(time: Duration, random: &mut impl Rng) -> Duration {
-    time.mul_f64(random.random_range(0.5..1.5))
+/// The duration multiplied by a random factor between 0.5 and 1.5.
+pub(super) fn jittered(duration: Duration, random: &mut impl Rng) -> Duration {
+    duration.mul_f64(random.random_range(0.5..1.5))
 }
--- a/crates/woodladder-core/src/control/roll_command/machine.rs
+++ b/crates/woodladder-core/src/control/roll_command/machine.rs
@@ -9,7 +9,7 @@
 use crate::configuration::bundle::encode;
 use crate::configuration::roll_record::{RollNonce, StoredRoll};
 use crate::control::control_message::ControlMessage;
-use crate::control::replica::LEASE_LENGTH;
+use crate::control::replica::PAUSE_THRESHOLD;
 use crate::control::roll_command::plan::PlannedRoll;
 use crate::control::roll_command::rollout::{AddressedMessage, Rollout};
 use crate::control::roll_command::{
@@ -175,7 +175,7 @@
     /// Restarts the time limit for confirming a swap if the process was paused
     /// since the last call.
     fn record_call(&mut self, now: Instant) {
-        let paused = now.since(self.last_call) > LEASE_LENGTH;
+        let paused = now.since(self.last_call) > PAUSE_THRESHOLD;
         self.last_call = now;
         if paused && self.confirming_since.is_some() {
             self.confirming_since = Some(now);
--- a/crates/woodladder-core/tests/availability.rs
+++ b/crates/woodladder-core/tests/availability.rs
@@ -41,7 +41,7 @@
     let nodes = world.nodes.iter().enumerate();
     nodes
         .filter(|(other, node)| *other != index && !node.down)
-        .all(|(_, node)| node.replica.is_marked(target_of(index)) == wanted)
+        .all(|(_, node)| node.replica.is_unavailable(target_of(index)) == wanted)
 }
 
 fn unmarked(world: &World) -> bool {
@@ -125,7 +125,7 @@
     let first_half = &world.nodes[..NODES / 2];
     let others = (NODES / 2..NODES).filter(|index| !index.is_multiple_of(10));
     let mut pairs = others.flat_map(|index| first_half.iter().map(move |node| (node, index)));
-    pairs.all(|(node, index)| node.replica.is_marked(target_of(index)))
+    pairs.all(|(node, index)| node.replica.is_unavailable(target_of(index)))
 }
 
 #[test]
--- a/crates/woodladder-core/tests/replica_faults.rs
+++ b/crates/woodladder-core/tests/replica_faults.rs
@@ -196,7 +196,7 @@
     let node = &world.nodes[0].replica;
     assert_eq!(node.sequence(), Sequence(1));
     assert_eq!(node.counters().rejections.record_signature, 2);
-    assert_eq!(node.counters().rejections.sequence_taken, 1);
+    assert_eq!(node.counters().rejections.sequence_conflict, 1);
 }
 
 #[test]
