--- a/crates/woodladder-core/tests/control_message.rs
+++ b/crates/woodladder-core/tests/control_message.rs
@@ -1,10 +1,10 @@
-//! Frames round control messages: what is written can be read, and nothing
-//! else is.
+//! Frames of control messages: every encoded message can be decoded, and
+//! everything else is refused.
 
-mod control_world;
+mod control_simulation;
 
-use control_world::fixture::{bundle, roll};
-use control_world::network::address;
+use control_simulation::fixture::{bundle, roll};
+use control_simulation::network::address;
 use proptest::prelude::*;
 use woodladder_core::control::control_message::{
     CHUNK_LENGTH, ControlMessage, CopyChunk, CopyContent, CopyRefusal, CopyRefused, CopyRequest,
@@ -40,10 +40,12 @@
 }
 
 fn contents() -> impl Strategy<Value = CopyContent> {
-    (digests(), digests(), any::<bool>()).prop_map(|(base, result, whole)| match whole {
-        true => CopyContent::Snapshot(result),
-        false => CopyContent::Delta { base, result },
-    })
+    (digests(), digests(), any::<bool>()).prop_map(
+        |(base, result, is_snapshot)| match is_snapshot {
+            true => CopyContent::Snapshot(result),
+            false => CopyContent::Delta { base, result },
+        },
+    )
 }
 
 fn digest_messages() -> impl Strategy<Value = ControlMessage> {
@@ -133,7 +135,7 @@
 
 proptest! {
     #[test]
-    fn every_message_fits_a_datagram_and_is_read_as_written(message in messages()) {
+    fn every_message_fits_a_datagram_and_is_decoded_unchanged(message in messages()) {
         let frame = message.encode(&key()).unwrap();
         prop_assert!(frame.len() <= MAXIMUM_DATAGRAM_LENGTH);
         prop_assert_eq!(frame.len(), message.datagram_length());
@@ -141,25 +143,25 @@
     }
 
     #[test]
-    fn changed_frames_are_refused(message in messages(), place in any::<prop::sample::Index>(), bit in 0..8) {
+    fn changed_frames_are_refused(message in messages(), position in any::<prop::sample::Index>(), bit in 0..8) {
         let mut frame = message.encode(&key()).unwrap();
-        let place = place.index(frame.len());
-        frame[place] ^= 1_u8 << bit;
+        let position = position.index(frame.len());
+        frame[position] ^= 1_u8 << bit;
         prop_assert!(ControlMessage::decode(&key(), &frame).is_err());
     }
 
     #[test]
-    fn cut_and_lengthened_frames_are_refused(message in messages(), place in any::<prop::sample::Index>()) {
+    fn truncated_and_lengthened_frames_are_refused(message in messages(), position in any::<prop::sample::Index>()) {
         let mut frame = message.encode(&key()).unwrap();
-        let cut = place.index(frame.len());
-        prop_assert_eq!(ControlMessage::decode(&key(), &frame[..cut]), Err(FrameError::Truncated));
+        let end = position.index(frame.len());
+        prop_assert_eq!(ControlMessage::decode(&key(), &frame[..end]), Err(FrameError::Truncated));
         frame.push(0);
         let refused = ControlMessage::decode(&key(), &frame);
         prop_assert!(matches!(refused, Err(FrameError::Malformed | FrameError::Oversized)));
     }
 
     #[test]
-    fn any_authenticated_payload_is_read_or_refused(payload in proptest::collection::vec(any::<u8>(), 0..1100)) {
+    fn any_authenticated_payload_is_decoded_or_refused(payload in proptest::collection::vec(any::<u8>(), 0..1100)) {
         let mut frame = vec![1];
         frame.extend_from_slice(&u16::try_from(payload.len()).unwrap().to_be_bytes());
         frame.extend_from_slice(&key().tag(&payload, &[]));
@@ -176,7 +178,7 @@
 }
 
 #[test]
-fn other_versions_keys_and_lengths_are_told_apart() {
+fn each_kind_of_invalid_frame_has_its_own_error() {
     let number = ProbeNumber(1);
     let message = ControlMessage::StatusRequest(StatusRequest { number });
     let frame = message.encode(&key()).unwrap();
--- a/crates/woodladder-core/tests/control_world/fixture.rs
+++ b/crates/woodladder-core/tests/control_simulation/fixture.rs
@@ -1,4 +1,4 @@
-//! Operators, bundles and rolls.
+//! Operators, bundles and rolls for tests.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -13,7 +13,7 @@
 use woodladder_core::identifier::{Sequence, ServiceId, TargetId, ZoneIndex};
 use woodladder_core::signature::{OperatorKey, TrustedKeys};
 
-/// A roll with all that belongs to it.
+/// A roll as stored in the key-value service, with its snapshot.
 #[derive(Clone, Debug)]
 pub struct Roll {
     pub stored: StoredRoll,
@@ -24,7 +24,7 @@
     OperatorKey::from_bytes([7; 32])
 }
 
-pub fn stranger() -> OperatorKey {
+pub fn untrusted_operator() -> OperatorKey {
     OperatorKey::from_bytes([8; 32])
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A bundle with targets of these identifiers.
+/// A bundle whose targets have these identifiers.
 pub fn bundle(version: u64, targets: impl IntoIterator<Item = u32>, slots: u16) -> Bundle {
     Bundle {
         version,
@@ -71,13 +71,13 @@
     .canonical()
 }
 
-/// Rolls a bundle after another roll, under the sequence that follows.
+/// Rolls a bundle after `previous`, under the next sequence.
 pub fn roll(previous: Option<&Roll>, bundle: Bundle, nonce: u8) -> Roll {
     let signed = SignedBundle::sign(bundle, &operator());
     let base = previous.map(|roll| &roll.snapshot);
     let snapshot = Snapshot::following(base, signed, 1_000, DEFAULT_LINGER).unwrap();
-    let before = previous.map_or(Sequence(0), |roll| roll.stored.record.sequence());
-    let statement = statement(before.next(), &snapshot, nonce);
+    let previous_sequence = previous.map_or(Sequence(0), |roll| roll.stored.record.sequence());
+    let statement = statement(previous_sequence.next(), &snapshot, nonce);
     Roll {
         stored: StoredRoll {
             record: RollRecord::sign(statement, &operator()),
--- a/crates/woodladder-core/tests/control_world/network.rs
+++ b/crates/woodladder-core/tests/control_simulation/network.rs
@@ -1,4 +1,4 @@
-//! Replicas that exchange messages over a network with faults.
+//! Replicas that exchange messages over a simulated network with faults.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,7 +23,7 @@
 use super::fixture;
 use super::store::Store;
 
-/// What the network does to messages.
+/// Faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss: f64,
@@ -45,9 +45,10 @@
     pub replica: Replica,
     pub down: bool,
     pub installed: Vec<Sequence>,
-    /// What the data path uses, when that is not the installed directory.
-    pub refreshed: Option<Arc<RoutingTable>>,
-    pub frozen_until: Instant,
+    /// Routing table that the data path uses, if it is not the one of the
+    /// installed roll.
+    pub routing_table: Option<Arc<RoutingTable>>,
+    pub paused_until: Instant,
     wake_at: Instant,
 }
 
@@ -58,30 +59,30 @@
     StoreRequest(StoreRequestId, StoreOperation),
 }
 
-struct Due {
+struct ScheduledDelivery {
     at: Instant,
-    order: u64,
+    sequence_number: u64,
     node: usize,
     delivery: Delivery,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
     pub nodes: Vec<Node>,
     pub store: Store,
     pub faults: Faults,
     pub messages: u64,
     pub bytes: u64,
-    /// Messages between these two halves of the nodes are lost.
-    pub cut_at: Option<usize>,
+    /// Messages between the nodes before this position and the others are lost.
+    pub partitioned_at: Option<usize>,
     /// Messages between these two nodes are lost.
-    pub cut_pair: Option<(usize, usize)>,
+    pub partitioned_pair: Option<(usize, usize)>,
     /// Whether agents announce their targets.
-    pub with_targets: bool,
-    runs: u64,
+    pub agents_announce_targets: bool,
+    started_runs: u64,
     random: ChaCha8Rng,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<ScheduledDelivery>>,
+    sequence_number: u64,
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -89,7 +90,7 @@
     SocketAddr::from((Ipv4Addr::new(10, high, middle, low), 7000))
 }
 
-/// The target that the agent at this position stands beside.
+/// The target that the agent at this position serves.
 pub fn target_of(index: usize) -> TargetId {
     TargetId(u32::try_from(index).unwrap())
 }
@@ -116,7 +117,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         Self {
             now: Instant::ORIGIN,
@@ -125,35 +126,36 @@
             faults: Faults::NONE,
             messages: 0,
             bytes: 0,
-            cut_at: None,
-            cut_pair: None,
-            with_targets: false,
-            runs: 0,
+            partitioned_at: None,
+            partitioned_pair: None,
+            agents_announce_targets: false,
+            started_runs: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence_number: 0,
         }
     }
 
-    /// Nodes that all know each other by the machine list.
+    /// Nodes that all know each other from the machine list.
     pub fn listed(count: usize, seed: u64, tuning: ReplicaTuning) -> Self {
         Self::new(seed).with_listed(count, tuning)
     }
 
-    /// The same, with agents that announce their targets.
+    /// Nodes that all know each other from the machine list, with agents that
+    /// announce their targets.
     pub fn serving(count: usize, seed: u64) -> Self {
-        let mut world = Self::new(seed);
-        world.with_targets = true;
-        world.with_listed(count, ReplicaTuning::default())
+        let mut simulation = Self::new(seed);
+        simulation.agents_announce_targets = true;
+        simulation.with_listed(count, ReplicaTuning::default())
     }
 
     fn with_listed(mut self, count: usize, tuning: ReplicaTuning) -> Self {
-        let world = &mut self;
+        let simulation = &mut self;
         for _ in 0..count {
-            world.add(tuning);
+            simulation.add(tuning);
         }
         for index in 0..count {
-            world.read_list(index, 0..count);
+            simulation.read_machine_list(index, 0..count);
         }
         self
     }
@@ -165,15 +167,15 @@
             replica,
             down: false,
             installed: Vec::new(),
-            refreshed: None,
-            frozen_until: Instant::ORIGIN,
+            routing_table: None,
+            paused_until: Instant::ORIGIN,
             wake_at: Instant::ORIGIN,
         });
         self.event(index, ReplicaEvent::Tick);
         index
     }
 
-    /// Replaces the process of a node by one that knows nothing.
+    /// Replaces the process of a node by a new one without any state.
     pub fn restart(&mut self, index: usize, tuning: ReplicaTuning) {
         let replica = self.replica(index, tuning);
         self.nodes[index].replica = replica;
@@ -182,19 +184,19 @@
         self.event(index, ReplicaEvent::Tick);
     }
 
-    pub fn read_list(&mut self, index: usize, named: impl IntoIterator<Item = usize>) {
-        let machine = |named| ListedMachine {
-            control_address: address(named),
+    pub fn read_machine_list(&mut self, index: usize, listed: impl IntoIterator<Item = usize>) {
+        let machine = |listed| ListedMachine {
+            control_address: address(listed),
             state: ListedState::Live,
         };
-        let machines = named.into_iter().map(machine).collect();
+        let machines = listed.into_iter().map(machine).collect();
         self.event(index, ReplicaEvent::MachineList(machines));
     }
 
     pub fn event(&mut self, index: usize, event: ReplicaEvent) {
         let actions = self.nodes[index].replica.handle(event, self.now);
         for action in actions {
-            self.carry_out(index, action);
+            self.execute(index, action);
         }
         let wake_at = self.nodes[index].replica.next_wakeup().max(self.now);
         if wake_at != self.nodes[index].wake_at {
@@ -209,7 +211,7 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds; false when the time is over before.
+    /// Runs until the condition holds; returns false if the time passes first.
     pub fn run_until(&mut self, time: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + time;
         while !condition(self) {
@@ -221,12 +223,12 @@
         true
     }
 
-    pub fn all_have(&self, sequence: Sequence) -> bool {
+    pub fn all_have_in_force(&self, sequence: Sequence) -> bool {
         let up = self.nodes.iter().filter(|node| !node.down);
         up.clone().all(|node| node.replica.sequence() == sequence)
     }
 
-    /// Panics when a node's roll in force ever went back.
+    /// Panics if the roll in force at any node ever reverted to an earlier one.
     pub fn assert_never_reverted(&self) {
         for node in &self.nodes {
             assert!(
@@ -237,7 +239,8 @@
     }
 
     fn serves(&self, index: usize) -> bool {
-        self.with_targets && settings(index, ReplicaTuning::default()).role == Role::Agent
+        self.agents_announce_targets
+            && settings(index, ReplicaTuning::default()).role == Role::Agent
     }
 
     fn replica(&mut self, index: usize, tuning: ReplicaTuning) -> Replica {
@@ -245,9 +248,9 @@
         let mut settings = settings(index, tuning);
         settings.served_target = self.serves(index).then(|| ServedTarget {
             target: target_of(index),
-            run: RunNumber(self.runs),
+            run: RunNumber(self.started_runs),
         });
-        self.runs += 1;
+        self.started_runs += 1;
         Replica::new(settings, random, self.now)
     }
 
@@ -266,13 +269,13 @@
         true
     }
 
-    fn deliver(&mut self, due: Due) {
+    fn deliver(&mut self, due: ScheduledDelivery) {
         let node = &self.nodes[due.node];
         if node.down {
             return;
         }
-        if node.frozen_until > self.now {
-            let at = node.frozen_until;
+        if node.paused_until > self.now {
+            let at = node.paused_until;
             self.push(at, due.node, due.delivery);
             return;
         }
@@ -292,7 +295,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: ReplicaAction) {
+    fn execute(&mut self, index: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => self.send(index, to, message),
             ReplicaAction::Store { request, operation } => {
@@ -300,10 +303,10 @@
             }
             ReplicaAction::Install(installed) => {
                 self.nodes[index].installed.push(installed.sequence());
-                self.nodes[index].refreshed = None;
+                self.nodes[index].routing_table = None;
             }
-            ReplicaAction::ReplaceDirectory(directory) => {
-                self.nodes[index].refreshed = Some(directory)
+            ReplicaAction::ReplaceDirectory(routing_table) => {
+                self.nodes[index].routing_table = Some(routing_table)
             }
         }
     }
@@ -315,7 +318,7 @@
             return;
         }
         let answer = self.store.answer(&operation);
-        if self.store.mute {
+        if self.store.loses_answers {
             return;
         }
         let delay = self.delay() * 2;
@@ -335,8 +338,8 @@
         };
         let is_cut = |cut: usize| (from < cut) != (to < cut);
         let pair = Some((from.min(to), from.max(to)));
-        if self.cut_pair == pair
-            || self.cut_at.is_some_and(is_cut)
+        if self.partitioned_pair == pair
+            || self.partitioned_at.is_some_and(is_cut)
             || self.random.random_bool(self.faults.loss)
         {
             return;
@@ -355,10 +358,10 @@
     }
 
     fn push(&mut self, at: Instant, node: usize, delivery: Delivery) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+        self.sequence_number += 1;
+        self.queue.push(Reverse(ScheduledDelivery {
             at,
-            order: self.order,
+            sequence_number: self.sequence_number,
             node,
             delivery,
         }));
@@ -380,22 +383,22 @@
     }
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledDelivery {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence_number == other.sequence_number
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledDelivery {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledDelivery {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledDelivery {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence_number).cmp(&(other.at, other.sequence_number))
     }
 }
--- a/crates/woodladder-core/tests/control_world/store.rs
+++ b/crates/woodladder-core/tests/control_simulation/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service with compare-and-swap.
+//! A simulated key-value service with compare-and-swap.
 
 use std::collections::HashMap;
 
@@ -13,8 +13,8 @@
     entries: HashMap<StoreKey, (StoreIndex, Vec<u8>)>,
     index: u64,
     pub down: bool,
-    /// Takes requests and loses the answers.
-    pub mute: bool,
+    /// Carries out requests but loses the answers.
+    pub loses_answers: bool,
     pub requests: u64,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a watch has nothing to answer with yet.
+    /// Whether a read that waits for a change has to keep waiting.
     pub fn blocks(&self, operation: &StoreOperation) -> bool {
         let StoreOperation::Read {
             key,
--- a/crates/woodladder-core/tests/control_world/mod.rs
+++ /dev/null
@@ -1,7 +0,0 @@
-//! A small world for the control plane: nodes, a network and a key-value
-//! service on a virtual clock.
-#![allow(dead_code)]
-
-pub mod fixture;
-pub mod network;
-pub mod store;
--- a/crates/woodladder-core/tests/replica_adoption.rs
+++ b/crates/woodladder-core/tests/replica_adoption.rs
@@ -1,13 +1,14 @@
-//! Adoption as a state machine: whatever is heard, in whatever order, the roll
-//! in force never goes back and ends at the greatest one.
+//! Adoption of rolls as a state machine: whatever messages arrive, and in
+//! whatever order, the roll in force never reverts to an earlier one and ends
+//! at the greatest one.
 
-mod control_world;
+mod control_simulation;
 
 use std::sync::LazyLock;
 use std::time::Duration;
 
-use control_world::fixture::{Roll, bundle, roll, stranger};
-use control_world::network::{address, settings};
+use control_simulation::fixture::{Roll, bundle, roll, untrusted_operator};
+use control_simulation::network::{address, settings};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use rand::SeedableRng as _;
@@ -26,7 +27,7 @@
 
 const ROLLS: usize = 8;
 
-/// Eight rolls, each of another size, of which the last rolls an older bundle.
+/// Eight rolls of different sizes. The last one rolls an older bundle again.
 static CHAIN: LazyLock<Vec<Roll>> = LazyLock::new(|| {
     let mut chain: Vec<Roll> = Vec::new();
     for index in 0..ROLLS as u32 {
@@ -39,7 +40,7 @@
 });
 
 #[derive(Clone, Debug)]
-enum Heard {
+enum Input {
     Offer { roll: usize, with_delta: bool },
     ForgedOffer { roll: usize },
     AlteredDelta { roll: usize },
@@ -49,37 +50,37 @@
     Pause(u8),
 }
 
-/// Index of the greatest roll heard, if any.
+/// Index of the greatest roll received, if any.
 #[derive(Clone, Debug, Default)]
-struct Greatest(Option<usize>);
+struct GreatestReceived(Option<usize>);
 
-impl ReferenceStateMachine for Greatest {
+impl ReferenceStateMachine for GreatestReceived {
     type State = Self;
-    type Transition = Heard;
+    type Transition = Input;
 
     fn init_state() -> BoxedStrategy<Self> {
         Just(Self::default()).boxed()
     }
 
-    fn transitions(_: &Self) -> BoxedStrategy<Heard> {
+    fn transitions(_: &Self) -> BoxedStrategy<Input> {
         prop_oneof![
             4 => (0..ROLLS, any::<bool>())
-                .prop_map(|(roll, with_delta)| Heard::Offer { roll, with_delta }),
-            1 => (0..ROLLS).prop_map(|roll| Heard::ForgedOffer { roll }),
-            1 => (1..ROLLS).prop_map(|roll| Heard::AlteredDelta { roll }),
-            2 => (0..ROLLS).prop_map(|roll| Heard::DamagedChunk { roll }),
-            2 => (0..ROLLS).prop_map(|roll| Heard::StoreValue { roll }),
-            4 => Just(Heard::Answers),
-            1 => any::<u8>().prop_map(Heard::Pause),
+                .prop_map(|(roll, with_delta)| Input::Offer { roll, with_delta }),
+            1 => (0..ROLLS).prop_map(|roll| Input::ForgedOffer { roll }),
+            1 => (1..ROLLS).prop_map(|roll| Input::AlteredDelta { roll }),
+            2 => (0..ROLLS).prop_map(|roll| Input::DamagedChunk { roll }),
+            2 => (0..ROLLS).prop_map(|roll| Input::StoreValue { roll }),
+            4 => Just(Input::Answers),
+            1 => any::<u8>().prop_map(Input::Pause),
         ]
         .boxed()
     }
 
-    fn apply(mut state: Self, heard: &Heard) -> Self {
-        let roll = match heard {
-            Heard::Offer { roll, .. }
-            | Heard::AlteredDelta { roll }
-            | Heard::StoreValue { roll } => Some(*roll),
+    fn apply(mut state: Self, input: &Input) -> Self {
+        let roll = match input {
+            Input::Offer { roll, .. }
+            | Input::AlteredDelta { roll }
+            | Input::StoreValue { roll } => Some(*roll),
             _ => None,
         };
         state.0 = state.0.max(roll);
@@ -87,16 +88,16 @@
     }
 }
 
-/// A replica and what it asked that was not answered yet.
-struct Subject {
+/// A replica, and its requests that have not been answered yet.
+struct TestedReplica {
     replica: Replica,
     now: Instant,
-    asked: Vec<ReplicaAction>,
+    unanswered: Vec<ReplicaAction>,
     installed: Sequence,
     greatest: Sequence,
 }
 
-impl Subject {
+impl TestedReplica {
     fn event(&mut self, event: ReplicaEvent) {
         self.now = self.now + Duration::from_millis(1);
         for action in self.replica.handle(event, self.now) {
@@ -109,19 +110,19 @@
                     assert_eq!(installed.snapshot, expected.snapshot);
                     self.installed = installed.sequence();
                 }
-                asked => self.asked.push(asked),
+                unanswered => self.unanswered.push(unanswered),
             }
         }
     }
 
-    fn hear(&mut self, message: ControlMessage) {
+    fn receive(&mut self, message: ControlMessage) {
         let from = address(1);
         self.event(ReplicaEvent::Message { from, message });
     }
 
-    /// Answers all that was asked, in the reverse order and each twice.
+    /// Answers all requests in reverse order, each twice.
     fn answer_all(&mut self) {
-        for action in std::mem::take(&mut self.asked).into_iter().rev() {
+        for action in std::mem::take(&mut self.unanswered).into_iter().rev() {
             for event in answers(&action) {
                 self.event(event.clone());
                 self.event(event);
@@ -130,8 +131,8 @@
     }
 }
 
-/// Answers of a node that has the last roll, and of a service that has
-/// the snapshots only.
+/// Answers of a node that has the last roll in force, and of a key-value
+/// service that contains only the snapshots.
 fn answers(action: &ReplicaAction) -> Vec<ReplicaEvent> {
     let from = address(1);
     let message = |message| ReplicaEvent::Message { from, message };
@@ -146,7 +147,7 @@
         } => chunks(request).into_iter().map(message).collect(),
         ReplicaAction::Store { request, operation } => vec![ReplicaEvent::StoreAnswer {
             request: *request,
-            answer: stored(operation),
+            answer: stored_snapshot(operation),
         }],
         _ => Vec::new(),
     }
@@ -185,8 +186,8 @@
     bytes.chunks(CHUNK_LENGTH).enumerate().map(chunk).collect()
 }
 
-/// The last chunk with a retired target's time changed, which no sign-off
-/// covers.
+/// The last chunk of a snapshot, with one bit changed in the time of a retired
+/// target. The sign-off of the bundle does not cover this time.
 fn damaged_last_chunk(content: CopyContent, roll: &Roll) -> ControlMessage {
     let mut copy = roll.snapshot.encode();
     *copy.last_mut().unwrap() ^= 1;
@@ -199,7 +200,7 @@
     })
 }
 
-fn stored(operation: &StoreOperation) -> StoreAnswer {
+fn stored_snapshot(operation: &StoreOperation) -> StoreAnswer {
     let StoreOperation::Read {
         key: StoreKey::Snapshot(digest),
         ..
@@ -207,91 +208,91 @@
     else {
         return StoreAnswer::Unreachable;
     };
-    let named = |roll: &&Roll| roll.snapshot.digest() == *digest;
+    let has_digest = |roll: &&Roll| roll.snapshot.digest() == *digest;
     CHAIN
         .iter()
-        .find(named)
+        .find(has_digest)
         .map_or(StoreAnswer::NotFound, |roll| StoreAnswer::Value {
             index: StoreIndex(1),
             value: roll.snapshot.encode(),
         })
 }
 
-impl StateMachineTest for Subject {
+impl StateMachineTest for TestedReplica {
     type SystemUnderTest = Self;
-    type Reference = Greatest;
+    type Reference = GreatestReceived;
 
-    fn init_test(_: &Greatest) -> Self {
+    fn init_test(_: &GreatestReceived) -> Self {
         let random = ChaCha8Rng::seed_from_u64(1);
         let settings = settings(0, ReplicaTuning::default());
         Self {
             replica: Replica::new(settings, random, Instant::ORIGIN),
             now: Instant::ORIGIN,
-            asked: Vec::new(),
+            unanswered: Vec::new(),
             installed: Sequence(0),
             greatest: Sequence(0),
         }
     }
 
-    fn apply(mut subject: Self, greatest: &Greatest, heard: Heard) -> Self {
+    fn apply(mut tested: Self, greatest: &GreatestReceived, input: Input) -> Self {
         let chain = &*CHAIN;
-        match heard {
-            Heard::Offer { roll, with_delta } => {
+        match input {
+            Input::Offer { roll, with_delta } => {
                 let stored = chain[roll].stored.clone();
                 let delta = stored.delta.filter(|_| with_delta);
                 let offer = Offer::fitting_datagram(stored.record, delta.as_ref());
-                subject.hear(ControlMessage::Offer(Box::new(offer)));
+                tested.receive(ControlMessage::Offer(Box::new(offer)));
             }
-            Heard::ForgedOffer { roll } => {
+            Input::ForgedOffer { roll } => {
                 let mut statement = chain[roll].stored.record.statement.clone();
                 statement.sequence = Sequence(100);
-                let record = RollRecord::sign(statement, &stranger());
+                let record = RollRecord::sign(statement, &untrusted_operator());
                 let delta = OfferedDelta::None;
-                subject.hear(ControlMessage::Offer(Box::new(Offer { record, delta })));
+                tested.receive(ControlMessage::Offer(Box::new(Offer { record, delta })));
             }
-            Heard::AlteredDelta { roll } => {
+            Input::AlteredDelta { roll } => {
                 let stored = chain[roll].stored.clone();
                 let mut delta = stored.delta.unwrap();
                 delta.removed_targets.clear();
                 delta.version += 1;
                 let offer = Offer::fitting_datagram(stored.record, Some(&delta));
-                subject.hear(ControlMessage::Offer(Box::new(offer)));
+                tested.receive(ControlMessage::Offer(Box::new(offer)));
             }
-            Heard::DamagedChunk { roll } => {
+            Input::DamagedChunk { roll } => {
                 let content = CopyContent::Snapshot(chain[roll].snapshot.digest());
-                subject.hear(damaged_last_chunk(content, &chain[roll]));
+                tested.receive(damaged_last_chunk(content, &chain[roll]));
             }
-            Heard::StoreValue { roll } => subject.event(ReplicaEvent::StoreAnswer {
+            Input::StoreValue { roll } => tested.event(ReplicaEvent::StoreAnswer {
                 request: woodladder_core::control::store_operation::StoreRequestId(1_000),
                 answer: StoreAnswer::Value {
                     index: StoreIndex(roll as u64 + 1),
                     value: borsh::to_vec(&chain[roll].stored).unwrap(),
                 },
             }),
-            Heard::Answers => subject.answer_all(),
-            Heard::Pause(seconds) => {
-                subject.now = subject.now + Duration::from_secs(u64::from(seconds));
-                subject.event(ReplicaEvent::Tick);
+            Input::Answers => tested.answer_all(),
+            Input::Pause(seconds) => {
+                tested.now = tested.now + Duration::from_secs(u64::from(seconds));
+                tested.event(ReplicaEvent::Tick);
             }
         }
-        assert_eq!(subject.replica.sequence(), subject.installed);
-        subject.greatest = Sequence(greatest.0.map_or(0, |roll| roll as u64 + 1));
-        let last = subject.installed == Sequence(ROLLS as u64);
-        assert!(last || subject.installed <= subject.greatest);
-        subject
+        assert_eq!(tested.replica.sequence(), tested.installed);
+        tested.greatest = Sequence(greatest.0.map_or(0, |roll| roll as u64 + 1));
+        let last = tested.installed == Sequence(ROLLS as u64);
+        assert!(last || tested.installed <= tested.greatest);
+        tested
     }
 
-    fn teardown(mut subject: Self) {
+    fn teardown(mut tested: Self) {
         for _ in 0..1_000 {
-            subject.answer_all();
-            subject.now = subject.replica.next_wakeup().max(subject.now);
-            subject.event(ReplicaEvent::Tick);
+            tested.answer_all();
+            tested.now = tested.replica.next_wakeup().max(tested.now);
+            tested.event(ReplicaEvent::Tick);
         }
-        assert!(subject.installed >= subject.greatest);
+        assert!(tested.installed >= tested.greatest);
     }
 }
 
 prop_state_machine! {
     #[test]
-    fn adoption_never_reverts_and_ends_at_the_greatest(sequential 1..40 => Subject);
+    fn adoption_never_reverts_and_ends_at_the_greatest(sequential 1..40 => TestedReplica);
 }
--- a/crates/woodladder-core/tests/replica_cost.rs
+++ b/crates/woodladder-core/tests/replica_cost.rs
@@ -1,19 +1,20 @@
-//! What 300 replicas cost and how fast a roll is in force, on the virtual
-//! clock. Run with `--nocapture` to see the figures.
+//! Messages and bytes that 300 replicas send, and the time until a roll is in
+//! force at all of them, on the virtual clock. Run with `--nocapture` to see
+//! the figures.
 
-mod control_world;
+mod control_simulation;
 
 use std::time::Duration;
 
-use control_world::fixture::{Roll, bundle, roll};
-use control_world::network::World;
+use control_simulation::fixture::{Roll, bundle, roll};
+use control_simulation::network::Simulation;
 use woodladder_core::control::replica::ReplicaTuning;
 use woodladder_core::identifier::Sequence;
 
 const NODES: usize = 300;
 const TARGETS: u32 = 630;
-const LIMIT: Duration = Duration::from_secs(11);
-const BYTES_PER_NODE_AND_SECOND: u64 = 7_000;
+const ROLLOUT_LIMIT: Duration = Duration::from_secs(11);
+const MAXIMUM_BYTES_PER_NODE_AND_SECOND: u64 = 7_000;
 
 #[derive(Debug)]
 struct Cost {
@@ -22,14 +23,16 @@
     time: Duration,
 }
 
-/// Runs until all nodes have the sequence.
-fn cost_until(world: &mut World, sequence: Sequence) -> Cost {
-    let (messages, bytes, start) = (world.messages, world.bytes, world.now);
-    assert!(world.run_until(LIMIT, |world| world.all_have(sequence)));
+/// Runs until all nodes have the sequence in force.
+fn cost_until(simulation: &mut Simulation, sequence: Sequence) -> Cost {
+    let (messages, bytes, start) = (simulation.messages, simulation.bytes, simulation.now);
+    assert!(simulation.run_until(ROLLOUT_LIMIT, |simulation| {
+        simulation.all_have_in_force(sequence)
+    }));
     Cost {
-        messages: world.messages - messages,
-        bytes: world.bytes - bytes,
-        time: world.now.since(start),
+        messages: simulation.messages - messages,
+        bytes: simulation.bytes - bytes,
+        time: simulation.now.since(start),
     }
 }
 
@@ -41,29 +44,35 @@
 }
 
 #[test]
-fn three_hundred_nodes_stay_within_their_budget() {
-    let mut world = World::listed(NODES, 1, ReplicaTuning::default());
-    world.run_for(Duration::from_secs(5));
+fn three_hundred_nodes_stay_within_limits_of_traffic_and_time() {
+    let mut simulation = Simulation::listed(NODES, 1, ReplicaTuning::default());
+    simulation.run_for(Duration::from_secs(5));
     let first = roll(None, bundle(1, 0..TARGETS, 4), 1);
-    world.store.put_roll(&first);
+    simulation.store.put_roll(&first);
     print(
         "first roll, full copies",
-        &cost_until(&mut world, Sequence(1)),
+        &cost_until(&mut simulation, Sequence(1)),
     );
 
-    let quiet = Duration::from_secs(60);
-    let bytes = world.bytes;
-    world.run_for(quiet);
-    let rate = (world.bytes - bytes) / NODES as u64 / quiet.as_secs();
-    println!("at rest: {rate} bytes sent per node and second");
-    assert!(rate < BYTES_PER_NODE_AND_SECOND);
+    let idle_time = Duration::from_secs(60);
+    let bytes = simulation.bytes;
+    simulation.run_for(idle_time);
+    let bytes_per_second = (simulation.bytes - bytes) / NODES as u64 / idle_time.as_secs();
+    println!("at rest: {bytes_per_second} bytes sent per node and second");
+    assert!(bytes_per_second < MAXIMUM_BYTES_PER_NODE_AND_SECOND);
 
     let small: Roll = roll(Some(&first), bundle(2, 1..TARGETS + 1, 4), 2);
-    world.store.put_roll(&small);
-    print("roll of one target", &cost_until(&mut world, Sequence(2)));
+    simulation.store.put_roll(&small);
+    print(
+        "roll of one target",
+        &cost_until(&mut simulation, Sequence(2)),
+    );
 
     let large = roll(Some(&small), bundle(3, 1..TARGETS + 1, 5), 3);
-    world.store.put_roll(&large);
-    print("roll of all targets", &cost_until(&mut world, Sequence(3)));
-    world.assert_never_reverted();
+    simulation.store.put_roll(&large);
+    print(
+        "roll of all targets",
+        &cost_until(&mut simulation, Sequence(3)),
+    );
+    simulation.assert_never_reverted();
 }
--- a/crates/woodladder-core/tests/replica_delta.rs
+++ b/crates/woodladder-core/tests/replica_delta.rs
@@ -1,13 +1,13 @@
 //! A delta over several rolls leads to the same snapshot as a full copy.
 
-mod control_world;
+mod control_simulation;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use borsh::BorshDeserialize as _;
-use control_world::fixture::{Roll, bundle, roll};
-use control_world::network::{address, settings};
+use control_simulation::fixture::{Roll, bundle, roll};
+use control_simulation::network::{address, settings};
 use proptest::prelude::*;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -22,7 +22,7 @@
 
 const START: Instant = Instant::ORIGIN;
 
-/// Targets (present or not) and slots of each roll.
+/// Rolls with random sets of targets and random numbers of slots.
 fn rolls() -> impl Strategy<Value = Vec<Roll>> {
     let one = (proptest::collection::btree_set(0..40_u32, 0..40), 1..4_u16);
     proptest::collection::vec(one, 2..8).prop_map(|list| {
@@ -45,7 +45,7 @@
     sent.collect()
 }
 
-/// A replica that adopted all rolls in their order.
+/// A replica that adopted all rolls in order.
 fn replica_with(chain: &[Roll]) -> Replica {
     let random = ChaCha8Rng::seed_from_u64(1);
     let settings = settings(0, ReplicaTuning::default());
@@ -71,11 +71,11 @@
     replica
 }
 
-fn offered_delta(replica: &mut Replica, have: &Roll) -> Option<SnapshotDelta> {
+fn offered_delta(replica: &mut Replica, installed: &Roll) -> Option<SnapshotDelta> {
     let now = START + Duration::from_secs(2);
     let request = RecordRequest {
-        sequence: have.stored.record.sequence(),
-        snapshot_digest: have.snapshot.digest(),
+        sequence: installed.stored.record.sequence(),
+        snapshot_digest: installed.snapshot.digest(),
     };
     let answers = exchange(replica, ControlMessage::RecordRequest(request), now);
     let offer = answers.into_iter().find_map(|answer| match answer {
@@ -88,13 +88,13 @@
         OfferedDelta::Chunked { base, length } => {
             let result = offer.record.statement.snapshot_digest;
             let content = CopyContent::Delta { base, result };
-            let bytes = fetched(replica, content, length, now);
+            let bytes = fetch_copy(replica, content, length, now);
             Some(SnapshotDelta::try_from_slice(&bytes).unwrap())
         }
     }
 }
 
-fn fetched(replica: &mut Replica, content: CopyContent, length: u32, now: Instant) -> Vec<u8> {
+fn fetch_copy(replica: &mut Replica, content: CopyContent, length: u32, now: Instant) -> Vec<u8> {
     assert!(length as usize <= CHUNK_LENGTH * usize::from(MAXIMUM_CHUNKS_PER_REQUEST));
     let request = CopyRequest {
         content,
@@ -118,10 +118,10 @@
         let mut replica = replica_with(&chain);
         let last = chain.last().unwrap();
         prop_assert_eq!(replica.sequence(), Sequence(chain.len() as u64));
-        for have in &chain[..chain.len() - 1] {
-            let delta = offered_delta(&mut replica, have).expect("the history reaches back");
-            let digest = have.snapshot.digest();
-            let result = delta.apply(&have.snapshot, digest, last.snapshot.digest());
+        for installed in &chain[..chain.len() - 1] {
+            let delta = offered_delta(&mut replica, installed).expect("the history reaches back");
+            let digest = installed.snapshot.digest();
+            let result = delta.apply(&installed.snapshot, digest, last.snapshot.digest());
             prop_assert_eq!(result, Ok(last.snapshot.clone()));
         }
     }
--- a/crates/woodladder-core/tests/roll_command.rs
+++ b/crates/woodladder-core/tests/roll_command.rs
@@ -1,12 +1,13 @@
-//! A roll command tells the truth, whatever the service does.
+//! The result of a roll command is correct, whatever the key-value service
+//! does.
 
-mod control_world;
+mod control_simulation;
 
 use std::time::Duration;
 
 use borsh::BorshDeserialize as _;
-use control_world::fixture::{bundle, operator, roll, stranger, trusted};
-use control_world::store::Store;
+use control_simulation::fixture::{bundle, operator, roll, trusted, untrusted_operator};
+use control_simulation::store::Store;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
@@ -19,7 +20,7 @@
 use woodladder_core::identifier::Sequence;
 use woodladder_core::signature::SignatureError;
 
-type Verdict = Result<RollOutcome, RollError>;
+type CommandResult = Result<RollOutcome, RollError>;
 
 fn request(version: u64, operator_name: &str) -> RollRequest {
     let signed = SignedBundle::sign(bundle(version, 0..20, version as u16), &operator());
@@ -36,18 +37,18 @@
     RollCommand::new(request, ChaCha8Rng::seed_from_u64(seed), Instant::ORIGIN)
 }
 
-/// Runs a command; `answer` stands for the service.
+/// Runs a command to its end; `answer` stands in for the key-value service.
 fn run(
     command: &mut RollCommand,
     mut answer: impl FnMut(&StoreOperation) -> Option<StoreAnswer>,
-) -> Verdict {
+) -> CommandResult {
     let mut now = Instant::ORIGIN;
     let mut pending = command.handle(RollEvent::Tick, now);
     loop {
         let mut next = Vec::new();
         for action in pending {
             match action {
-                RollAction::Finished(verdict) => return verdict,
+                RollAction::Finished(result) => return result,
                 RollAction::Store { request, operation } => {
                     if let Some(answer) = answer(&operation) {
                         next.push(RollEvent::StoreAnswer { request, answer });
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn rolls_follow_each_other_and_an_older_version_rolls_forward() {
+fn an_older_bundle_version_gets_the_next_sequence() {
     let mut store = Store::default();
     for (index, version) in [1, 2, 1].into_iter().enumerate() {
         let mut command = command(request(version, "lin"), version);
@@ -116,31 +117,31 @@
 }
 
 #[test]
-fn untrusted_input_is_refused_before_anything_is_asked() {
+fn untrusted_input_is_refused_before_any_request() {
     let refuse = |_: &StoreOperation| -> Option<StoreAnswer> { panic!("asked the service") };
     let mut unsigned = request(1, "lin");
-    unsigned.bundle = SignedBundle::sign(unsigned.bundle.bundle, &stranger());
+    unsigned.bundle = SignedBundle::sign(unsigned.bundle.bundle, &untrusted_operator());
     let untrusted = RollError::SignOff(SignatureError::UntrustedKey);
     assert_eq!(run(&mut command(unsigned, 1), refuse), Err(untrusted));
     let mut other_key = request(1, "lin");
-    other_key.key = stranger();
-    let verdict = run(&mut command(other_key, 1), refuse);
-    assert_eq!(verdict, Err(RollError::OperatorNotTrusted));
-    let verdict = run(&mut command(request(1, ""), 1), refuse);
-    assert_eq!(verdict, Err(RollError::InvalidOperatorName));
+    other_key.key = untrusted_operator();
+    let result = run(&mut command(other_key, 1), refuse);
+    assert_eq!(result, Err(RollError::OperatorNotTrusted));
+    let result = run(&mut command(request(1, ""), 1), refuse);
+    assert_eq!(result, Err(RollError::InvalidOperatorName));
 }
 
 #[test]
-fn unreachable_service_means_that_nothing_was_rolled() {
-    let verdict = run(&mut command(request(1, "lin"), 1), |_| {
+fn unreachable_service_is_reported_and_nothing_is_rolled() {
+    let result = run(&mut command(request(1, "lin"), 1), |_| {
         Some(StoreAnswer::Unreachable)
     });
-    assert_eq!(verdict, Err(RollError::StoreUnavailable));
-    assert!(!verdict.unwrap_err().may_have_taken_effect());
+    assert_eq!(result, Err(RollError::StoreUnavailable));
+    assert!(!result.unwrap_err().may_have_taken_effect());
 }
 
 #[test]
-fn lost_answer_of_a_swap_that_took_effect_is_found_out() {
+fn swap_that_took_effect_is_confirmed_after_its_answer_was_lost() {
     let mut store = Store::default();
     let mut lost = false;
     let outcome = run(&mut command(request(1, "lin"), 1), |operation| {
@@ -175,7 +176,7 @@
 #[test]
 fn outage_after_the_swap_leaves_the_outcome_unknown() {
     let mut store = Store::default();
-    let verdict = run(&mut command(request(1, "lin"), 1), |operation| {
+    let result = run(&mut command(request(1, "lin"), 1), |operation| {
         let answer = store.answer(operation);
         if is_swap(operation) {
             store.down = true;
@@ -184,15 +185,15 @@
         Some(answer)
     });
     let sequence = Sequence(1);
-    assert_eq!(verdict, Err(RollError::OutcomeUnknown { sequence }));
-    assert!(verdict.unwrap_err().may_have_taken_effect());
+    assert_eq!(result, Err(RollError::OutcomeUnknown { sequence }));
+    assert!(result.unwrap_err().may_have_taken_effect());
 }
 
 #[test]
-fn loser_of_a_race_learns_who_won() {
+fn lost_race_names_the_roll_in_force() {
     let mut store = Store::default();
     let winner = roll(None, bundle(9, 0..20, 9), 9);
-    let verdict = run(&mut command(request(1, "mei"), 1), |operation| {
+    let result = run(&mut command(request(1, "mei"), 1), |operation| {
         if is_swap(operation) && store.value(StoreKey::Current).is_none() {
             store.put_roll(&winner);
         }
@@ -201,9 +202,9 @@
     let Err(RollError::LostRace {
         winner: Some(known),
         in_doubt: false,
-    }) = verdict
+    }) = result
     else {
-        panic!("{verdict:?}");
+        panic!("{result:?}");
     };
     assert_eq!((known.operator.as_str(), known.bundle_version), ("lin", 9));
     assert_eq!(current(&store), winner.stored);
@@ -230,11 +231,11 @@
     other.deployment = "other".to_owned();
     let mut wanted = request(1, "lin");
     wanted.bundle = SignedBundle::sign(other, &operator());
-    let verdict = run(&mut command(wanted, 1), |operation| {
+    let result = run(&mut command(wanted, 1), |operation| {
         Some(store.answer(operation))
     });
     assert_eq!(
-        verdict,
+        result,
         Err(RollError::DeploymentMismatch("test".to_owned()))
     );
 }
--- a/crates/woodladder-core/tests/roll_command_races.rs
+++ b/crates/woodladder-core/tests/roll_command_races.rs
@@ -1,13 +1,14 @@
-//! Operators who roll at the same time over a service that delays, loses and
-//! answers late: one winner for each sequence, and every verdict is true.
+//! Operators who roll at the same time, over a key-value service that delays
+//! and loses requests and answers. Exactly one roll takes effect under each
+//! sequence, and every command reports a correct result.
 
-mod control_world;
+mod control_simulation;
 
 use std::time::Duration;
 
 use borsh::BorshDeserialize as _;
-use control_world::fixture::{bundle, operator, trusted};
-use control_world::store::Store;
+use control_simulation::fixture::{bundle, operator, trusted};
+use control_simulation::store::Store;
 use proptest::prelude::*;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -21,18 +22,18 @@
     StoreAnswer, StoreKey, StoreOperation, StoreRequestId,
 };
 
-/// How often each fault befalls a request or an operator, in percent.
+/// Probability of each fault for a request or an operator, in percent.
 #[derive(Clone, Copy, Debug)]
-struct Odds {
+struct FaultPercentages {
     unreachable: u32,
     rate_limited: u32,
     request_lost: u32,
     answer_lost: u32,
     late: u32,
-    freeze: u32,
+    paused: u32,
 }
 
-/// Something on its way.
+/// A message in transit or a timer.
 enum Pending {
     Request(StoreRequestId, StoreOperation),
     Answer(StoreRequestId, StoreAnswer),
@@ -47,23 +48,23 @@
 
 struct Operator {
     command: RollCommand,
-    frozen_until: Instant,
-    verdict: Option<Result<RollOutcome, RollError>>,
+    paused_until: Instant,
+    result: Option<Result<RollOutcome, RollError>>,
 }
 
 struct Race {
     now: Instant,
-    odds: Odds,
+    faults: FaultPercentages,
     random: ChaCha8Rng,
     store: Store,
     operators: Vec<Operator>,
     due: Vec<Due>,
-    /// Records in the order in which they were in force.
+    /// Records in the order in which they came into force.
     in_force: Vec<RollRecord>,
 }
 
 impl Race {
-    fn new(operators: u64, odds: Odds, seed: u64) -> Self {
+    fn new(operators: u64, faults: FaultPercentages, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let operators = (0..operators)
             .map(|index| {
@@ -74,14 +75,14 @@
                 let generator = ChaCha8Rng::seed_from_u64(random.random());
                 Operator {
                     command: RollCommand::new(request, generator, Instant::ORIGIN),
-                    frozen_until: Instant::ORIGIN,
-                    verdict: None,
+                    paused_until: Instant::ORIGIN,
+                    result: None,
                 }
             })
             .collect();
         Self {
             now: Instant::ORIGIN,
-            odds,
+            faults,
             random,
             store: Store::default(),
             operators,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Runs until nothing is on its way any more, late requests included.
+    /// Runs until no event is scheduled any more, including late requests.
     fn run(&mut self) {
         for operator in 0..self.operators.len() {
             self.push(Duration::ZERO, operator, Pending::Wake);
@@ -104,14 +105,14 @@
 
     fn deliver(&mut self, due: Due) {
         let operator = due.operator;
-        let frozen_until = self.operators[operator].frozen_until;
+        let paused_until = self.operators[operator].paused_until;
         let event = match due.pending {
             Pending::Request(request, operation) => {
-                self.serve(operator, request, &operation);
+                self.handle_request(operator, request, &operation);
                 return;
             }
-            pending if frozen_until > self.now => {
-                let at = frozen_until;
+            pending if paused_until > self.now => {
+                let at = paused_until;
                 self.due.push(Due {
                     at,
                     operator,
@@ -122,13 +123,13 @@
             Pending::Answer(request, answer) => RollEvent::StoreAnswer { request, answer },
             Pending::Wake => RollEvent::Tick,
         };
-        if self.hits(self.odds.freeze) {
+        if self.fault_occurs(self.faults.paused) {
             let pause = self.random.random_range(1..60);
-            self.operators[operator].frozen_until = self.now + Duration::from_secs(pause);
+            self.operators[operator].paused_until = self.now + Duration::from_secs(pause);
         }
         let actions = self.operators[operator].command.handle(event, self.now);
         for action in actions {
-            self.carry_out(operator, action);
+            self.execute(operator, action);
         }
         if let Some(wakeup) = self.operators[operator].command.next_wakeup() {
             let wait = wakeup.since(self.now).max(Duration::from_millis(1));
@@ -138,21 +139,28 @@
         }
     }
 
-    fn carry_out(&mut self, operator: usize, action: RollAction) {
+    fn execute(&mut self, operator: usize, action: RollAction) {
         match action {
-            RollAction::Finished(verdict) => {
-                assert!(self.operators[operator].verdict.is_none());
-                self.operators[operator].verdict = Some(verdict);
+            RollAction::Finished(result) => {
+                assert!(self.operators[operator].result.is_none());
+                self.operators[operator].result = Some(result);
+            }
+            RollAction::Store { request, operation } => {
+                self.send_request(operator, request, operation)
             }
-            RollAction::Store { request, operation } => self.ask(operator, request, operation),
             _ => {}
         }
     }
 
-    fn ask(&mut self, operator: usize, request: StoreRequestId, operation: StoreOperation) {
-        let refusal = if self.hits(self.odds.unreachable) {
+    fn send_request(
+        &mut self,
+        operator: usize,
+        request: StoreRequestId,
+        operation: StoreOperation,
+    ) {
+        let refusal = if self.fault_occurs(self.faults.unreachable) {
             Some(StoreAnswer::Unreachable)
-        } else if self.hits(self.odds.rate_limited) {
+        } else if self.fault_occurs(self.faults.rate_limited) {
             Some(StoreAnswer::RateLimited { retry_after: None })
         } else {
             None
@@ -160,20 +168,25 @@
         let delay = self.delay();
         match refusal {
             Some(answer) => self.push(delay, operator, Pending::Answer(request, answer)),
-            None if self.hits(self.odds.request_lost) => {}
+            None if self.fault_occurs(self.faults.request_lost) => {}
             None => self.push(delay, operator, Pending::Request(request, operation)),
         }
     }
 
-    fn serve(&mut self, operator: usize, request: StoreRequestId, operation: &StoreOperation) {
+    fn handle_request(
+        &mut self,
+        operator: usize,
+        request: StoreRequestId,
+        operation: &StoreOperation,
+    ) {
         let answer = self.store.answer(operation);
-        self.note_in_force(operation, &answer);
-        let lost = self.hits(self.odds.answer_lost);
+        self.record_in_force(operation, &answer);
+        let lost = self.fault_occurs(self.faults.answer_lost);
         let delay = self.delay();
-        let told = self.random.random_bool(0.5);
+        let client_reports_unknown = self.random.random_bool(0.5);
         match lost {
             false => self.push(delay, operator, Pending::Answer(request, answer)),
-            true if told => {
+            true if client_reports_unknown => {
                 let unknown = StoreAnswer::Unknown;
                 self.push(delay, operator, Pending::Answer(request, unknown));
             }
@@ -181,7 +194,7 @@
         }
     }
 
-    fn note_in_force(&mut self, operation: &StoreOperation, answer: &StoreAnswer) {
+    fn record_in_force(&mut self, operation: &StoreOperation, answer: &StoreAnswer) {
         let StoreOperation::CompareAndSwap {
             key: StoreKey::Current,
             value,
@@ -200,12 +213,12 @@
     }
 
     fn delay(&mut self) -> Duration {
-        let late = self.hits(self.odds.late);
+        let late = self.fault_occurs(self.faults.late);
         let longest = if late { 30_000 } else { 50 };
         Duration::from_millis(self.random.random_range(1..longest))
     }
 
-    fn hits(&mut self, percent: u32) -> bool {
+    fn fault_occurs(&mut self, percent: u32) -> bool {
         self.random.random_ratio(percent, 100)
     }
 
@@ -223,11 +236,11 @@
             assert_eq!(record.sequence().0, index as u64 + 1);
         }
         for operator in &self.operators {
-            self.check_verdict(operator);
+            self.check_result(operator);
         }
     }
 
-    fn check_verdict(&self, operator: &Operator) {
+    fn check_result(&self, operator: &Operator) {
         let nonce = operator.command.nonce();
         let took_effect = self
             .in_force
@@ -235,7 +248,7 @@
             .filter(|record| record.statement.nonce == nonce)
             .count();
         assert!(took_effect <= 1, "a roll took effect twice");
-        match operator.verdict.as_ref().expect("the command never ended") {
+        match operator.result.as_ref().expect("the command never ended") {
             Ok(outcome) => {
                 let place = outcome.roll.sequence.0 as usize - 1;
                 assert_eq!(self.in_force[place].statement.nonce, nonce);
@@ -262,41 +275,41 @@
 }
 
 prop_compose! {
-    fn odds()(
+    fn faults()(
         unreachable in 0..30_u32,
         rate_limited in 0..30_u32,
         request_lost in 0..30_u32,
         answer_lost in 0..50_u32,
         late in 0..30_u32,
-        freeze in 0..20_u32,
-    ) -> Odds {
-        Odds { unreachable, rate_limited, request_lost, answer_lost, late, freeze }
+        paused in 0..20_u32,
+    ) -> FaultPercentages {
+        FaultPercentages { unreachable, rate_limited, request_lost, answer_lost, late, paused }
     }
 }
 
 proptest! {
     #[test]
-    fn every_sequence_has_one_winner_and_every_verdict_is_true(
+    fn each_sequence_has_one_roll_and_every_result_is_correct(
         operators in 1..5_u64,
-        odds in odds(),
+        faults in faults(),
         seed in any::<u64>(),
     ) {
-        let mut race = Race::new(operators, odds, seed);
+        let mut race = Race::new(operators, faults, seed);
         race.run();
         race.check();
     }
 
     #[test]
-    fn without_faults_somebody_wins_and_everybody_knows(operators in 1..5_u64, seed in any::<u64>()) {
-        let odds = Odds { unreachable: 0, rate_limited: 0, request_lost: 0, answer_lost: 0, late: 0, freeze: 0 };
-        let mut race = Race::new(operators, odds, seed);
+    fn without_faults_every_command_learns_which_roll_took_effect(operators in 1..5_u64, seed in any::<u64>()) {
+        let faults = FaultPercentages { unreachable: 0, rate_limited: 0, request_lost: 0, answer_lost: 0, late: 0, paused: 0 };
+        let mut race = Race::new(operators, faults, seed);
         race.run();
         race.check();
         prop_assert!(!race.in_force.is_empty());
         for operator in &race.operators {
-            let verdict = operator.verdict.as_ref().unwrap();
-            let known = matches!(verdict, Ok(_) | Err(RollError::LostRace { winner: Some(_), in_doubt: false }));
-            prop_assert!(known, "{:?}", verdict);
+            let result = operator.result.as_ref().unwrap();
+            let known = matches!(result, Ok(_) | Err(RollError::LostRace { winner: Some(_), in_doubt: false }));
+            prop_assert!(known, "{:?}", result);
         }
     }
 }
--- a/crates/woodladder-core/tests/roll_command_rollout.rs
+++ b/crates/woodladder-core/tests/roll_command_rollout.rs
@@ -1,14 +1,15 @@
-//! After the swap, the command brings the roll to the nodes and counts them.
+//! After the swap, the roll command offers the roll to the nodes and counts
+//! those that have it in force.
 
-mod control_world;
+mod control_simulation;
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use control_world::fixture::{bundle, operator, trusted};
-use control_world::network::{address, settings};
-use control_world::store::Store;
+use control_simulation::fixture::{bundle, operator, trusted};
+use control_simulation::network::{address, settings};
+use control_simulation::store::Store;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use woodladder_core::clock::Instant;
@@ -27,7 +28,7 @@
     now: Instant,
     nodes: Vec<Replica>,
     store: Store,
-    letters: VecDeque<(SocketAddr, SocketAddr, ControlMessage)>,
+    messages: VecDeque<(SocketAddr, SocketAddr, ControlMessage)>,
     progress: Vec<RollProgress>,
 }
 
@@ -42,7 +43,7 @@
             now: Instant::ORIGIN,
             nodes: (0..nodes).map(node).collect(),
             store: Store::default(),
-            letters: VecDeque::new(),
+            messages: VecDeque::new(),
             progress: Vec::new(),
         }
     }
@@ -60,9 +61,9 @@
             while let Some(event) = events.pop_front() {
                 for action in command.handle(event, self.now) {
                     match action {
-                        RollAction::Finished(verdict) => return verdict.unwrap(),
+                        RollAction::Finished(result) => return result.unwrap(),
                         RollAction::Send { to, message } => {
-                            self.letters.push_back((address(OPERATOR), to, message));
+                            self.messages.push_back((address(OPERATOR), to, message));
                         }
                         RollAction::Store { request, operation } => {
                             let answer = self.store.answer(&operation);
@@ -83,7 +84,7 @@
         for index in 0..self.nodes.len() {
             self.handle(index, ReplicaEvent::Tick);
         }
-        while let Some((from, to, message)) = self.letters.pop_front() {
+        while let Some((from, to, message)) = self.messages.pop_front() {
             if to == address(OPERATOR) {
                 events.push_back(RollEvent::Message { from, message });
             } else if let Some(index) = (0..self.nodes.len()).find(|index| address(*index) == to) {
@@ -95,14 +96,14 @@
     fn handle(&mut self, index: usize, event: ReplicaEvent) {
         for action in self.nodes[index].handle(event, self.now) {
             if let ReplicaAction::Send { to, message } = action {
-                self.letters.push_back((address(index), to, message));
+                self.messages.push_back((address(index), to, message));
             }
         }
     }
 }
 
 #[test]
-fn operator_alone_brings_rolls_to_nodes_that_know_nobody() {
+fn operator_alone_rolls_out_to_nodes_without_peers() {
     let mut deployment = Deployment::new(60);
     for version in 1..4 {
         let outcome = deployment.roll(version, 300, 60);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn dead_nodes_of_the_list_are_reported_and_not_waited_for_endlessly() {
+fn dead_nodes_are_reported_and_the_wait_for_them_ends() {
     let mut deployment = Deployment::new(6);
     let outcome = deployment.roll(1, 10, 8);
     let expected = RollProgress {
