--- a/crates/woodladder-core/tests/control_message.rs
+++ b/crates/woodladder-core/tests/control_message.rs
@@ -1,14 +1,14 @@
-//! Frames round control messages: what is written can be read, and nothing
-//! else is.
+//! Frames of control messages: every encoded message can be decoded, and
+//! everything else is refused.
 
-mod control_world;
+mod control_simulation;
 
-use control_world::fixture::{bundle, roll};
-use control_world::network::address;
+use control_simulation::fixture::{bundle, roll};
+use control_simulation::network::address;
 use proptest::prelude::*;
 use woodladder_core::control::control_message::{
     CHUNK_LENGTH, ControlMessage, CopyChunk, CopyContent, CopyRefusal, CopyRefused, CopyRequest,
-    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_SAMPLE, Offer,
+    DigestMessage, Exchange, FrameError, MAXIMUM_DATAGRAM_LENGTH, MAXIMUM_PEER_SAMPLE, Offer,
     OfferedDelta, ProbeNumber, RecordRequest, StatusReply, StatusRequest,
 };
 use woodladder_core::control::membership::{Locality, Peer, Role};
@@ -40,25 +40,27 @@
 }
 
 fn contents() -> impl Strategy<Value = CopyContent> {
-    (digests(), digests(), any::<bool>()).prop_map(|(base, result, whole)| match whole {
-        true => CopyContent::Snapshot(result),
-        false => CopyContent::Delta { base, result },
-    })
+    (digests(), digests(), any::<bool>()).prop_map(
+        |(base, result, is_snapshot)| match is_snapshot {
+            true => CopyContent::Snapshot(result),
+            false => CopyContent::Delta { base, result },
+        },
+    )
 }
 
 fn digest_messages() -> impl Strategy<Value = ControlMessage> {
-    let sample = proptest::collection::vec(peers(), 0..=MAXIMUM_SAMPLE);
-    (peers(), any::<(bool, u64, u32)>(), digests(), sample).prop_map(
-        |(sender, (leaving, sequence, number), snapshot, sample)| {
+    let peer_sample = proptest::collection::vec(peers(), 0..=MAXIMUM_PEER_SAMPLE);
+    (peers(), any::<(bool, u64, u32)>(), digests(), peer_sample).prop_map(
+        |(sender, (leaving, sequence, number), snapshot_digest, peer_sample)| {
             ControlMessage::Digest(DigestMessage {
-                own: None,
-                marks: 0,
+                own_report: None,
+                unavailable_fingerprint: 0,
                 sender,
                 leaving,
                 sequence: Sequence(sequence),
-                snapshot,
+                snapshot_digest,
                 exchange: Exchange::Probe(ProbeNumber(number)),
-                sample,
+                peer_sample,
             })
         },
     )
@@ -89,20 +91,20 @@
         let first = roll(None, bundle(1, 0..10, 4), 1);
         let second = roll(Some(&first), bundle(version, 5..targets.max(6), 4), 2);
         let delta = second.stored.delta.as_ref();
-        ControlMessage::Offer(Box::new(Offer::fitting(
+        ControlMessage::Offer(Box::new(Offer::fitting_datagram(
             second.stored.record.clone(),
             delta,
         )))
     });
-    let request = |(content, first, limit)| CopyRequest {
+    let request = |(content, first, maximum_chunks)| CopyRequest {
         content,
-        wanted: (first..first + 100).collect(),
-        limit,
+        wanted_chunks: (first..first + 100).collect(),
+        maximum_chunks,
     };
     let chunk = |(content, index, bytes)| CopyChunk {
         content,
         index,
-        last: true,
+        is_last: true,
         bytes,
     };
     let bytes = proptest::collection::vec(any::<u8>(), 0..=CHUNK_LENGTH);
@@ -110,9 +112,12 @@
         digest_messages(),
         status_replies(),
         offers,
-        (digests(), any::<u64>()).prop_map(|(have, sequence)| {
+        (digests(), any::<u64>()).prop_map(|(snapshot_digest, sequence)| {
             let sequence = Sequence(sequence);
-            ControlMessage::RecordRequest(RecordRequest { sequence, have })
+            ControlMessage::RecordRequest(RecordRequest {
+                sequence,
+                snapshot_digest,
+            })
         }),
         (contents(), 0..9_000_usize, 0..=16_u16)
             .prop_map(move |parts| ControlMessage::CopyRequest(request(parts))),
@@ -130,7 +135,7 @@
 
 proptest! {
     #[test]
-    fn every_message_fits_a_datagram_and_is_read_as_written(message in messages()) {
+    fn every_message_fits_a_datagram_and_is_decoded_unchanged(message in messages()) {
         let frame = message.encode(&key()).unwrap();
         prop_assert!(frame.len() <= MAXIMUM_DATAGRAM_LENGTH);
         prop_assert_eq!(frame.len(), message.datagram_length());
@@ -138,25 +143,25 @@
     }
 
     #[test]
-    fn changed_frames_are_refused(message in messages(), place in any::<prop::sample::Index>(), bit in 0..8) {
+    fn changed_frames_are_refused(message in messages(), position in any::<prop::sample::Index>(), bit in 0..8) {
         let mut frame = message.encode(&key()).unwrap();
-        let place = place.index(frame.len());
-        frame[place] ^= 1_u8 << bit;
+        let position = position.index(frame.len());
+        frame[position] ^= 1_u8 << bit;
         prop_assert!(ControlMessage::decode(&key(), &frame).is_err());
     }
 
     #[test]
-    fn cut_and_lengthened_frames_are_refused(message in messages(), place in any::<prop::sample::Index>()) {
+    fn truncated_and_lengthened_frames_are_refused(message in messages(), position in any::<prop::sample::Index>()) {
         let mut frame = message.encode(&key()).unwrap();
-        let cut = place.index(frame.len());
-        prop_assert_eq!(ControlMessage::decode(&key(), &frame[..cut]), Err(FrameError::Truncated));
+        let end = position.index(frame.len());
+        prop_assert_eq!(ControlMessage::decode(&key(), &frame[..end]), Err(FrameError::Truncated));
         frame.push(0);
         let refused = ControlMessage::decode(&key(), &frame);
         prop_assert!(matches!(refused, Err(FrameError::Malformed | FrameError::Oversized)));
     }
 
     #[test]
-    fn any_authenticated_payload_is_read_or_refused(payload in proptest::collection::vec(any::<u8>(), 0..1100)) {
+    fn any_authenticated_payload_is_decoded_or_refused(payload in proptest::collection::vec(any::<u8>(), 0..1100)) {
         let mut frame = vec![1];
         frame.extend_from_slice(&u16::try_from(payload.len()).unwrap().to_be_bytes());
         frame.extend_from_slice(&key().tag(&payload, &[]));
@@ -173,7 +178,7 @@
 }
 
 #[test]
-fn other_versions_keys_and_lengths_are_told_apart() {
+fn each_kind_of_invalid_frame_has_its_own_error() {
     let number = ProbeNumber(1);
     let message = ControlMessage::StatusRequest(StatusRequest { number });
     let frame = message.encode(&key()).unwrap();
@@ -182,7 +187,7 @@
     other[0] = 2;
     assert_eq!(refused(&other), FrameError::UnknownVersion);
     let forged = message.encode(&TagKey::new([4; 16])).unwrap();
-    assert_eq!(refused(&forged), FrameError::Forged);
+    assert_eq!(refused(&forged), FrameError::TagMismatch);
     assert_eq!(refused(&[1; 1300]), FrameError::Oversized);
     assert_eq!(refused(&[]), FrameError::Truncated);
     let record = roll(None, bundle(1, 0..10, 4), 1).stored.record;
