--- a/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
@@ -1,9 +1,11 @@
 //! Admission of new flows by the actual state and load of the target.
 //!
 //! An opening is delivered when the target can begin with its request at once; otherwise
-//! it is queued at the agent ([`crate::flow::agent::admission::opening_queue`]). It is
-//! returned to its balancer only when the target takes no flow, when the balancer has
-//! underestimated the load, or when it has been queued for too long.
+//! it is queued at the agent ([`crate::flow::agent::admission::opening_queue`]). The
+//! agent returns an opening to its balancer only when the target takes no flow, when the
+//! target may be cold and has reached its limit of requests, when the queue is full or
+//! the target is stuck, when the balancer has underestimated the load or uses an old
+//! configuration, or when the opening has expired or would be answered too late.
 
 use std::time::Duration;
 
@@ -23,11 +25,11 @@
 const VERSION_GRACE: Duration = Duration::from_millis(1000);
 /// One hundred percent.
 const PERCENT: u32 = 100;
-/// Maximum number of requests at the target, in percent of its slots. It is above 100
-/// because an opening takes a moment to become a request.
+/// Maximum number of requests and openings at the target, in percent of its slots. Above
+/// 100, because the request follows its opening only after a round trip.
 const MAXIMUM_LOAD_PERCENT: u32 = 120;
 /// Time from the target's acceptance of an opening within which the caller's request is
-/// expected; after it, another opening may take the place.
+/// expected; after it, the opening no longer counts as load.
 const FIRST_REQUEST_WITHIN: Duration = Duration::from_millis(50);
 /// A full target counts as stuck after this many expected answer times without any
 /// answer.
@@ -54,7 +56,9 @@
             && flow.state != FlowState::Unconfirmed
             && packet.acknowledgement > 0
         {
-            // A copy of an opening that the target has received; it answers again.
+            // The acknowledgement number of an opening is the number of copies sent
+            // before it. The target has received an earlier copy and answers this one
+            // again.
             flow.balancer = from;
             return ForwardDecision::plain();
         }
@@ -71,8 +75,7 @@
             if self.load.busy == 0 {
                 self.last_progress_at = now;
             }
-            self.promises
-                .record_handover(&decided_opening(terms), false);
+            self.promises.record_handover(&promise_input(terms), false);
             self.deliver_opening(from, header, packet, now);
             return ForwardDecision::plain();
         }
@@ -113,12 +116,12 @@
 
     pub(crate) fn target_has_room(&self) -> bool {
         let counted = u32::from(self.load.busy) + u32::from(self.load.opening);
-        let delivered = counted.saturating_sub(self.presumed_lost.into());
+        let delivered = counted.saturating_sub(self.presumed_lost_count.into());
         delivered * PERCENT < u32::from(self.target.slots) * MAXIMUM_LOAD_PERCENT
     }
 
-    /// Whether the balancer believed the load of the target to be so much lower that
-    /// another target may be the better choice.
+    /// Whether the balancer's estimate of the target's load is lower than the actual load
+    /// by so much that another target may be the better choice.
     fn is_load_underestimated(&self, terms: &OpeningTerms) -> bool {
         let margin = (self.target.slots / 2).max(1);
         terms
@@ -126,8 +129,9 @@
             .is_some_and(|estimated| self.load.requests() > estimated.saturating_add(margin))
     }
 
-    /// Whether the target has begun no answer for far longer than requests take, although
-    /// it is full.
+    /// Whether the target is full and has begun no answer for
+    /// [`STUCK_AFTER_ANSWER_TIMES`] expected answer times, and for at least
+    /// [`MINIMUM_STUCK_TIME`].
     pub(crate) fn is_target_stuck(&self, now: Instant) -> bool {
         let limit =
             (self.expected_answer_time() * STUCK_AFTER_ANSWER_TIMES).max(MINIMUM_STUCK_TIME);
@@ -205,8 +209,9 @@
         });
     }
 
-    /// Delivers queued work while the target has room, and returns the openings that it
-    /// cannot take or that have been queued for too long. To be called after each event.
+    /// Delivers queued work while the target has room, and sends back to their balancers
+    /// the openings that the target cannot take or that have expired. To be called after
+    /// each event.
     pub fn dispatch_queued(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
         if self.opening_queue.is_empty() && self.request_queue.is_empty() {
             return;
@@ -223,7 +228,7 @@
         if self.must_not_queue_requests(now) {
             return self.deliver_all_queued_requests(now, actions);
         }
-        self.drop_expired_work(now, actions);
+        self.remove_expired_work(now, actions);
         while self.target_has_room() {
             match self.next_work(now) {
                 Some(NextWork::Opening(opening)) => {
@@ -235,7 +240,9 @@
         }
     }
 
-    fn drop_expired_work(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
+    /// Gives up requests that have timed out and returns expired openings to their
+    /// balancers.
+    fn remove_expired_work(&mut self, now: Instant, actions: &mut Vec<AgentAction>) {
         self.give_up_timed_out_requests(now);
         let expired = self.take_expired(now);
         self.counters.openings_expired += u64::try_from(expired.len()).unwrap_or(0);
@@ -256,7 +263,7 @@
             .opening_queue
             .has_urgent_in_time(|key| self.expected_answer_time_of(key), now);
         self.promises
-            .record_handover(&opening.decided_opening(now), urgent_waits);
+            .record_handover(&opening.promise_input(now), urgent_waits);
         self.deliver_opening(opening.balancer, &opening.header, &opening.packet, now);
         self.log_events.add(LogEvent::WorkReleased {
             key: opening.packet.key,
@@ -301,7 +308,7 @@
             let reason = self
                 .reason_to_decline(&opening.header, now)
                 .unwrap_or(usual_reason);
-            self.promises.record_given_up(&opening.decided_opening(now));
+            self.promises.record_given_up(&opening.promise_input(now));
             self.counters.openings_declined += 1;
             actions.push(AgentAction::Return {
                 to: opening.balancer,
@@ -336,7 +343,7 @@
     }
 }
 
-fn decided_opening(terms: &OpeningTerms) -> DecidedOpening {
+fn promise_input(terms: &OpeningTerms) -> DecidedOpening {
     DecidedOpening {
         age: Duration::from_millis(terms.age_ms.into()),
         timeout: Duration::from_millis(terms.timeout_ms.into()),
--- a/crates/woodladder-core/src/flow/agent/admission/opening_queue.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/opening_queue.rs
@@ -1,7 +1,7 @@
-//! Queue of openings that wait until the target can begin with them.
+//! Queue of openings that wait until the target can begin with their requests.
 //!
-//! A target works through its own queue from the front, so that after a surge every
-//! request in it is late. Openings wait at the agent instead, where none of their work
+//! A target serves its own queue in order of arrival, so that after a surge every request
+//! in that queue is late. Openings wait at the agent instead, where none of their work
 //! has run and the agent can choose among them. Openings whose requests can still be
 //! answered in time go first, and among these the ones of urgent routes; late ones get
 //! the remaining slots.
@@ -23,7 +23,8 @@
 
 /// Maximum number of openings that are queued at one agent.
 pub const MAXIMUM_QUEUED_OPENINGS: usize = 128;
-/// Age at which an opening is given up. The caller's attempt ends soon after.
+/// Age, counted from the caller's first sending, at which an opening is given up. The
+/// caller's attempt ends soon after.
 pub const MAXIMUM_OPENING_AGE: Duration = Duration::from_millis(1200);
 
 /// A queued opening.
@@ -57,8 +58,9 @@
 }
 
 impl QueuedOpening {
-    /// The facts by which promises about the opening are judged.
-    pub fn decided_opening(&self, now: Instant) -> DecidedOpening {
+    /// Properties of the opening that
+    /// [`PromiseWatch`](crate::flow::promises::PromiseWatch) evaluates.
+    pub fn promise_input(&self, now: Instant) -> DecidedOpening {
         DecidedOpening {
             age: now.since(self.first_sent),
             timeout: self.timeout,
@@ -100,9 +102,9 @@
             .any(|opening| opening.packet.key == *key)
     }
 
-    /// Whether an opening of an urgent route is queued that can still be in time.
-    /// `expected_time` gives the expected time from the delivery of a flow's opening to the
-    /// answer.
+    /// Whether an opening of an urgent route is queued that can still be answered within
+    /// its aim. `expected_time` gives the expected time from the delivery of a flow's
+    /// opening to the answer.
     pub fn has_urgent_in_time(
         &self,
         expected_time: impl Fn(&FlowKey) -> Duration,
@@ -130,8 +132,8 @@
         Some(self.openings.swap_remove(best))
     }
 
-    /// Removes the openings that have been queued for as long as they may, or whose
-    /// answers would come too late to be of use. `expected_time` gives the expected time from
+    /// Removes the openings that have reached [`MAXIMUM_OPENING_AGE`], or whose answers
+    /// would come only after their timeout. `expected_time` gives the expected time from
     /// the delivery of a flow's opening to the answer.
     pub fn take_expired(
         &mut self,
--- a/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
@@ -1,10 +1,10 @@
 //! Queueing of requests on open flows together with openings, where the configuration
 //! calls for it.
 //!
-//! A request is queued, starting with its first packet, if it would find the target full.
-//! Its packets are delivered together when its turn comes. Only requests that the target
-//! has not seen are queued: once a request has begun, all of its packets are delivered at
-//! once.
+//! A request is queued, starting with its first packet, if the target is full or other
+//! work is queued already. Its packets are delivered together when its turn comes. Only
+//! requests that the target has not seen are queued: once a request has begun, all of its
+//! packets are delivered at once.
 
 use std::time::Duration;
 
@@ -27,8 +27,9 @@
 const MINIMUM_PRESUMED_LOST_AGE: Duration = Duration::from_millis(500);
 
 impl Agent {
-    /// Queues a packet of an open flow if it has to wait for the target. Returns whether
-    /// it was queued or dropped, in which case it is not to be delivered now.
+    /// Queues a packet of an open flow if the packet has to wait for the target. Returns
+    /// whether the packet was queued or dropped, in which case it is not to be delivered
+    /// now.
     pub(crate) fn queue_if_full(
         &mut self,
         from: NodeAddress,
@@ -115,9 +116,9 @@
         (is_first && self.target_has_room()) || self.must_not_queue_requests(now)
     }
 
-    /// Whether requests must not be queued: it is not known whether the target is alive,
-    /// or it makes no progress. It is then sent everything at once, and serves or returns
-    /// it.
+    /// Whether requests must not be queued, because it is uncertain whether the target is
+    /// alive, the agent is stopping, or the target is stuck. All requests are then
+    /// delivered at once; the target serves or returns them.
     pub(crate) fn must_not_queue_requests(&self, now: Instant) -> bool {
         let is_responsive = matches!(self.target.state, TargetState::Ready | TargetState::Leaving);
         self.is_stopping || !is_responsive || self.is_target_stuck(now)
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Gives up requests whose callers have left.
+    /// Gives up requests whose timeout has passed, so that their callers have left.
     pub(crate) fn give_up_timed_out_requests(&mut self, now: Instant) {
         self.request_queue
             .forget_silent_callers(GIVEN_UP_RETENTION, now);
@@ -179,7 +180,7 @@
     /// likely dropped them than not answered them yet.
     pub(crate) fn count_presumed_lost(&mut self, now: Instant) {
         if !self.mechanisms.orders_requests || !self.has_queued_work() {
-            self.presumed_lost = 0;
+            self.presumed_lost_count = 0;
             return;
         }
         let limit = (self.expected_answer_time() * PRESUMED_LOST_AFTER_ANSWER_TIMES)
@@ -190,6 +191,6 @@
             .iter()
             .filter(|(_, flow)| flow.busy_since.is_some_and(is_presumed_lost))
             .count();
-        self.presumed_lost = u16::try_from(presumed_lost).unwrap_or(u16::MAX);
+        self.presumed_lost_count = u16::try_from(presumed_lost).unwrap_or(u16::MAX);
     }
 }
--- a/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
@@ -5,10 +5,9 @@
 //! packet is dropped. A queued packet is not acknowledged, so its caller retransmits it
 //! and nothing is lost when the agent's process ends.
 //!
-//! A request that is given up is removed with its packets; its flow stays open. If the
-//! caller is still there after all, it retransmits the packets. They are then queued with
-//! the age of the first attempt, and are not given up a second time, so that the flow can
-//! continue.
+//! A request that is given up is removed with its packets; its flow stays open. A caller
+//! that has not left retransmits the packets. They are then queued with the age of the
+//! first attempt, and are not given up a second time, so that the flow can continue.
 
 use std::time::Duration;
 
@@ -209,15 +208,17 @@
         self.given_up.remove(key);
     }
 
-    /// Removes everything known of a flow that has ended. Returns the number of packets
-    /// that were queued.
+    /// Removes all state of a flow that has ended. Returns the number of packets that
+    /// were queued.
     pub fn remove_flow(&mut self, key: &FlowKey) -> usize {
         self.given_up.remove(key);
         self.take(key).map_or(0, |request| request.packets.len())
     }
 
-    /// Gives up requests whose callers have left because the timeout has passed. Requests
-    /// that cannot be remembered, and those whose callers have come back, stay queued.
+    /// Gives up requests whose timeout has passed, so that their callers have left. A
+    /// request stays queued if [`MAXIMUM_GIVEN_UP_FLOWS`] given-up requests are
+    /// remembered already, or if it was given up before and its caller has retransmitted
+    /// it.
     pub fn give_up_timed_out(&mut self, now: Instant) -> Vec<(FlowKey, QueuedRequest)> {
         let room = MAXIMUM_GIVEN_UP_FLOWS.saturating_sub(self.given_up.len());
         let timed_out: Vec<FlowKey> = self
@@ -247,7 +248,7 @@
             .retain(|_, request| now.since(request.given_up_at) < after);
     }
 
-    /// Flows with a queued request, the one whose request arrived first in front.
+    /// Flows with a queued request, in the order in which their requests arrived.
     #[must_use]
     pub fn keys_by_age(&self) -> Vec<FlowKey> {
         let mut keys: Vec<FlowKey> = self.requests.keys().copied().collect();
--- a/crates/woodladder-core/src/flow/agent/admission/service_times.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/service_times.rs
@@ -16,7 +16,7 @@
 /// Weight of a new sample: one part in this many.
 const MEAN_DIVISOR: u32 = 8;
 /// A sample is capped at this multiple of the present mean, so that one request that
-/// hangs does not make all others of its route look late.
+/// hangs does not make all others of its route count as late.
 const OUTLIER_FACTOR: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
@@ -3,33 +3,33 @@
 //! Work that can still be answered within its aim (the desired response time) goes first,
 //! and among it the work of urgent routes, those with a higher priority than another
 //! route of the service. Late work gets the remaining slots, because a slot given to it
-//! is taken from work that would have been in time. So that it does not starve, less
-//! urgent work gets a share of the slots beside urgent work that is in time or late like
-//! it. The share never makes urgent work late: it is granted only if all urgent work that
-//! can be in time still is afterwards.
+//! is taken from work that would have been in time. So that less urgent work does not
+//! starve, it gets one slot in [`SHARE_PERIOD_SLOTS`] while it is queued beside urgent
+//! work of the same lateness (both in time, or both late). Such a slot is granted only if
+//! all urgent work that can be in time still is afterwards.
 //!
-//! Within a group, the earliest deadline goes first among the work that would still meet
-//! it if it took twice as long as expected; then the newest. The deadline is the aim of
-//! work that can be in time and the timeout of late work. Queued work is thus delivered
-//! before its aim passes, and when not all of a group can be in time, no slots are spent
-//! on work that is on the brink of being late.
+//! Within a group, the work that would meet its deadline even if it took twice as long as
+//! expected goes first, by earliest deadline; the other work follows, the newest first.
+//! The deadline is the aim of work that can be in time and the timeout of late work.
+//! Queued work is thus delivered before its aim passes, and when not all of a group can
+//! be in time, no slots are spent on work that would be late after a short delay.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// Period, in slots, with which less urgent work gets a slot while it is queued beside
-/// urgent work and is in time or late like it.
+/// Less urgent work gets one in this many slots while it is queued beside urgent work of
+/// the same lateness (both in time, or both late).
 const SHARE_PERIOD_SLOTS: u32 = 8;
 
-/// Time that must remain before the deadline beside the expected time of the work, as a
-/// multiple of the expected time: few requests take longer, and the way to the caller
-/// takes time, too.
+/// Margin between the expected end of the work and its deadline, as a multiple of the
+/// expected time: few requests take longer than that, and the answer needs time on its
+/// way to the caller.
 const DEADLINE_MARGIN_FACTOR: u32 = 1;
 
-/// What the order needs to know of one piece of work: an opening, or a request on an open
-/// flow.
+/// Properties of one piece of work, an opening or a request on an open flow, that decide
+/// its place in the order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueuedWork {
     /// When the caller first sent the work, as far as that is known.
@@ -43,12 +43,13 @@
     /// Whether the work's route has a higher priority than another route of the same
     /// service.
     pub is_urgent: bool,
-    /// Whether the work may be delivered now; an opening may not while a cold target has
-    /// reached its limit.
+    /// Whether the work may be delivered now. False for an opening while a cold target
+    /// has reached its limit of requests per second.
     pub is_eligible: bool,
 }
 
-/// Groups of work; greater groups are served first.
+/// Groups of work; greater groups are served first. Work is in time if it can be answered
+/// within its aim.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum WorkGroup {
     /// Cannot be in time, and its route is not urgent.
@@ -73,8 +74,8 @@
         }
     }
 
-    /// The group of less urgent work that is in time or late like the urgent work of this
-    /// group.
+    /// The group of less urgent work of the same lateness; `None` for a group of less
+    /// urgent work.
     fn less_urgent(self) -> Option<Self> {
         match self {
             Self::InTimeUrgent => Some(Self::InTime),
@@ -120,14 +121,14 @@
 /// less urgent work.
 #[derive(Clone, Debug, Default)]
 pub struct ServingOrder {
-    /// Slots since less urgent work last got one, counted while such work is queued and
-    /// is in time or late like the urgent work.
+    /// Slots given to urgent work since less urgent work of the same lateness (both in
+    /// time, or both late) last got one; zero while no such work is queued.
     slots_since_share: u32,
 }
 
 impl ServingOrder {
     /// Index of the work that is delivered next to a target with this many slots; `None`
-    /// when none of it may be delivered.
+    /// when no queued work may be delivered.
     pub fn choose(&mut self, queued: &[QueuedWork], slots: u16, now: Instant) -> Option<usize> {
         let first = best_index(queued, now, |_| true)?;
         let first_group = queued[first].group(now);
@@ -146,7 +147,8 @@
     }
 }
 
-/// Index of the first work of the greatest group among the groups for which `is_considered` holds.
+/// Index of the work that is served first among the eligible work of the groups for which
+/// `is_considered` holds.
 fn best_index(
     queued: &[QueuedWork],
     now: Instant,
@@ -178,8 +180,8 @@
     })
 }
 
-/// Expected time from now until a piece of work would be delivered behind the queued
-/// work.
+/// Expected time from now until a target with this many slots has served all queued work
+/// of greater groups than that of `work`.
 #[must_use]
 pub fn expected_wait(
     work: &QueuedWork,
--- a/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
@@ -1,12 +1,14 @@
-//! Limit on the requests that a possibly cold target is sent in any second.
+//! Limit on the requests that are delivered to a possibly cold target in any second.
 //!
 //! A target that has just started, or whose zone has just been taken back into service,
-//! can serve only few requests a second and may fail under more. The agent sees every
-//! request of its target, whichever balancer sent it, so the limit across all balancers
-//! is enforced here, over every span of a second and without coordination.
+//! can serve only few requests a second and may fail under more. Every request of a
+//! target passes through its agent, whichever balancer sent the request. The agent
+//! therefore enforces the limit across all balancers, over every span of a second and
+//! without coordination.
 //!
-//! Where the agent cannot know whether the target is cold, it treats it as cold: until a
-//! heartbeat says otherwise, or for as long as a target stays cold.
+//! When it is uncertain whether the target is cold, the agent treats the target as cold
+//! until a heartbeat states the remaining warm-up time, but at most for the warm-up time
+//! of the service once the configuration states that time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,33 +18,35 @@
 use crate::flow::cold_reason::ColdReason;
 use crate::flow::log_event::LogEvent;
 
-/// Span over which requests are counted: one second, plus the time by which packets from
-/// the agent to the target beside it may differ in their delay.
+/// Span over which requests are counted: one second, plus 50 milliseconds for differences
+/// in the delay of packets from the agent to the target.
 const COUNTING_SPAN: Duration = Duration::from_millis(1050);
-/// Maximum delay with which a heartbeat that was written before a stall of the process
-/// may still be read after it: a target waits one second for the answer to a heartbeat.
+/// Longest time after a stall of the agent's process at which the agent may still read a
+/// heartbeat that was sent before the stall: a target waits one second for the answer to
+/// a heartbeat.
 const MAXIMUM_HEARTBEAT_DELAY: Duration = Duration::from_millis(1000);
 /// Thousandths in a whole.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// What the operators allow a cold target beyond the rate of requests that its service
-/// states.
+/// Upper bound that the operators set on the requests per second to a cold target: the
+/// rate that the service states times `overage`, plus `slack`. The agent delivers at most
+/// the stated rate, or this bound if it is lower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpBounds {
-    /// Factor on the stated requests a second.
+    /// Factor on the stated requests per second.
     pub overage: f64,
-    /// Further requests in a second beyond that.
+    /// Requests per second added to that product.
     pub slack: u32,
 }
 
-/// The requests that were delivered to the target in the last second, and whether it may
-/// be cold.
+/// Requests that were delivered to the target within the last [`COUNTING_SPAN`], and
+/// whether the target may be cold.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WarmUp {
     delivered_at: VecDeque<Instant>,
-    /// When it became unknown whether the target is cold; `None` while it is known.
+    /// When it became uncertain whether the target is cold; `None` while it is certain.
     assumed_cold_since: Option<Instant>,
-    /// From when on a heartbeat is trusted to say whether the target is cold.
+    /// From when on a heartbeat ends this uncertainty; `None` while there is none.
     heartbeats_trusted_from: Option<Instant>,
 }
 
@@ -66,7 +70,7 @@
         self.delivered_at.iter().rev().take_while(is_recent).count()
     }
 
-    /// Records a heartbeat, which says whether the target is cold.
+    /// Records a heartbeat, which states the target's remaining warm-up time.
     pub(crate) fn record_heartbeat(&mut self, now: Instant) {
         if self.heartbeats_trusted_from.is_none_or(|from| now >= from) {
             self.assumed_cold_since = None;
@@ -76,7 +80,7 @@
 }
 
 impl Agent {
-    /// Records that it is no longer known whether the target is cold.
+    /// Records that it is uncertain from now on whether the target is cold.
     pub(crate) fn assume_cold(&mut self, reason: ColdReason, now: Instant) {
         self.warm_up.assumed_cold_since = Some(now);
         let wait = match reason {
@@ -92,8 +96,10 @@
         }
     }
 
-    /// Requests that the target may still be sent within the present second; `None` when
-    /// it is warm or its service states no rate.
+    /// Number of openings that may still be delivered to the target: its limit minus the
+    /// openings and the requests on open flows delivered within the last
+    /// [`COUNTING_SPAN`]. `None` when the target is warm, its service states no rate or
+    /// the operators set no limit.
     pub(crate) fn openings_left(&self, now: Instant) -> Option<u16> {
         let limit = self.warm_up_limit()?;
         if !self.may_be_cold(now) {
@@ -106,12 +112,12 @@
         Some(u16::try_from(left).unwrap_or(u16::MAX))
     }
 
-    /// Requests in a second that a cold target may be sent; `None` when the operators set
-    /// no limit or the service states none. While the configuration is not known, a cold
-    /// target is sent nothing.
+    /// Maximum number of requests per second to a cold target; `None` when the operators
+    /// set no limit or the service states no rate. Zero while the agent has no
+    /// configuration.
     ///
-    /// The operators' bounds allow more than the stated rate, but a target may fail
-    /// beyond the stated rate.
+    /// The limit is the lower of the stated rate and the operators' bound, because a
+    /// target may fail beyond the stated rate.
     fn warm_up_limit(&self) -> Option<usize> {
         let bounds = self.options.warm_up?;
         let rate = self.routes.warm_up_rate(self.options.service);
@@ -132,8 +138,8 @@
         is_assumed_cold || now < self.target.warm_from
     }
 
-    /// Whether the agent's former process may have delivered requests within the present
-    /// second.
+    /// Whether the agent's former process may have delivered requests within the last
+    /// [`COUNTING_SPAN`].
     fn former_process_may_have_delivered(&self, now: Instant) -> bool {
         !self.target.started_after_agent && now.since(self.started_at) < COUNTING_SPAN
     }
--- a/crates/woodladder-core/src/flow/agent/admission/work_selection.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/work_selection.rs
@@ -1,4 +1,4 @@
-//! The agent's queued work as the serving order sees it, and the choice of the work that
+//! The agent's queued work as input of the serving order, and the choice of the work that
 //! is delivered next.
 
 use std::time::Duration;
@@ -51,7 +51,8 @@
             .map_or_else(|| self.expected_answer_time(), |time| time + EXCHANGE_TIME)
     }
 
-    /// Removes the openings that would be answered too late.
+    /// Removes the openings that have reached [`MAXIMUM_OPENING_AGE`], or whose answers
+    /// would come only after their timeout.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<QueuedOpening> {
         let mean_time = self.expected_answer_time();
         let times = &self.service_times;
--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -18,7 +18,7 @@
     Queued(PeerMessage),
     /// The packet is not delivered; the message goes to the balancer.
     Reply(PeerMessage, ReplyBody),
-    /// The packet is not delivered, or is queued at the agent; no message is sent.
+    /// The packet is dropped, or is queued at the agent; no message is sent.
     Drop,
 }
 
@@ -45,7 +45,7 @@
 pub enum TargetPacketDecision {
     /// The packet goes to the caller; a message may go to a balancer.
     ToCaller(Option<(NodeAddress, PeerMessage)>),
-    /// The target returned the packet; a balancer is told.
+    /// The target returned the packet; a message goes to a balancer.
     Returned {
         /// The balancer that the packet names.
         to: NodeAddress,
@@ -85,7 +85,8 @@
         /// The opening.
         packet: Vec<u8>,
     },
-    /// Asks a node for a snapshot and passes it to [`Agent::apply_snapshot`].
+    /// Requests a snapshot from a node and passes the snapshot to
+    /// [`Agent::apply_snapshot`].
     FetchSnapshot {
         /// The node.
         from: NodeAddress,
@@ -110,15 +111,17 @@
     pub openings_declined_cold: u64,
     /// Openings returned because the target's zone is excluded.
     pub openings_declined_excluded: u64,
-    /// Openings returned after they had been queued for too long.
+    /// Queued openings that were returned because they had reached the maximum age of an
+    /// opening or could no longer be answered before their timeout.
     pub openings_expired: u64,
-    /// Openings returned because they would have been answered too late.
+    /// Openings returned on arrival because they would have been answered too late.
     pub openings_declined_late: u64,
     /// Requests of open flows that were queued at the agent.
     pub requests_queued: u64,
     /// Retransmissions of queued packets, dropped.
     pub duplicate_packets_dropped: u64,
-    /// Queued requests of open flows that were dropped because their callers have left.
+    /// Queued requests of open flows that were dropped because their timeout had passed,
+    /// so that their callers have left.
     pub requests_given_up: u64,
     /// Queued requests of open flows that were delivered early because the target was
     /// silent, stuck or replaced, or the agent was stopping.
@@ -139,11 +142,11 @@
     pub packets_dropped: u64,
     /// Heartbeats accepted.
     pub heartbeats: u64,
-    /// Heartbeats of starts that a later start has replaced.
+    /// Heartbeats rejected because a later incarnation has replaced theirs.
     pub heartbeats_replaced: u64,
-    /// Heartbeats of starts that may be older than the known one.
+    /// Heartbeats rejected because their incarnation may be older than the known one.
     pub heartbeats_unproven: u64,
-    /// Deregistrations that were ignored because they may concern a former start.
+    /// Deregistrations that were ignored because they may concern a former incarnation.
     pub deregistrations_ignored: u64,
     /// Parts of flow lists sent to balancers.
     pub flow_list_parts_sent: u64,
--- a/crates/woodladder-core/src/flow/agent/flows.rs
+++ b/crates/woodladder-core/src/flow/agent/flows.rs
@@ -188,8 +188,8 @@
         TargetPacketDecision::ToCaller(message.map(|message| (balancer, message)))
     }
 
-    /// Adds a flow that the target holds and the agent did not know: the flow was opened
-    /// before the agent started.
+    /// Adds a flow that the target holds and that is not in the table, because the flow
+    /// was opened before the agent started.
     fn learn_flow(&mut self, packet: &FlowPacket, now: Instant) {
         if packet.kind == PacketKind::Accept {
             return;
@@ -238,12 +238,12 @@
         }
     }
 
-    /// Removes the flows of a target that was replaced, except for those that were opened
-    /// after its last heartbeat. A target takes flows before its own first heartbeat, so
-    /// these may be open at the new target; if they are not, the target returns their
-    /// packets. The requests that they had in service no longer count as load: most of
-    /// them ended with the former incarnation, and would keep slots of the new one
-    /// occupied.
+    /// Removes the flows of a target that was replaced, except for flows whose state
+    /// changed after its last heartbeat. Because a target takes flows before its own
+    /// first heartbeat, the remaining flows may be open at the new target; if they are
+    /// not, the new target returns their packets. Requests of the remaining flows that
+    /// were in service no longer count as load: most of them ended with the former
+    /// incarnation, and would keep slots of the new one occupied.
     pub(super) fn remove_flows_of_replaced_target(
         &mut self,
         last_heartbeat: Option<Instant>,
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -2,10 +2,10 @@
 //! it and reports the target's load to the balancers.
 //!
 //! # Lifecycle
-//! An agent starts without knowledge of its target's flows and admits no new flow before
-//! the target's first heartbeat. It learns of flows that are already open from the
-//! packets that the target sends. Once a target has announced that it leaves, the agent
-//! delivers no further new flow to it, whatever a balancer still believes.
+//! An agent starts with an empty flow table and admits no new flow before the target's
+//! first heartbeat. Flows that are already open are added to the table when the target
+//! sends packets of them. Once a target has announced that it leaves, the agent delivers
+//! no further new flow to it, even if a balancer still lists the target as ready.
 
 mod admission;
 mod decision;
@@ -130,7 +130,7 @@
     NotListening,
 }
 
-/// A start of the target that a later start has replaced.
+/// A start of the target (an incarnation) that a later start has replaced.
 #[derive(Clone, Copy, Debug)]
 struct ReplacedStart {
     incarnation: Incarnation,
@@ -144,11 +144,12 @@
     incarnation: Option<Incarnation>,
     /// Identifies the target by its name alone, whichever start it is.
     instance: Option<Incarnation>,
-    /// When this start began according to the target, in milliseconds of Unix time.
+    /// Time that the target states as the beginning of this start, in milliseconds of
+    /// Unix time.
     started_at_ms: Option<u64>,
     replaced_starts: Vec<ReplacedStart>,
     restart_detector: RestartDetector,
-    /// Whether the target has said that it is gone.
+    /// Whether the target has deregistered.
     is_deregistered: bool,
     first_heartbeat_at: Option<Instant>,
     heartbeat_sequence: u64,
@@ -173,10 +174,10 @@
     routes: RouteTable,
     mechanisms: ActiveMechanisms,
     version_adopted_at: Instant,
-    /// When the agent first heard of a newer configuration version than its own.
+    /// When a hello first stated a newer configuration version than the agent's own.
     newer_heard_at: Option<Instant>,
     excluded_zones: ExcludedZones,
-    /// When a node last said which zones are excluded.
+    /// When a node last sent the excluded zones.
     zones_heard_at: Option<Instant>,
     warm_up: WarmUp,
     balancers: BalancerPeers,
@@ -186,8 +187,9 @@
     request_queue: RequestQueue,
     serving_order: ServingOrder,
     service_times: ServiceTimes,
-    /// Requests in service for so long that the target has most likely dropped them.
-    presumed_lost: u16,
+    /// Number of requests in service for so long that the target has most likely dropped
+    /// them; zero while no work is queued.
+    presumed_lost_count: u16,
     /// Whether the process is about to end.
     is_stopping: bool,
     /// Openings that the target has accepted and whose callers have not sent a request
@@ -202,7 +204,7 @@
     report_schedule: ReportSchedule,
     report_sequence: u64,
     flow_announcer: FlowAnnouncer,
-    /// Whether something has changed that every balancer must learn at once.
+    /// Whether something has changed that must be reported to every balancer at once.
     is_report_to_all_due: bool,
     pending_fetch: Option<(NodeAddress, Instant)>,
     ticked_at: Option<Instant>,
@@ -212,7 +214,7 @@
 }
 
 impl Agent {
-    /// An agent that knows nothing of its target or of other nodes yet.
+    /// An agent without a target, a configuration or other nodes yet.
     #[must_use]
     pub fn new(options: AgentOptions, now: Instant) -> Self {
         Self {
@@ -231,7 +233,7 @@
             request_queue: RequestQueue::default(),
             serving_order: ServingOrder::default(),
             service_times: ServiceTimes::default(),
-            presumed_lost: 0,
+            presumed_lost_count: 0,
             is_stopping: false,
             accepted_without_request: VecDeque::new(),
             load: TargetLoad::default(),
@@ -269,7 +271,7 @@
         self.mechanisms
     }
 
-    /// Version of the configuration that the agent knows; zero before the first.
+    /// Version of the agent's configuration; zero before the first.
     #[must_use]
     pub fn configuration_version(&self) -> u64 {
         self.routes.version()
@@ -281,9 +283,10 @@
         &self.balancers
     }
 
-    /// How urgently the agent needs the store's list of balancers. It needs none while it
-    /// hears a balancer: two halves of a fleet that do not know each other find each
-    /// other through the balancers.
+    /// How urgently the agent needs the store's list of balancers. The agent does not
+    /// need the list while hellos arrive: some balancers read the list to find balancers
+    /// that none of their peers knows ([`ListNeed::Safeguard`]), and hellos name the
+    /// balancers to add.
     #[must_use]
     pub fn list_need(&self, now: Instant) -> ListNeed {
         if self.balancers.hears_any(now) {
--- a/crates/woodladder-core/src/flow/agent/reporting/balancer_messages.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/balancer_messages.rs
@@ -17,9 +17,9 @@
 /// Maximum number of balancers to which open flows are announced: each change is sent to
 /// all of them.
 const MAXIMUM_ANNOUNCEMENT_RECEIVERS: usize = 64;
-/// Time between ticks while something waits for the next one.
+/// Time between ticks while queued work or an unsent report waits for the next tick.
 const SHORT_TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time between ticks while nothing waits for one.
+/// Time between ticks otherwise.
 const LONG_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A pause between two ticks of at least this length counts as a stall of the process.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
@@ -123,8 +123,9 @@
         self.fetch_newer_configuration(from, hello, now, actions);
     }
 
-    /// Fetches the configuration of a balancer that knows a newer version: from one of
-    /// the agent's own zone if there is one soon, else from any.
+    /// Fetches the configuration of a balancer that has a newer version, if the balancer
+    /// is in the agent's zone. A balancer of another zone is used only after
+    /// [`OTHER_ZONE_FETCH_DELAY`], or while the agent has no configuration yet.
     fn fetch_newer_configuration(
         &mut self,
         from: NodeAddress,
@@ -153,8 +154,9 @@
         actions.push(AgentAction::FetchSnapshot { from, request });
     }
 
-    /// Tells the balancers, as part of a planned stop, that the target has ended. Must
-    /// not be called while the target lives, because its flows are then reset.
+    /// Sends the balancers, as part of a planned stop, the message that the target has
+    /// ended. Must not be called while the target lives, because its flows are then
+    /// reset.
     pub fn announce_target_end(&self, actions: &mut Vec<AgentAction>) {
         for to in self.balancers.addresses() {
             let message = PeerMessage::TargetEnded;
--- a/crates/woodladder-core/src/flow/agent/reporting/flow_announcer.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/flow_announcer.rs
@@ -1,5 +1,5 @@
-//! The open flows that an agent announces to balancers, and which changes each balancer
-//! has been told.
+//! The open flows that an agent announces to balancers, and the changes of this set that
+//! were sent to each balancer.
 //!
 //! Changes are numbered. A report repeats the changes of the report before it, so that
 //! the loss of one report costs nothing. A balancer that misses more asks for the
@@ -24,7 +24,7 @@
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of changes that are kept for reports.
 const MAXIMUM_CHANGES: usize = 1024;
-/// Parts of flow lists that may be sent at once after a while without any.
+/// Maximum number of parts of flow lists that are sent at once, after a time without any.
 const LIST_BURST: u32 = 64;
 /// Parts of flow lists that may be sent per second, of at most 1,200 bytes each, to all
 /// balancers together.
@@ -43,7 +43,7 @@
     latest_report: u32,
 }
 
-/// The flows that are announced, and how far each balancer has been told of them.
+/// The flows that are announced, and the changes that were sent to each balancer.
 #[derive(Clone, Debug)]
 pub struct FlowAnnouncer {
     epoch: u64,
@@ -113,7 +113,8 @@
         self.changes.drain(..surplus);
     }
 
-    /// Forgets what a balancer has been told, after it has restarted and knows nothing.
+    /// Forgets which changes were sent to a balancer, because the balancer has restarted
+    /// without them.
     pub fn forget_balancer(&mut self, balancer: NodeAddress) {
         self.announced.remove(&balancer);
     }
@@ -165,7 +166,7 @@
         )
     }
 
-    /// The announcement for a balancer that has been told nothing: the complete list
+    /// The announcement for a balancer that has not been sent one yet: the complete list
     /// where it fits into one datagram.
     fn first_announcement(&self) -> FlowAnnouncement {
         if self.open.len() > MAXIMUM_FINGERPRINTS {
@@ -203,8 +204,8 @@
     }
 
     /// The complete list, for a balancer that has asked for it. Empty if there are too
-    /// many flows, or if other balancers have just been sent as much as may be sent; the
-    /// balancer asks again then.
+    /// many flows, or if the parts that [`LIST_PARTS_PER_SECOND`] allows have been sent
+    /// to other balancers; the balancer then asks again.
     pub fn list_parts(&mut self, now: Instant) -> Vec<FlowListPart> {
         let parts = self.open.len().div_ceil(MAXIMUM_FINGERPRINTS).max(1);
         self.refill_list_parts(now);
--- a/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
@@ -12,10 +12,11 @@
 
 /// Minimum time between two reports to one balancer.
 const MINIMUM_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reports to a balancer that has not sent a hello yet. When a whole
-/// fleet starts, the few balancers that the settings name may start a moment after the
-/// agent, and until one of them knows the agent, its target's flows are not found. With
-/// many such balancers the time is stretched.
+/// Time between two reports to a balancer that has not sent a hello yet. Short, because
+/// no balancer can find the target's flows before it has received a report, and when a
+/// whole fleet starts, the few balancers that the settings name may start after the
+/// agent's first report. With many such balancers, [`ReportSchedule::interval_factor`]
+/// lengthens the interval.
 const UNCONFIRMED_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum mean time between two reports of one agent, whatever the balancers ask for: it
 /// limits reports to a hundredth of a small machine's processor.
@@ -114,8 +115,8 @@
         due
     }
 
-    /// Factor on the requested intervals that keeps the reports to all balancers at their
-    /// minimum spacing.
+    /// Factor on all intervals that keeps the mean time between two reports at
+    /// [`MINIMUM_MEAN_SPACING`] or more.
     fn interval_factor(&self) -> f64 {
         let reports_per_second: f64 = self
             .entries
--- a/crates/woodladder-core/src/flow/agent/reporting/zone_exclusion.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/zone_exclusion.rs
@@ -9,8 +9,8 @@
 use crate::flow::log_event::LogEvent;
 
 /// Time without news of the excluded zones after which the agent's zone may have been
-/// excluded and taken back unnoticed. It is longer than the rounds in which even a single
-/// balancer sends each agent a hello.
+/// excluded and taken back unnoticed. Even a single balancer sends a hello to each agent
+/// more often than this.
 const MAXIMUM_ZONE_NEWS_GAP: Duration = Duration::from_secs(3);
 
 impl Agent {
--- a/crates/woodladder-core/src/flow/agent/target/failure_record.rs
+++ b/crates/woodladder-core/src/flow/agent/target/failure_record.rs
@@ -3,7 +3,8 @@
 //! A target can fail quickly while its heartbeats are good; it then looks idle and would
 //! attract the next flow. The agent counts failures and successes with decaying weights
 //! and reports the share of failures with the load. Balancers compare it with the share
-//! of the service's other targets. What a target says of its own health plays no part.
+//! of the service's other targets. What a target reports about its own health is not
+//! used.
 //!
 //! The evidence decays, so that a target that has recovered is tried again. It decays
 //! more slowly for a target that has been suspect before.
@@ -15,13 +16,14 @@
 /// Half-life of the weight of successes. It is short, so that a long good record does not
 /// hide that a target has begun to fail.
 const SUCCESS_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Half-life of the weight of failures, at first.
+/// Initial half-life of the weight of failures.
 const FIRST_HALF_LIFE: Duration = Duration::from_secs(2);
 /// Longest half-life of the weight of failures.
 const MAXIMUM_HALF_LIFE: Duration = Duration::from_secs(16);
-/// Time without suspicion after which the first half-life applies again.
+/// Time since the last suspicion began after which [`FIRST_HALF_LIFE`] applies again.
 const HALF_LIFE_RESET_AFTER: Duration = Duration::from_secs(40);
-/// Successes that are assumed before any are known, so that one failure proves little.
+/// Successes that are assumed in addition to the counted ones, so that a single failure
+/// without any success is a share of 25 percent, not 100.
 const ASSUMED_SUCCESSES: f64 = 3.0;
 /// Share of failures, in percent, from which a target is suspect.
 const SUSPECT_FROM: u8 = 25;
@@ -44,7 +46,7 @@
 pub enum Suspicion {
     /// The target has become suspect: it fails more than occasionally.
     Begun,
-    /// The target is no longer suspect: its failures lie far enough back.
+    /// The target is no longer suspect: its share of failures has decayed far enough.
     Ended,
 }
 
@@ -87,7 +89,7 @@
         const PERCENT: f64 = 100.0;
         let all = self.failures + self.successes + ASSUMED_SUCCESSES;
         let share = self.failures / all * PERCENT;
-        // Between 0 and 100 by its definition.
+        // The share is between 0 and 100.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let percent = share.round() as u8;
         percent
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of the target: its incarnation, state and capacity.
 //!
 //! Each start of a target is a new incarnation. A late heartbeat of an earlier
-//! incarnation, or one that arrives out of order, changes nothing.
+//! incarnation, or a heartbeat that arrives out of order, changes nothing.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 const MAXIMUM_REPLACED_STARTS: usize = 16;
 /// Sequence number of the first heartbeat of an incarnation.
 const FIRST_SEQUENCE: u64 = 1;
-/// Two heartbeats of one incarnation that arrive this far apart show that it was alive in
-/// between: heartbeats that were held up arrive together.
+/// Two heartbeats of one incarnation that arrive at least this far apart show that the
+/// incarnation was alive in between: delayed heartbeats arrive together.
 const MINIMUM_ALIVE_SPAN: Duration = Duration::from_millis(500);
 /// Time without any packet of the target, while openings wait for its answer, after which
-/// it counts as unresponsive.
+/// the target counts as unresponsive.
 const MAXIMUM_UNANSWERED_TIME: Duration = Duration::from_millis(450);
 
 /// A heartbeat of a target.
@@ -30,15 +30,15 @@
     /// Identifies the target by its name alone; the same for all starts under that name.
     pub instance: Incarnation,
     /// When the incarnation began, in milliseconds of Unix time; `None` if the target
-    /// does not say.
+    /// does not state it.
     pub started_unix_ms: Option<u64>,
     /// Service of the target.
     pub service: ServiceKey,
-    /// Whether the target says that it leaves.
+    /// Whether the target announces that it leaves.
     pub leaving: bool,
     /// Number of requests that the target serves at the same time.
     pub slots: u16,
-    /// How much longer the target is slow after its start.
+    /// Remaining warm-up time of the target.
     pub warm_up_remaining: Duration,
     /// Increases with each heartbeat of one incarnation.
     pub sequence: u64,
@@ -51,8 +51,8 @@
     WrongService,
     /// The incarnation was replaced by a later one.
     Replaced,
-    /// The incarnation may be older than the known one, and has not proven yet that it is
-    /// alive.
+    /// The incarnation may be older than the known one, and only further heartbeats can
+    /// show that it still runs.
     Unproven,
 }
 
@@ -69,8 +69,8 @@
 }
 
 impl Agent {
-    /// Handles a heartbeat. If it says that the target leaves, no new flow reaches the
-    /// target once this function has returned.
+    /// Handles a heartbeat. If the heartbeat announces that the target leaves, no new
+    /// flow is delivered to the target once this function has returned.
     ///
     /// # Errors
     /// [`HeartbeatError`] when the heartbeat is rejected; nothing has changed then.
@@ -135,18 +135,19 @@
         Ok(())
     }
 
-    /// Handles the target's message that it is gone; the target may still serve its
-    /// flows. `incarnation` may identify it by its name alone. If a start under that name
-    /// was replaced here and the present start has not said that it leaves, the message
-    /// may be a late one of the former start, and nothing changes.
+    /// Handles a deregistration: the target takes no new flow, but may still serve its
+    /// open flows. `incarnation` may identify the target by its name alone. If a start
+    /// under that name was replaced here and the present start has not announced that it
+    /// leaves, the deregistration may be a late one of the former start, and nothing
+    /// changes.
     pub fn handle_deregistration(&mut self, incarnation: Incarnation) {
         let target = &mut self.target;
         let names_start = target.incarnation == Some(incarnation);
         let names_instance = target.instance == Some(incarnation);
         let leaves = target.state == TargetState::Leaving;
         match target.incarnation {
-            // It is not known which start the message is about, so it is not attributed
-            // to any start.
+            // It is unknown which start the deregistration concerns, so it is not
+            // attributed to any start.
             None => {
                 target.instance = Some(incarnation);
                 self.set_state(TargetState::Leaving);
@@ -255,9 +256,10 @@
             .supersedes(&known, &next, heartbeat.sequence, now)
     }
 
-    /// Whether this incarnation was alive while the agent ran, so that one that replaces
-    /// it started later than the agent. A single heartbeat does not show that: it may
-    /// have been held up since before the agent's start.
+    /// Whether this incarnation was alive while the agent ran, so that the incarnation
+    /// that replaces it started later than the agent. A single heartbeat does not show
+    /// that, because it may have been delayed since before the agent's start. It suffices
+    /// only if `next` states no start time, so that the start times cannot be compared.
     fn was_alive_beside_agent(&self, next: &Heartbeat) -> bool {
         let span = self.first_heartbeat_at.zip(self.last_heartbeat_at);
         let was_heard_twice =
--- a/crates/woodladder-core/src/flow/agent/target/idle_flow_work.rs
+++ b/crates/woodladder-core/src/flow/agent/target/idle_flow_work.rs
@@ -1,4 +1,4 @@
-//! Work that the target's idle open flows are expected to ask for.
+//! Work that the target's idle open flows are expected to cause.
 //!
 //! An idle flow is no load at present, but sends another request sooner or later. How
 //! often it does so and how long its requests take differ by route, and a request takes
@@ -17,10 +17,10 @@
 use crate::flow::agent::Agent;
 use crate::flow::identity::FlowKey;
 
-/// Half-life of the weight of observations: a few pauses between two requests of a flow,
-/// and short compared with a surge.
+/// Half-life of the weight of observations: long enough to cover several requests of a
+/// typical flow, and shorter than a surge.
 const HALF_LIFE: Duration = Duration::from_secs(8);
-/// Number of requests, with their present weight, before any expected work is reported.
+/// Sum of the weights of the observed requests from which on expected work is reported.
 const MINIMUM_REQUESTS: f64 = 24.0;
 /// Millislots in a slot.
 const MILLISLOTS_PER_SLOT: f64 = 1000.0;
@@ -73,8 +73,9 @@
         record.work_seconds += work.as_secs_f64();
     }
 
-    /// Records how many flows are idle now. To be called often compared with
-    /// [`HALF_LIFE`]: as many flows are taken to be idle until the next call.
+    /// Records how many flows are idle now. To be called at intervals much shorter than
+    /// [`HALF_LIFE`], because the number of idle flows is assumed to stay the same until
+    /// the next call.
     pub(crate) fn record_idle_flows(&mut self, idle_flows: &IdleFlows, now: Instant) {
         let elapsed = now.since(self.counted_at).as_secs_f64();
         self.counted_at = now;
@@ -91,7 +92,7 @@
             .retain(|_, record| record.idle_flows > 0 || record.requests > 0.01);
     }
 
-    /// Work that the idle flows are expected to ask for, in thousandths of a slot
+    /// Work that the idle flows are expected to cause, in thousandths of a slot
     /// (millislots); `None` before enough requests were observed. Flows of a route
     /// without observations count as average flows.
     pub(crate) fn expected_millislots(&self) -> Option<u16> {
--- a/crates/woodladder-core/src/flow/agent/target/load.rs
+++ b/crates/woodladder-core/src/flow/agent/target/load.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Counts the load anew from the flow table, without the requests and openings that
-    /// have been pending for too long to be real.
+    /// Counts the load anew from the flow table, without requests pending for
+    /// [`MAXIMUM_BUSY_TIME`] and openings pending for [`MAXIMUM_OPENING_TIME`].
     pub(crate) fn recount_load(&mut self, now: Instant) {
         let mut busy = 0u16;
         let mut opening = 0u16;
--- a/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
+++ b/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Takes the mark that the outcome of a flow's request is still unknown. Returns
-    /// whether it was set.
+    /// Clears the mark that the outcome of a flow's request is still unknown. Returns
+    /// whether the mark was set.
     pub(crate) fn take_awaits_outcome(&mut self, key: &FlowKey) -> bool {
         self.flows
             .touch(key)
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Lets the evidence of failures decay and notes a change of suspicion.
+    /// Decays the failure record, and logs when the target becomes or ceases to be
+    /// suspect.
     pub(crate) fn decay_failure_record(&mut self, now: Instant) {
         let suspicion = self.failure_record.tick(now);
         self.load.failed_percent = self.failure_record.failed_percent();
--- a/crates/woodladder-core/src/flow/link/bulk_admission.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_admission.rs
@@ -49,8 +49,8 @@
     Admit,
     /// The opening is queued.
     Wait,
-    /// The opening is refused: none of its work has run, and it would have to be queued
-    /// for longer than it may.
+    /// The opening is refused, because the queue is full or the opening would reach its
+    /// maximum age in the queue. None of its work has run.
     Refuse,
 }
 
@@ -90,8 +90,8 @@
         now.since(self.first_sent) >= self.terms.max_age()
     }
 
-    /// Whether the request would be answered within its aim if it began now. Half of the
-    /// aim is reserved for delays of its packets on their way.
+    /// Whether the request would be answered within its aim if the opening were forwarded
+    /// now. Half of the aim is reserved for delays of the flow's packets on their way.
     fn is_in_time(&self, now: Instant) -> bool {
         now.since(self.first_sent) + self.terms.transfer_time <= self.terms.aim / 2
     }
@@ -128,6 +128,7 @@
             return BulkDecision::Wait;
         }
         self.drop_idle_flows(now);
+        // The acknowledgement number of an opening is the number of copies sent before it.
         let is_first_copy = packet.acknowledgement == 0;
         if !is_first_copy || (self.queue.is_empty() && self.active.len() < limit) {
             self.activate(key, now);
@@ -148,8 +149,9 @@
         BulkDecision::Wait
     }
 
-    /// Handles any other packet of a bulk route's flow. Its caller no longer waits for an
-    /// opening to be forwarded: a copy of it may have gone through another balancer.
+    /// Handles any other packet of a bulk route's flow. The flow's caller no longer waits
+    /// for its opening to be forwarded, because a copy of the opening may have gone
+    /// through another balancer.
     pub fn handle_packet(&mut self, packet: &FlowPacket, now: Instant) {
         self.remove_queued(|key| *key == packet.key);
         match packet.kind {
@@ -168,7 +170,8 @@
         });
         flow.last_data_at = now;
         flow.largest_payload = flow.largest_payload.max(packet.payload_length);
-        // Senders fill their packets, except for the last one of a request.
+        // Senders fill all packets of a request but the last. A shorter packet is thus
+        // the last of its request, and the flow is no longer active.
         if packet.payload_length < flow.largest_payload {
             self.active.remove(&packet.key);
         }
@@ -227,8 +230,8 @@
         in_time.or(self.queue.len().checked_sub(1))
     }
 
-    /// Whether an opening that arrives now would have its turn only after its
-    /// maximum age, if those before it take as long as the link needs for their bytes.
+    /// Whether an opening that arrives now would be forwarded only after its maximum age,
+    /// if each flow before it takes `transfer_time` on the link.
     fn would_be_queued_too_long(&self, terms: BulkTerms, limit: usize) -> bool {
         let ahead = u32::try_from(self.queue.len() + limit).unwrap_or(u32::MAX);
         terms.transfer_time.saturating_mul(ahead) > MAXIMUM_OPENING_AGE.min(terms.timeout)
--- a/crates/woodladder-core/src/flow/link/scheduler.rs
+++ b/crates/woodladder-core/src/flow/link/scheduler.rs
@@ -1,9 +1,10 @@
 //! Order and pace of the datagrams that leave over a link.
 //!
 //! A link that is sent more than it carries drops datagrams, whichever they are. The
-//! scheduler sends no more than the link's rate. Small packets that others wait for go
-//! first; bulk datagrams are queued for as long as they are of use, and the packets of
-//! one flow keep their order. While the link has room, every datagram is sent at once.
+//! scheduler sends no more than the link's rate. Small packets that their receivers wait
+//! for go first; bulk datagrams are queued for at most [`MAXIMUM_QUEUE_TIME`], and the
+//! packets of one flow keep their order. While the link has room, every datagram is sent
+//! at once.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,11 +15,12 @@
 use crate::clock::Instant;
 use crate::flow::identity::FlowKey;
 
-/// Share of the link's rate that is used, in percent. The rest covers what a burst adds
-/// within a second.
+/// Share of the link's rate that is used, in percent. The rest leaves room for one burst
+/// of [`MAXIMUM_BURST`], 0.4 percent of a second.
 const PACED_PERCENT: u64 = 99;
-/// How far the datagrams that are sent may run ahead of the link's rate: a few periods of
-/// the node's timers.
+/// Time by which the sent datagrams may run ahead of the link's rate, a few periods of
+/// the node's timers (1 millisecond each), so that the link is not idle between two calls
+/// of [`LinkScheduler::release`].
 const MAXIMUM_BURST: Duration = Duration::from_millis(4);
 /// Longest time for which a datagram is queued. Its sender retransmits it after 200
 /// milliseconds.
@@ -33,7 +35,7 @@
 /// Class of a datagram, which decides the order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum TrafficClass {
-    /// Sent first: small packets that others wait for. These are openings,
+    /// Sent first: small packets that their receivers wait for. These are openings,
     /// acknowledgements, requests that fit into one packet, resets, and messages between
     /// nodes.
     Priority,
@@ -74,9 +76,9 @@
 /// The datagrams that are queued in front of one link.
 #[derive(Clone, Debug)]
 pub struct LinkScheduler<T> {
-    /// Time that a byte takes, in nanoseconds.
+    /// Time that a byte takes on the link, in nanoseconds.
     nanoseconds_per_byte: u64,
-    /// When the link will have sent everything that it was given.
+    /// When the link will have sent all datagrams passed to it.
     busy_until: Instant,
     priority_queue: VecDeque<QueuedDatagram<T>>,
     bulk_queue: VecDeque<QueuedDatagram<T>>,
@@ -120,8 +122,8 @@
         } else {
             !self.priority_queue.is_empty()
         };
-        if !must_wait && self.has_room(now) {
-            self.charge(&info, now);
+        if !must_wait && self.may_send(now) {
+            self.advance_busy_until(&info, now);
             return Some(datagram);
         }
         let queued = QueuedDatagram {
@@ -137,7 +139,7 @@
     /// nothing is queued.
     pub fn release(&mut self, now: Instant) -> Option<T> {
         self.drop_late(now);
-        if !self.has_room(now) {
+        if !self.may_send(now) {
             return None;
         }
         let queued = match self.priority_queue.pop_front() {
@@ -145,7 +147,7 @@
             None => self.pop_bulk()?,
         };
         self.queued_bytes -= queued.info.length_bytes;
-        self.charge(&queued.info, now);
+        self.advance_busy_until(&queued.info, now);
         Some(queued.datagram)
     }
 
@@ -171,11 +173,14 @@
         self.totals
     }
 
-    fn has_room(&self, now: Instant) -> bool {
+    /// Whether a datagram may be sent now: the link is occupied for at most
+    /// [`MAXIMUM_BURST`].
+    fn may_send(&self, now: Instant) -> bool {
         self.busy_until <= now + MAXIMUM_BURST
     }
 
-    fn charge(&mut self, info: &DatagramInfo, now: Instant) {
+    /// Moves `busy_until` by the time that the datagram takes on the link.
+    fn advance_busy_until(&mut self, info: &DatagramInfo, now: Instant) {
         let bytes = u64::try_from(info.length_bytes + DATAGRAM_HEADER_BYTES).unwrap_or(u64::MAX);
         let time = Duration::from_nanos(bytes.saturating_mul(self.nanoseconds_per_byte));
         self.busy_until = self.busy_until.max(now) + time;
