--- a/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
@@ -22,13 +22,13 @@
     /// own zone or, if there are none, those of all zones. The list is empty if this
     /// balancer decides itself.
     pub(crate) fn update_relay_receivers(&mut self, now: Instant) {
-        let least = self
+        let minimum = self
             .options
             .usable_cpu_millicores()
             .saturating_mul(RELAY_SIZE_RATIO);
-        let near = self.zone_members.serving_with_at_least(least, now);
+        let near = self.zone_members.serving_with_at_least(minimum, now);
         self.relay_receivers = if near.is_empty() {
-            self.peers.serving_with_at_least(least, now)
+            self.peers.serving_with_at_least(minimum, now)
         } else {
             near
         };
@@ -36,8 +36,8 @@
 
     /// Whether a balancer with the given usable CPU, in thousandths of a core, relays
     /// its packets to one of this balancer's size.
-    pub(crate) fn is_much_larger_than(&self, capacity: u32) -> bool {
-        capacity <= self.options.usable_cpu_millicores() / RELAY_SIZE_RATIO
+    pub(crate) fn is_much_larger_than(&self, usable_cpu_millicores: u32) -> bool {
+        usable_cpu_millicores <= self.options.usable_cpu_millicores() / RELAY_SIZE_RATIO
     }
 
     /// Updates the balancers of the zone that relay their packets to this one and must
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -56,11 +56,11 @@
     /// # Errors
     /// [`NotReadyReason`] when it is not.
     pub fn check_ready(&self, now: Instant) -> Result<(), NotReadyReason> {
-        self.check_able(now)?;
-        let capacity = self.options.usable_cpu_millicores();
+        self.check_can_serve(now)?;
+        let usable_cpu_millicores = self.options.usable_cpu_millicores();
         if self
             .zone_members
-            .should_stand_by(self.options.address, capacity, now)
+            .should_stand_by(self.options.address, usable_cpu_millicores, now)
         {
             return Err(NotReadyReason::Standby);
         }
@@ -69,7 +69,7 @@
 
     /// Checks whether the balancer could serve callers, regardless of the capacity of
     /// the other balancers in its zone.
-    pub(crate) fn check_able(&self, now: Instant) -> Result<(), NotReadyReason> {
+    pub(crate) fn check_can_serve(&self, now: Instant) -> Result<(), NotReadyReason> {
         if self.is_leaving {
             return Err(NotReadyReason::Leaving);
         }
--- a/crates/woodladder-core/src/flow/balancer/store_duty.rs
+++ b/crates/woodladder-core/src/flow/balancer/store_duty.rs
@@ -10,8 +10,8 @@
 //! one of them gets an answer.
 //!
 //! At start-up, the seed balancers and those in the store's list read the configuration
-//! at once, because all others contact them first. The list may be outdated, which
-//! costs at most a few extra calls.
+//! at once, because all others contact them first. The list itself may be outdated, and
+//! reading it costs little.
 
 use std::cmp::Reverse;
 use std::time::Duration;
