--- a/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
@@ -50,7 +50,7 @@
         now: Instant,
     ) -> ForwardDecision {
         if self.opening_queue.contains(&packet.key) {
-            return ForwardDecision::Drop;
+            return ForwardDecision::NoReply;
         }
         if let Some(flow) = self.flows.touch(&packet.key)
             && flow.state != FlowState::Unconfirmed
@@ -63,7 +63,7 @@
             return ForwardDecision::plain();
         }
         if let Some(reason) = self.reason_to_decline(header, now) {
-            self.counters.openings_declined_excluded +=
+            self.counters.openings_returned_excluded +=
                 u64::from(reason == ReturnReason::ZoneExcluded);
             return self.decline_forwarded(reason);
         }
@@ -81,7 +81,7 @@
         }
         if self.openings_left(now) == Some(0) && terms.estimated_load.is_some() {
             self.load.openings_left = Some(0);
-            self.counters.openings_declined_cold += 1;
+            self.counters.openings_returned_cold += 1;
             return self.decline_forwarded(ReturnReason::WarmingUp);
         }
         if self.opening_queue.is_full()
@@ -91,7 +91,7 @@
             return self.decline_forwarded(ReturnReason::Saturated);
         }
         if self.would_be_answered_too_late(&packet.key, terms, now) {
-            self.counters.openings_declined_late += 1;
+            self.counters.openings_returned_late += 1;
             return self.decline_forwarded(ReturnReason::Saturated);
         }
         self.enqueue_opening(from, header, terms, packet, bytes, now)
@@ -265,7 +265,7 @@
         self.promises
             .record_handover(&opening.promise_input(now), urgent_waits);
         self.deliver_opening(opening.balancer, &opening.header, &opening.packet, now);
-        self.log_events.add(LogEvent::WorkReleased {
+        self.log_events.add(LogEvent::WorkDelivered {
             key: opening.packet.key,
             waited: now.since(opening.queued_at),
         });
@@ -309,7 +309,7 @@
                 .reason_to_decline(&opening.header, now)
                 .unwrap_or(usual_reason);
             self.promises.record_given_up(&opening.promise_input(now));
-            self.counters.openings_declined += 1;
+            self.counters.openings_returned += 1;
             actions.push(AgentAction::Return {
                 to: opening.balancer,
                 message: self.returned_message(reason),
--- a/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
@@ -135,7 +135,7 @@
             return;
         };
         self.update_queued_count();
-        self.log_events.add(LogEvent::WorkReleased {
+        self.log_events.add(LogEvent::WorkDelivered {
             key: *key,
             waited: now.since(request.queued_at),
         });
@@ -157,7 +157,7 @@
         actions: &mut Vec<AgentAction>,
     ) {
         for key in self.request_queue.keys_by_age() {
-            self.counters.requests_released_early += 1;
+            self.counters.requests_delivered_early += 1;
             self.deliver_queued_request(&key, now, actions);
         }
     }
--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -19,7 +19,7 @@
     /// The packet is not delivered; the message goes to the balancer.
     Reply(PeerMessage, ReplyBody),
     /// The packet is dropped, or is queued at the agent; no message is sent.
-    Drop,
+    NoReply,
 }
 
 impl ForwardDecision {
@@ -103,19 +103,19 @@
     /// Openings delivered to the target.
     pub openings_offered: u64,
     /// Openings returned to their balancer.
-    pub openings_declined: u64,
+    pub openings_returned: u64,
     /// Openings that were queued at the agent.
     pub openings_queued: u64,
     /// Openings returned because the target may be cold and has reached its limit of
     /// requests.
-    pub openings_declined_cold: u64,
+    pub openings_returned_cold: u64,
     /// Openings returned because the target's zone is excluded.
-    pub openings_declined_excluded: u64,
+    pub openings_returned_excluded: u64,
     /// Queued openings that were returned because they had reached the maximum age of an
     /// opening or could no longer be answered before their timeout.
     pub openings_expired: u64,
     /// Openings returned on arrival because they would have been answered too late.
-    pub openings_declined_late: u64,
+    pub openings_returned_late: u64,
     /// Requests of open flows that were queued at the agent.
     pub requests_queued: u64,
     /// Retransmissions of queued packets, dropped.
@@ -125,7 +125,7 @@
     pub requests_given_up: u64,
     /// Queued requests of open flows that were delivered early because the target was
     /// silent, stuck or replaced, or the agent was stopping.
-    pub requests_released_early: u64,
+    pub requests_delivered_early: u64,
     /// Packets of open flows delivered to the target.
     pub packets_delivered: u64,
     /// Searches that were answered with a denial.
--- a/crates/woodladder-core/src/flow/agent/flows.rs
+++ b/crates/woodladder-core/src/flow/agent/flows.rs
@@ -21,7 +21,7 @@
     ) -> ForwardDecision {
         if self.flows.touch(&packet.key).is_some() {
             if self.queue_if_full(from, packet, bytes, now) {
-                return ForwardDecision::Drop;
+                return ForwardDecision::NoReply;
             }
             let begins_request = self.record_delivery(from, packet, now);
             return ForwardDecision::Deliver {
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -315,7 +315,7 @@
     }
 
     /// Takes the log events, and the number of log events that were dropped.
-    pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
+    pub fn take_log_events(&mut self) -> (Vec<LogEvent>, u64) {
         self.log_events.take()
     }
 
@@ -432,7 +432,7 @@
     }
 
     fn decline_forwarded(&mut self, reason: ReturnReason) -> ForwardDecision {
-        self.counters.openings_declined += 1;
+        self.counters.openings_returned += 1;
         ForwardDecision::Reply(self.returned_message(reason), ReplyBody::Packet)
     }
 
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -27,7 +27,7 @@
             }
             if self.queue_if_full(from, packet, bytes, now) {
                 let located = self.located_message(&packet.key);
-                return located.map_or(ForwardDecision::Drop, ForwardDecision::Queued);
+                return located.map_or(ForwardDecision::NoReply, ForwardDecision::Queued);
             }
             let begins_request = self.record_delivery(from, packet, now);
             let reply = self.located_message(&packet.key);
@@ -38,7 +38,7 @@
         }
         let knows_all = self.knows_all_flows(now);
         if !knows_all && !self.is_target_known_to_run() {
-            return ForwardDecision::Drop;
+            return ForwardDecision::NoReply;
         }
         if knows_all {
             self.counters.searches_denied += 1;
@@ -140,7 +140,7 @@
         now: Instant,
     ) -> ForwardDecision {
         if packet.kind == PacketKind::Open {
-            return ForwardDecision::Drop;
+            return ForwardDecision::NoReply;
         }
         let flow = TargetFlow {
             state: FlowState::Unconfirmed,
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -31,7 +31,7 @@
     pub instance: Incarnation,
     /// When the incarnation began, in milliseconds of Unix time; `None` if the target
     /// does not state it.
-    pub started_unix_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Service of the target.
     pub service: ServiceKey,
     /// Whether the target announces that it leaves.
@@ -168,7 +168,7 @@
         self.target = Target::unknown(now);
         self.target.incarnation = Some(heartbeat.incarnation);
         self.target.instance = Some(heartbeat.instance);
-        self.target.started_at_ms = heartbeat.started_unix_ms;
+        self.target.started_at_ms = heartbeat.started_at_ms;
         self.target.started_after_agent = previous.started_after_agent
             || previous.was_alive_beside_agent(heartbeat)
             || heartbeat.sequence <= FIRST_SEQUENCE;
@@ -250,7 +250,7 @@
         };
         let next = TargetStart {
             incarnation: heartbeat.incarnation,
-            started_at_ms: heartbeat.started_unix_ms,
+            started_at_ms: heartbeat.started_at_ms,
         };
         self.restart_detector
             .supersedes(&known, &next, heartbeat.sequence, now)
@@ -264,6 +264,6 @@
         let span = self.first_heartbeat_at.zip(self.last_heartbeat_at);
         let was_heard_twice =
             span.is_some_and(|(first, last)| last.since(first) >= MINIMUM_ALIVE_SPAN);
-        self.incarnation.is_some() && (next.started_unix_ms.is_none() || was_heard_twice)
+        self.incarnation.is_some() && (next.started_at_ms.is_none() || was_heard_twice)
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -317,7 +317,7 @@
 
     /// Removes and returns the events for the log, and the number of events that were
     /// dropped.
-    pub fn take_notes(&mut self) -> (Vec<LogEvent>, u64) {
+    pub fn take_log_events(&mut self) -> (Vec<LogEvent>, u64) {
         self.log_events.take()
     }
 
--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -265,7 +265,7 @@
     },
     /// A queued opening, or a queued request on an open flow, was delivered to this
     /// agent's target.
-    WorkReleased {
+    WorkDelivered {
         key: FlowKey,
         /// Time that it waited in the queue.
         waited: Duration,
--- a/crates/woodladder-core/tests/flow_admission_queue.rs
+++ b/crates/woodladder-core/tests/flow_admission_queue.rs
@@ -278,7 +278,7 @@
     forward_opening(&mut agent, 100, opening_terms(), 20);
     let copy = header(1, ForwardPurpose::Open(opening_terms()));
     let delivery = forward_to(&mut agent, &copy, &opening(flow(100), 1), at(220));
-    assert_eq!(delivery, ForwardDecision::Drop);
+    assert_eq!(delivery, ForwardDecision::NoReply);
     assert_eq!(agent.load().queued, 1);
 }
 
--- a/crates/woodladder-core/tests/flow_exploration_world/mod.rs
+++ b/crates/woodladder-core/tests/flow_exploration_world/mod.rs
@@ -254,7 +254,7 @@
                         let follows = body == ReplyBody::Packet;
                         self.send(Message::ToBalancer(number, message, follows));
                     }
-                    ForwardDecision::Queued(_) | ForwardDecision::Drop => {}
+                    ForwardDecision::Queued(_) | ForwardDecision::NoReply => {}
                 }
             }
             Message::ToAgent(number, message) => {
@@ -346,9 +346,9 @@
             .collect();
         under_way.sort_unstable();
         let mut machines = (self.balancer.clone(), self.agents.clone());
-        machines.0.take_notes();
+        machines.0.take_log_events();
         for agent in &mut machines.1 {
-            agent.take_notes();
+            agent.take_log_events();
         }
         let machines = without_counters(&format!("{machines:?}"));
         let text = format!(
--- a/crates/woodladder-core/tests/flow_held_exploration.rs
+++ b/crates/woodladder-core/tests/flow_held_exploration.rs
@@ -170,7 +170,7 @@
                 .handle_forwarded_packet(node(balancer), &header, packet, &bytes, at(now));
         match delivery {
             ForwardDecision::Deliver { .. } => self.arrive(packet.key, packet.sequence, false, now),
-            ForwardDecision::Drop => {}
+            ForwardDecision::NoReply => {}
             other => panic!("seed {}: {other:?}", self.seed),
         }
     }
@@ -298,7 +298,7 @@
             let packet = data(flow(4), sequence, 5101);
             let bytes = bytes_of(&packet);
             let delivery = agent.handle_forwarded_packet(node(1), &header, &packet, &bytes, at(20));
-            assert_eq!(delivery, ForwardDecision::Drop);
+            assert_eq!(delivery, ForwardDecision::NoReply);
         }
         agent.handle_target_packet(&data(flow(1), 5101, 1201), None, at(40));
         let mut actions = Vec::new();
--- a/crates/woodladder-core/tests/flow_held_requests.rs
+++ b/crates/woodladder-core/tests/flow_held_requests.rs
@@ -174,7 +174,7 @@
 fn a_request_is_queued_while_the_target_is_full_and_delivered_once_it_has_room() {
     let mut agent = agent_with_full_target([2, 1]);
     let delivery = send_packet(&mut agent, &request(flow(4), 1), 110);
-    assert_eq!(delivery, ForwardDecision::Drop);
+    assert_eq!(delivery, ForwardDecision::NoReply);
     assert_eq!(
         (agent.load().busy, agent.load().queued),
         (DELIVERED_AT_ONCE, 1)
@@ -203,7 +203,7 @@
     let mut agent = agent_with_full_target([2, 1]);
     for now in [110, 310, 480] {
         let delivery = send_packet(&mut agent, &request(flow(4), 1), now);
-        assert_eq!(delivery, ForwardDecision::Drop);
+        assert_eq!(delivery, ForwardDecision::NoReply);
     }
     assert_eq!(agent.counters().duplicate_packets_dropped, 2);
     assert_eq!(agent.load().queued, 1);
@@ -227,10 +227,13 @@
     let mut agent = agent_with_full_target([2, 1]);
     for number in [1, 3, 2] {
         let delivery = send_packet(&mut agent, &request(flow(4), number), 110);
-        assert_eq!(delivery, ForwardDecision::Drop);
+        assert_eq!(delivery, ForwardDecision::NoReply);
     }
     let close = packet(flow(4), PacketKind::Finish, 1401, 5101, 0);
-    assert_eq!(send_packet(&mut agent, &close, 111), ForwardDecision::Drop);
+    assert_eq!(
+        send_packet(&mut agent, &close, 111),
+        ForwardDecision::NoReply
+    );
     assert_eq!(agent.load().queued, 1, "they are one request");
     answer(&mut agent, flow(1), 1, 130);
     let expected = [(4, 1101), (4, 1201), (4, 1301), (4, 1401)];
@@ -266,7 +269,7 @@
     assert_eq!(delivered_now(&mut agent, 110), [second_request(4)]);
     assert_eq!(
         send_packet(&mut agent, &request(flow(1), 2), 111),
-        ForwardDecision::Drop
+        ForwardDecision::NoReply
     );
     answer(&mut agent, flow(1), 2, 112);
     assert_eq!(agent.load().queued, 1);
@@ -335,7 +338,7 @@
     }
     adopt(agent, 2 * u64::from(number) + 1, [2, 1]);
     let last = send_packet(agent, &request(flow(200), number), begin + 10);
-    assert_eq!(last, ForwardDecision::Drop);
+    assert_eq!(last, ForwardDecision::NoReply);
     assert_eq!(agent.counters().requests_queued, before.requests_queued + 1);
     let end = begin + 10 + u64::from(TIMEOUT_MS);
     for (port, now) in (1..).zip((begin + 20..end).step_by(100)) {
@@ -370,7 +373,7 @@
     let mut agent = overfull_until_timeout();
     let queued_before = agent.counters().requests_queued;
     let repeated = send_packet(&mut agent, &request(flow(200), 1), 3160);
-    assert_eq!(repeated, ForwardDecision::Drop);
+    assert_eq!(repeated, ForwardDecision::NoReply);
     assert_eq!(
         agent.counters().requests_queued,
         queued_before,
@@ -413,7 +416,7 @@
         &vec![0; MAXIMUM_QUEUED_BYTES],
         at(3150),
     );
-    assert_eq!(decision, ForwardDecision::Drop);
+    assert_eq!(decision, ForwardDecision::NoReply);
     let repeated = send_packet(&mut agent, &request(flow(200), 1), 3160);
     assert!(is_delivered(&repeated), "{repeated:?}");
     for port in (1..=OVERFULL).chain([200]) {
--- a/crates/woodladder-core/tests/flow_outcomes.rs
+++ b/crates/woodladder-core/tests/flow_outcomes.rs
@@ -38,7 +38,7 @@
 }
 
 fn suspicions(agent: &mut Agent) -> Vec<bool> {
-    let (notes, _) = agent.take_notes();
+    let (notes, _) = agent.take_log_events();
     let found = notes.into_iter().filter_map(|note| match note {
         LogEvent::TargetSuspicion { is_suspect, .. } => Some(is_suspect),
         _ => None,
--- a/crates/woodladder-core/tests/flow_promises.rs
+++ b/crates/woodladder-core/tests/flow_promises.rs
@@ -147,10 +147,10 @@
 fn the_wait_of_a_leaving_target_whose_heartbeat_was_rejected_is_counted() {
     let mut agent = empty_agent();
     let mut first = heartbeat(1, 1);
-    first.started_unix_ms = Some(9000);
+    first.started_at_ms = Some(9000);
     agent.handle_heartbeat(&first, at(0)).expect("taken");
     let mut next = heartbeat(2, 1);
-    next.started_unix_ms = Some(8000);
+    next.started_at_ms = Some(8000);
     next.leaving = true;
     let refused = agent.handle_heartbeat(&next, at(1000));
     assert_eq!(refused, Err(HeartbeatError::Unproven));
--- a/crates/woodladder-core/tests/flow_rebirth.rs
+++ b/crates/woodladder-core/tests/flow_rebirth.rs
@@ -28,7 +28,7 @@
     Heartbeat {
         incarnation: Incarnation::started_at(NAME, started_at),
         instance: Incarnation::named(NAME),
-        started_unix_ms: Some(started_at),
+        started_at_ms: Some(started_at),
         ..heartbeat(0, sequence)
     }
 }
@@ -40,7 +40,7 @@
     TargetReport {
         epoch,
         incarnation: Some(beat.incarnation),
-        started_at_ms: beat.started_unix_ms,
+        started_at_ms: beat.started_at_ms,
         ..report(2, sequence)
     }
 }
@@ -151,7 +151,7 @@
     let mut agent = agent_of_first_start();
     let foreign = Heartbeat {
         incarnation: Incarnation::named(NAME),
-        started_unix_ms: None,
+        started_at_ms: None,
         ..heartbeat_of(0, 500)
     };
     assert_eq!(
--- a/crates/woodladder-core/tests/flow_record_property.rs
+++ b/crates/woodladder-core/tests/flow_record_property.rs
@@ -268,7 +268,7 @@
                     self.to_balancer.extend(reply);
                 }
                 ForwardDecision::Reply(message, _) => self.to_balancer.push(message),
-                ForwardDecision::Queued(_) | ForwardDecision::Drop => {}
+                ForwardDecision::Queued(_) | ForwardDecision::NoReply => {}
             }
         }
     }
--- a/crates/woodladder-core/tests/flow_search.rs
+++ b/crates/woodladder-core/tests/flow_search.rs
@@ -24,7 +24,7 @@
         &data(flow(1), 1, 1),
         at(10),
     );
-    assert_eq!(delivery, ForwardDecision::Drop);
+    assert_eq!(delivery, ForwardDecision::NoReply);
 }
 
 #[test]
--- a/crates/woodladder-core/tests/flow_support/mod.rs
+++ b/crates/woodladder-core/tests/flow_support/mod.rs
@@ -248,7 +248,7 @@
     Heartbeat {
         incarnation: Incarnation(incarnation),
         instance: Incarnation(incarnation),
-        started_unix_ms: None,
+        started_at_ms: None,
         service: main_service(),
         leaving: false,
         slots: 7,
--- a/crates/woodladder-lab/src/flow_simulation/world/callers.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/callers.rs
@@ -15,7 +15,7 @@
             }
             let mut actions = Vec::new();
             balancer.tick(self.now, &mut actions);
-            balancer.take_notes();
+            balancer.take_log_events();
             let version = balancer.routes().version();
             self.carry_out(address, actions);
             self.check_version(address, version);
@@ -27,7 +27,7 @@
             };
             let mut actions = Vec::new();
             agent.tick(self.now, &mut actions);
-            agent.take_notes();
+            agent.take_log_events();
             let version = agent.configuration_version();
             self.carry_out_agent(address, actions);
             self.check_version(address, version);
--- a/crates/woodladder-lab/src/flow_simulation/world/delivery.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/delivery.rs
@@ -78,7 +78,7 @@
             | ForwardDecision::Reply(message, ReplyBody::Empty) => {
                 self.send(address, from, message, None);
             }
-            ForwardDecision::Drop => {}
+            ForwardDecision::NoReply => {}
         }
         self.serve_queue(index);
     }
--- a/crates/woodladder-lab/src/flow_simulation/world/nodes.rs
+++ b/crates/woodladder-lab/src/flow_simulation/world/nodes.rs
@@ -86,7 +86,7 @@
         let beat = Heartbeat {
             incarnation: target.incarnation,
             instance: target.incarnation,
-            started_unix_ms: None,
+            started_at_ms: None,
             service: target.service,
             leaving: target.leaving,
             slots: 7,
--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -282,7 +282,7 @@
                 };
                 self.peers.send(&message, body, from);
             }
-            ForwardDecision::Drop => {}
+            ForwardDecision::NoReply => {}
         }
         self.run_core(|core, now, actions| core.dispatch_queued(now, actions));
     }
@@ -384,14 +384,14 @@
     }
 
     fn write_log_events(&self) {
-        let (notes, dropped) = self.core.borrow_mut().take_notes();
+        let (notes, dropped) = self.core.borrow_mut().take_log_events();
         let now = self.clock.now();
         for note in &notes {
             match note {
                 LogEvent::RequestAnswered { service_time, .. } => {
                     self.service_times.borrow_mut().record(*service_time);
                 }
-                LogEvent::WorkReleased { waited, .. } => {
+                LogEvent::WorkDelivered { waited, .. } => {
                     self.queue_waits.borrow_mut().record(*waited);
                 }
                 _ => {}
--- a/crates/woodladder-node/src/agent/metrics.rs
+++ b/crates/woodladder-node/src/agent/metrics.rs
@@ -29,7 +29,7 @@
             (
                 "flows_declined_total",
                 "Openings returned to their balancer.",
-                counters.openings_declined,
+                counters.openings_returned,
             ),
             (
                 "openings_queued_total",
@@ -39,12 +39,12 @@
             (
                 "openings_held_cold_total",
                 "Openings returned because the target may be cold.",
-                counters.openings_declined_cold,
+                counters.openings_returned_cold,
             ),
             (
                 "openings_held_excluded_total",
                 "Openings returned because the target's zone is excluded.",
-                counters.openings_declined_excluded,
+                counters.openings_returned_excluded,
             ),
             (
                 "openings_expired_total",
@@ -54,7 +54,7 @@
             (
                 "openings_refused_hopeless_total",
                 "Openings returned because they would have been answered too late.",
-                counters.openings_declined_late,
+                counters.openings_returned_late,
             ),
             (
                 "requests_held_total",
@@ -74,7 +74,7 @@
             (
                 "requests_released_total",
                 "Requests on open flows handed over before their turn, because the target is stuck, silent or replaced.",
-                counters.requests_released_early,
+                counters.requests_delivered_early,
             ),
             (
                 "delivered_packets_total",
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -364,7 +364,7 @@
     }
 
     fn write_log_events(&self) {
-        let (notes, dropped) = self.core.borrow_mut().take_notes();
+        let (notes, dropped) = self.core.borrow_mut().take_log_events();
         let now = self.clock.now();
         self.decision_log.borrow_mut().write(notes, dropped, now);
         match self.store_stats.take_reachability_change() {
--- a/crates/woodladder-node/src/decision_log.rs
+++ b/crates/woodladder-node/src/decision_log.rs
@@ -238,7 +238,7 @@
                     "opening" => load.opening, "queued" => load.queued,
                     "expected_ms" => milliseconds(*expected), "left_out" => left_out);
             }
-            LogEvent::WorkReleased { key, waited } => {
+            LogEvent::WorkDelivered { key, waited } => {
                 info!(log, "agent: queued opening or request handed to the target"; "event" => event_name,
                     "flow" => %key, "waited_ms" => milliseconds(*waited),
                     "left_out" => left_out);
@@ -427,7 +427,7 @@
         LogEvent::FlowOffered { .. } => ("flow_offered", Ordinary),
         LogEvent::OpeningQueued { .. } => ("opening_queued", Important),
         LogEvent::RequestQueued { .. } => ("request_queued", Ordinary),
-        LogEvent::WorkReleased { .. } => ("queued_work_released", Ordinary),
+        LogEvent::WorkDelivered { .. } => ("queued_work_released", Ordinary),
         LogEvent::RequestGivenUp { .. } => ("request_given_up", Important),
         LogEvent::RequestAnswered { .. } => ("request_answered", Ordinary),
     }
