--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -18,8 +18,8 @@
     Queued(PeerMessage),
     /// The packet is not delivered; the message goes to the balancer.
     Reply(PeerMessage, ReplyBody),
-    /// The packet is not delivered, or is queued at the agent; no message is sent.
-    Drop,
+    /// The packet is dropped, or is queued at the agent; no message is sent.
+    NoReply,
 }
 
 impl ForwardDecision {
@@ -45,7 +45,7 @@
 pub enum TargetPacketDecision {
     /// The packet goes to the caller; a message may go to a balancer.
     ToCaller(Option<(NodeAddress, PeerMessage)>),
-    /// The target returned the packet; a balancer is told.
+    /// The target returned the packet; a message goes to a balancer.
     Returned {
         /// The balancer that the packet names.
         to: NodeAddress,
@@ -85,7 +85,8 @@
         /// The opening.
         packet: Vec<u8>,
     },
-    /// Asks a node for a snapshot and passes it to [`Agent::apply_snapshot`].
+    /// Requests a snapshot from a node and passes the snapshot to
+    /// [`Agent::apply_snapshot`].
     FetchSnapshot {
         /// The node.
         from: NodeAddress,
@@ -102,27 +103,29 @@
     /// Openings delivered to the target.
     pub openings_offered: u64,
     /// Openings returned to their balancer.
-    pub openings_declined: u64,
+    pub openings_returned: u64,
     /// Openings that were queued at the agent.
     pub openings_queued: u64,
     /// Openings returned because the target may be cold and has reached its limit of
     /// requests.
-    pub openings_declined_cold: u64,
+    pub openings_returned_cold: u64,
     /// Openings returned because the target's zone is excluded.
-    pub openings_declined_excluded: u64,
-    /// Openings returned after they had been queued for too long.
+    pub openings_returned_excluded: u64,
+    /// Queued openings that were returned because they had reached the maximum age of an
+    /// opening or could no longer be answered before their timeout.
     pub openings_expired: u64,
-    /// Openings returned because they would have been answered too late.
-    pub openings_declined_late: u64,
+    /// Openings returned on arrival because they would have been answered too late.
+    pub openings_returned_late: u64,
     /// Requests of open flows that were queued at the agent.
     pub requests_queued: u64,
     /// Retransmissions of queued packets, dropped.
     pub duplicate_packets_dropped: u64,
-    /// Queued requests of open flows that were dropped because their callers have left.
+    /// Queued requests of open flows that were dropped because their timeout had passed,
+    /// so that their callers have left.
     pub requests_given_up: u64,
     /// Queued requests of open flows that were delivered early because the target was
     /// silent, stuck or replaced, or the agent was stopping.
-    pub requests_released_early: u64,
+    pub requests_delivered_early: u64,
     /// Packets of open flows delivered to the target.
     pub packets_delivered: u64,
     /// Searches that were answered with a denial.
@@ -139,11 +142,11 @@
     pub packets_dropped: u64,
     /// Heartbeats accepted.
     pub heartbeats: u64,
-    /// Heartbeats of starts that a later start has replaced.
+    /// Heartbeats rejected because a later incarnation has replaced theirs.
     pub heartbeats_replaced: u64,
-    /// Heartbeats of starts that may be older than the known one.
+    /// Heartbeats rejected because their incarnation may be older than the known one.
     pub heartbeats_unproven: u64,
-    /// Deregistrations that were ignored because they may concern a former start.
+    /// Deregistrations that were ignored because they may concern a former incarnation.
     pub deregistrations_ignored: u64,
     /// Parts of flow lists sent to balancers.
     pub flow_list_parts_sent: u64,
--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -285,7 +285,7 @@
                 };
                 self.peers.send(&message, body, from);
             }
-            ForwardDecision::Drop => {}
+            ForwardDecision::NoReply => {}
         }
         self.run_core(|core, now, actions| core.dispatch_queued(now, actions));
     }
@@ -387,14 +387,14 @@
     }
 
     fn write_log_events(&self) {
-        let (events, dropped) = self.core.borrow_mut().take_notes();
+        let (events, dropped) = self.core.borrow_mut().take_log_events();
         let now = self.clock.now();
         for event in &events {
             match event {
                 LogEvent::RequestAnswered { service_time, .. } => {
                     self.service_times.borrow_mut().record(*service_time);
                 }
-                LogEvent::WorkReleased { waited, .. } => {
+                LogEvent::WorkDelivered { waited, .. } => {
                     self.queue_waits.borrow_mut().record(*waited);
                 }
                 _ => {}
