--- a/crates/woodladder-core/src/configuration/bundle.rs
+++ b/crates/woodladder-core/src/configuration/bundle.rs
@@ -11,8 +11,9 @@
 
 /// One version of the configuration.
 ///
-/// In canonical form, services and targets are sorted by identifier, so that
-/// equal bundles have equal encodings and digests.
+/// [`Bundle::canonical`] sorts services and targets by identifier and the
+/// addresses of each service by value, so that equal bundles have equal encodings
+/// and digests. [`Bundle::service`] and [`Bundle::target`] need this order.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Bundle {
     /// Version number, chosen by the operators.
@@ -58,9 +59,9 @@
     pub address: SocketAddr,
     /// Zone that the target is in.
     pub zone: ZoneIndex,
-    /// Requests that the back end runs at the same time.
+    /// Most requests that the back end runs at the same time.
     pub slots: u16,
-    /// Connections that the back end holds at the same time.
+    /// Most connections that the back end holds at the same time.
     pub connections: u32,
     /// Whether the target accepts new work.
     pub state: TargetState,
--- a/crates/woodladder-core/src/configuration/roll_record.rs
+++ b/crates/woodladder-core/src/configuration/roll_record.rs
@@ -52,7 +52,9 @@
 pub struct StoredRoll {
     /// The roll in force.
     pub record: RollRecord,
-    /// Changes since the previous roll, when they are small.
+    /// Changes since the previous roll; `None` for the first roll and when the
+    /// encoded changes exceed the limit of the roll command
+    /// (`MAXIMUM_STORED_DELTA_LENGTH`, in bytes).
     pub delta: Option<SnapshotDelta>,
 }
 
--- a/crates/woodladder-core/src/configuration/snapshot.rs
+++ b/crates/woodladder-core/src/configuration/snapshot.rs
@@ -2,8 +2,7 @@
 //!
 //! Besides the bundle, a snapshot contains the targets that earlier rolls
 //! removed, for the linger time after their removal. With them a node that
-//! knows no earlier snapshot can still route flows established with these
-//! targets.
+//! has no earlier snapshot can still route flows established with these targets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +24,7 @@
 /// Everything that one roll puts in force.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The signed bundle.
+    /// The bundle that `sign_off` signs.
     pub bundle: Bundle,
     /// Signature over the bundle's digest, for `Purpose::SignOff`.
     pub sign_off: OperatorSignature,
--- a/crates/woodladder-core/src/packets/hop_list.rs
+++ b/crates/woodladder-core/src/packets/hop_list.rs
@@ -2,8 +2,9 @@
 //! are asked.
 //!
 //! Weighted rendezvous hashing chooses them from a service's targets, so that
-//! balancers with the same or nearly the same bundle choose the same targets for
-//! the same flow without talking to each other.
+//! balancers with the same bundle choose the same targets for the same flow, and
+//! balancers with nearly the same bundle do so for most flows, without
+//! communication between them.
 //!
 //! Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit
 //! rates", 1998 (rendezvous hashing); Schindelhauer and Schomaker, "Weighted
@@ -18,12 +19,13 @@
 
 /// Most hops that a list holds.
 pub const MAXIMUM_HOPS: usize = 4;
-/// Load of a target whose slots are all busy and that has nothing queued, in
-/// thousandths.
+/// Load of a target whose slots are all busy, without queued requests, pending
+/// flows and the term for open connections, in thousandths.
 pub const FULL_LOAD: u32 = 1000;
 
-/// Load of a target as its agent computes it, in thousandths of its slots; above
-/// [`FULL_LOAD`] when requests are queued.
+/// Load of a target as its agent computes it, in thousandths: work (running and
+/// queued requests and pending flows) relative to the usable slots, plus a
+/// smaller term for open connections. Can exceed [`FULL_LOAD`].
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -117,7 +119,7 @@
         .min_by_key(|candidate| weighting.rank(candidate, flow_hash))
 }
 
-/// A candidate with its rank; the lowest rank is asked first.
+/// A candidate with its rank; the candidate with the lowest rank is asked first.
 #[derive(Clone, Copy)]
 struct Ranked {
     rank: u64,
@@ -135,8 +137,8 @@
 /// How candidates are ranked.
 #[derive(Clone, Copy)]
 enum Weighting {
-    /// All weights are equal: the order of the hashes is that of the ranks, so no
-    /// logarithm is needed.
+    /// All weights are equal: the greatest hash ranks first, so no logarithm is
+    /// needed.
     Equal,
     /// Weights differ: the rank needs the logarithm of the hash.
     Logarithmic,
@@ -154,9 +156,10 @@
         }
     }
 
-    /// Rank of a candidate for a flow; the lowest rank is asked first. Ranks are
-    /// exponentially distributed with the weight as rate, so the probability that
-    /// a candidate has the lowest rank is proportional to its weight.
+    /// Rank of a candidate for a flow; the candidate with the lowest rank is asked
+    /// first. With `Logarithmic`, ranks are exponentially distributed with the
+    /// weight as rate, so the probability that a candidate has the lowest rank is
+    /// proportional to its weight; the rank is returned as the bits of the float.
     fn rank(self, candidate: &Candidate, flow_hash: u64) -> u64 {
         let draw = split_mix_64(flow_hash ^ candidate.target_hash);
         match self {
--- a/crates/woodladder-core/src/packets/routing_table.rs
+++ b/crates/woodladder-core/src/packets/routing_table.rs
@@ -19,7 +19,7 @@
     targets: FxHashMap<TargetId, TargetEntry>,
 }
 
-/// What routing needs to know about a service.
+/// Data about a service that routing uses.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceEntry {
     /// Targets that may be asked to accept a new flow. When all targets are
@@ -27,10 +27,10 @@
     pub candidates: Vec<Candidate>,
 }
 
-/// What routing needs to know about a target.
+/// Data about a target that routing uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetEntry {
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: ServiceId,
     /// Data address of its agent.
     pub address: SocketAddr,
@@ -43,9 +43,9 @@
 /// Limits of a back end, from the bundle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetLimits {
-    /// Requests that the back end runs at the same time.
+    /// Most requests that the back end runs at the same time.
     pub slots: u16,
-    /// Connections that the back end holds at the same time.
+    /// Most connections that the back end holds at the same time.
     pub connections: u32,
 }
 
@@ -56,8 +56,8 @@
     InBundle(TargetState),
     /// Removed by an earlier roll; accepts no new work.
     Retired,
-    /// In the bundle with this state, but its agent is known to accept no new
-    /// flows at the moment.
+    /// In the bundle with this state, but marked as accepting no new flows at
+    /// the moment.
     Unavailable(TargetState),
 }
 
@@ -90,8 +90,8 @@
         table
     }
 
-    /// A copy of the table in which some targets are marked as unavailable. A
-    /// service ignores the marks when they would leave it without a candidate.
+    /// A copy of the table in which some targets are marked as unavailable. The
+    /// marks are not applied to a service that they would leave without a candidate.
     /// The status of the node's own target, `own`, does not change.
     #[must_use]
     pub fn with_unavailable(
--- a/crates/woodladder-core/src/packets/token.rs
+++ b/crates/woodladder-core/src/packets/token.rs
@@ -24,7 +24,8 @@
 /// Greatest key number.
 pub const MAXIMUM_KEY_NUMBER: u8 = 0x0f;
 
-const LAYOUT_VERSION: u8 = 1 << 4;
+/// Layout version 1 in the high four bits of the first byte.
+const LAYOUT_VERSION_BITS: u8 = 1 << 4;
 const TARGET_START: usize = 1;
 const NONCE_START: usize = 5;
 const TAG_START: usize = 12;
@@ -53,7 +54,7 @@
     #[must_use]
     pub fn issue(&self, target: TargetId, nonce: [u8; TOKEN_NONCE_LENGTH]) -> [u8; TOKEN_LENGTH] {
         let mut token = [0; TOKEN_LENGTH];
-        token[0] = LAYOUT_VERSION | (self.current.number & MAXIMUM_KEY_NUMBER);
+        token[0] = LAYOUT_VERSION_BITS | (self.current.number & MAXIMUM_KEY_NUMBER);
         token[TARGET_START..NONCE_START].copy_from_slice(&target.0.to_be_bytes());
         token[NONCE_START..TAG_START].copy_from_slice(&nonce);
         let tag = self.current.key.tag(&token[..TAG_START], &[]);
@@ -77,7 +78,7 @@
 
     fn key_for(&self, first_byte: u8) -> Option<&TokenKey> {
         let is_named =
-            |key: &&TokenKey| first_byte == LAYOUT_VERSION | (key.number & MAXIMUM_KEY_NUMBER);
+            |key: &&TokenKey| first_byte == LAYOUT_VERSION_BITS | (key.number & MAXIMUM_KEY_NUMBER);
         Some(&self.current)
             .filter(is_named)
             .or_else(|| self.previous.as_ref().filter(is_named))
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -23,8 +23,8 @@
     Decline(FlowRefusalReason),
 }
 
-/// What an agent knows when it chooses: the hop list with its own place on it,
-/// its load and its routing table.
+/// Input of the choice at one agent: the hop list with the place of the agent's
+/// target on it, the target's load and the agent's routing table.
 #[derive(Clone, Debug)]
 pub(super) struct ChoiceContext<'a> {
     route: &'a NewFlowRoute,
@@ -71,8 +71,10 @@
 
     /// Route for a repeated packet of a flow that was handed on to `to` before.
     /// `None` when the choice must be made again, because the packet would go
-    /// back to a target that was asked meanwhile or because this target was
-    /// ordered to accept or refuse the flow.
+    /// back to a target that was asked meanwhile, or because this target was
+    /// ordered to accept or refuse the flow and `to` is on the list or the list
+    /// is full. Exception: when `must_decide` is set and this target has no such
+    /// order, the packet does go back to a target that stated its load.
     pub(super) fn repeat(&self, to: &Hop, must_decide: bool) -> Option<NewFlowRoute> {
         let hops = &self.route.hops;
         let listed = hops.iter().position(|hop| hop.target == to.target);
@@ -93,15 +95,19 @@
     }
 
     /// Whether another target has ordered this one to accept or refuse the flow.
-    /// A balancer that knows a single target sets the same flag; that is no
-    /// order, because the balancer may not know the other targets.
+    /// A balancer whose routing table has a single target sets the same flag; that
+    /// is no order, because the balancer's table may lack the other targets.
     fn must_decide_here(&self) -> bool {
         let hops = &self.route.hops;
         let none_asked_yet = self.index == 0 && hops.iter().all(|hop| hop.load.is_none());
         self.route.must_decide && !none_asked_yet
     }
 
-    /// Every target on the list was asked: the least loaded one gets the flow.
+    /// No further target on the list may be asked. The flow goes back to the earlier
+    /// target that stated the least load when this target cannot accept the flow or
+    /// this target's load is greater by more than the return margin. When there is
+    /// no such earlier target, the flow stays here, or goes beyond the list when
+    /// this target cannot accept the flow.
     fn choose_least_loaded(&self, options: &AdmissionOptions) -> Choice {
         match (self.least_loaded_asked(), self.refusal_reason) {
             (None, None) => Choice::Accept,
@@ -136,7 +142,8 @@
         hops.any(|hop| hop.target == other.target)
     }
 
-    /// Index and load of the earlier target that stated the least load.
+    /// Index and load of the earlier target that stated the least load, among those
+    /// that may still get the flow.
     fn least_loaded_asked(&self) -> Option<(usize, Load)> {
         let asked = self.route.hops.iter().enumerate().take(self.index);
         asked
@@ -152,8 +159,11 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether the routing table allows new flows to this target. A balancer with
-    /// a later table is trusted instead.
+    /// Whether the flow may go to the target of `hop`: a target other than this
+    /// agent's own that accepts new flows by this agent's routing table. When the
+    /// balancer's table is later, the status in this agent's table is ignored. A
+    /// target of another service by this agent's table never gets the flow; one
+    /// that the table does not list may get it unless this agent's table is later.
     fn may_hand_on_to(&self, hop: &Hop) -> bool {
         if self.route.hops[self.index].target == hop.target {
             return false;
@@ -216,9 +226,10 @@
     }
 
     /// Route to a target that is not on the list, with the order to accept or
-    /// refuse the flow. Each such step adds one target to the list, so the steps
-    /// end when the list is full. The first step drops the balancer's list and
-    /// keeps only this target's hop.
+    /// refuse the flow. The first such route drops the balancer's list and keeps
+    /// only this target's hop; each one adds the new target. A target that
+    /// has the order itself makes such a route only for a repeated packet and only
+    /// while the list is not full (see [`Self::repeat`]), so these routes end.
     fn route_beyond_list(&self, to: &Hop) -> NewFlowRoute {
         let mut hops = self.route.hops.clone();
         hops[self.index].load = self.stated_load();
--- a/crates/woodladder-core/src/target/admission/fence.rs
+++ b/crates/woodladder-core/src/target/admission/fence.rs
@@ -10,10 +10,12 @@
 use crate::clock::Instant;
 use crate::identifier::Sequence;
 
-/// Time within which a roll reaches every node.
+/// Time after this agent adopted a roll within which every node that is neither
+/// frozen nor cut off is expected to have adopted the roll as well.
 pub const FENCE_GRACE: Duration = Duration::from_secs(11);
 
-/// Most adoptions that are kept; beyond that the second oldest is dropped.
+/// Most adoptions that are kept. Beyond that the second oldest is dropped: the
+/// oldest stays, because it may be the only one past the grace.
 const MAXIMUM_ADOPTIONS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,8 +27,8 @@
 /// When this agent adopted which sequence, as far back as needed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fence {
-    /// In order of time. The first is the latest adoption older than the grace,
-    /// if there is one.
+    /// In order of time. Each call of [`Fence::adopt`] drops the adoptions before
+    /// the latest one that is older than the grace.
     adoptions: VecDeque<Adoption>,
 }
 
@@ -48,7 +50,7 @@
         });
     }
 
-    /// Whether a later sequence has been in force for longer than the grace.
+    /// Whether this agent adopted a later sequence longer ago than the grace.
     pub(super) fn is_stale(&self, sequence: Sequence, now: Instant) -> bool {
         self.adoptions
             .iter()
--- a/crates/woodladder-core/src/target/admission/mod.rs
+++ b/crates/woodladder-core/src/target/admission/mod.rs
@@ -2,9 +2,9 @@
 //! arrives for its back end.
 //!
 //! The agent makes the final decision on a new flow because only the agent
-//! knows its current load. It accepts the flow, hands it on to the next target
-//! on the balancer's hop list, or, as the last target asked, declines it at
-//! once. A datagram for another service or target never reaches the transport.
+//! has the current load of its target. The agent accepts the flow, hands it on
+//! to another target, or declines it at once when no target can accept it. A
+//! datagram for another service or target never reaches the transport.
 //!
 //! Source: Mitzenmacher, "The power of two choices in randomized load
 //! balancing", 2001. Here each target states its current load, and the stated
@@ -71,7 +71,8 @@
     last_resort: bool,
 }
 
-/// Load added to that of a target of last resort; greater than any real load.
+/// Load added to that of a target of last resort, in thousandths; greater than
+/// the loads expected of targets with usable slots.
 const LAST_RESORT_LOAD: u32 = 1_000_000;
 
 impl Admission {
@@ -95,7 +96,7 @@
     }
 
     /// Sets whether this target accepts new flows only when no other target
-    /// does. Unlike a drain this refuses nothing, so a false alarm on every
+    /// does. Unlike a drain this refuses nothing, so setting it wrongly at every
     /// target of a service loses no flow.
     pub fn set_last_resort(&mut self, last_resort: bool) {
         self.last_resort = last_resort;
@@ -281,8 +282,8 @@
     }
 
     /// Rejects a service address that belongs to another service by the routing
-    /// table, unless the balancer's table is later: the balancer does not know
-    /// yet that the address has moved.
+    /// table, unless the balancer's table is later: then this agent's table may
+    /// lack a move of the address to this agent's service.
     fn check_service_address(&self, envelope: &Envelope) -> Result<(), AdmissionDropReason> {
         let own = self.routing_table.service_at(&envelope.service_address);
         let moved = own.is_some_and(|service| service != self.identity.service);
@@ -314,8 +315,9 @@
         overloaded.then_some(FlowRefusalReason::Overloaded)
     }
 
-    /// Whether the routing table allows new flows to this target. A target that
-    /// the table does not list accepts them when the balancer's table is later.
+    /// Whether this agent's own target accepts new flows by the routing table. When
+    /// the table does not list the target, it accepts them only when the balancer's
+    /// table is later.
     fn is_listed_as_accepting(&self, envelope: &Envelope) -> bool {
         match self.routing_table.target(self.identity.target) {
             Some(entry) if entry.service != self.identity.service => false,
--- a/crates/woodladder-core/src/target/admission/options.rs
+++ b/crates/woodladder-core/src/target/admission/options.rs
@@ -9,7 +9,8 @@
 /// Parameters of admission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionOptions {
-    /// A target with less load than this accepts a flow without asking others.
+    /// A target with less load than this accepts a flow at once instead of handing
+    /// it on.
     pub accept_below: Load,
     /// How much less load an earlier target must have stated for the flow to go
     /// back to it; allows for the age of the stated load.
@@ -26,10 +27,10 @@
     pub decision_retention: Duration,
     /// Most decisions kept; the oldest are dropped first.
     pub maximum_cached_decisions: usize,
-    /// Flows per window that are accepted only so that their requests can be
-    /// answered with a refusal.
+    /// Most flows per `decline_window` that are accepted only so that their
+    /// requests can be answered with a refusal; further flows are refused.
     pub decline_allowance: u32,
-    /// Sliding window of `decline_allowance`.
+    /// Length of the sliding window in which `decline_allowance` is counted.
     pub decline_window: Duration,
 }
 
--- a/crates/woodladder-core/src/target/admission/pending_flows.rs
+++ b/crates/woodladder-core/src/target/admission/pending_flows.rs
@@ -8,9 +8,13 @@
 /// Accepted flows whose first request has not arrived yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingFlows {
+    /// How long after its admission a flow is counted.
     window: Duration,
+    /// Flows by flow hash.
     flows: BTreeMap<u64, PendingFlow>,
+    /// Times of admission with flow hashes, in order of time.
     admissions: VecDeque<(Instant, u64)>,
+    /// Number of `flows` whose connection has not been opened.
     unopened_connections: u32,
 }
 
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Whether one more flow is within the allowance; counts it if so.
+    /// Whether one more flow is within the allowance; counts that flow if so.
     pub(super) fn try_take(&mut self, allowance: u32, now: Instant) -> bool {
         let window = self.window;
         while self
--- a/crates/woodladder-core/src/target/drain.rs
+++ b/crates/woodladder-core/src/target/drain.rs
@@ -1,10 +1,11 @@
-//! Drain of a target: the way from serving to having no work left.
+//! Drain of a target: the transition from serving to having no work left.
 //!
 //! A target leaves while at least one reason to leave holds. From that moment
 //! it accepts no new flow and notifies callers on open connections. Their
 //! requests are still accepted for a short grace period, because a caller may
-//! have sent them before the notice arrived. The target is drained when it has
-//! no unanswered request and no stream.
+//! have sent them before the notice arrived. The period ends early when no
+//! connection is open. The target is drained when it accepts no more requests
+//! and has no unanswered request and no stream.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -35,12 +36,13 @@
 pub enum DrainPhase {
     /// New flows and requests are accepted.
     Serving,
-    /// No new flow is accepted; requests are, during the grace period.
+    /// No new flow is accepted. Requests are accepted until the grace period ends
+    /// or no connection is open.
     Leaving {
         /// When the target began to leave.
         since: Instant,
     },
-    /// No request and no stream is left.
+    /// No request is accepted, and no request and no stream is left.
     Drained,
 }
 
@@ -69,7 +71,8 @@
 /// What the caller of the state machine carries out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainAction {
-    /// Tell callers on open connections to send no more requests (GOAWAY).
+    /// Notify callers on open connections that they must send no more requests
+    /// (GOAWAY).
     NotifyCallers,
     /// Refuse requests that arrive from now on.
     RefuseRequests,
--- a/crates/woodladder-core/src/target/request/outcome.rs
+++ b/crates/woodladder-core/src/target/request/outcome.rs
@@ -3,9 +3,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The statement that a request did not run.
+/// States that a request did not run, why, and when the caller may retry.
 ///
-/// Made only in stages in which this is certain; see the `stage` module.
+/// Made only before the request is written to the back end, or when the back
+/// end has stated that it refused the request; see the `stage` module.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     reason: RefusalReason,
--- a/crates/woodladder-core/src/target/request/service_time_estimate.rs
+++ b/crates/woodladder-core/src/target/request/service_time_estimate.rs
@@ -40,10 +40,11 @@
         self.service_time
     }
 
-    /// Estimated time until `ahead` requests have been served by `slots` slots.
-    pub(super) fn queue_wait(&self, ahead: usize, slots: u32) -> Duration {
-        let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
-        let work = self.service_time.saturating_mul(ahead);
+    /// Estimated time until `slots` busy slots have been released `releases` times;
+    /// [`Duration::MAX`] when there are no slots.
+    pub(super) fn queue_wait(&self, releases: usize, slots: u32) -> Duration {
+        let releases = u32::try_from(releases).unwrap_or(u32::MAX);
+        let work = self.service_time.saturating_mul(releases);
         work.checked_div(slots).unwrap_or(Duration::MAX)
     }
 
--- a/crates/woodladder-core/src/target/request/stage.rs
+++ b/crates/woodladder-core/src/target/request/stage.rs
@@ -1,6 +1,7 @@
-//! Stages of a request, as types. Only the stages in which the request cannot
-//! have run can make a refusal, and each transition consumes its stage, so that
-//! none happens twice.
+//! Stages of a request, as types. A request that has not been written to the
+//! back end can be refused; a sent request is refused only when the back end
+//! states that it did not run the request. Each transition consumes its stage,
+//! so that no transition happens twice.
 
 use std::time::Duration;
 
--- a/crates/woodladder-core/src/target/request/table.rs
+++ b/crates/woodladder-core/src/target/request/table.rs
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Records how long a given-up request has held its slot, but never less than
-    /// the average: it would have held the slot longer.
+    /// Records how long a given-up request has held its slot. At least the average
+    /// is recorded, because giving up cuts the measured time short.
     fn record_service_time_so_far(&mut self, request: &Request, now: Instant) {
         if let Some(time) = request.stage.service_time(now) {
             self.estimate.record(time.max(self.estimate.service_time()));
@@ -384,7 +384,9 @@
         self.estimate.retry_after(wait)
     }
 
-    /// Estimated time until every queued request has been dispatched.
+    /// Estimated time until a request behind all queued ones would be dispatched.
+    /// While all slots are busy, that takes one released slot for each queued
+    /// request and one more for the request itself.
     fn queue_wait(&self) -> Duration {
         self.estimate
             .queue_wait(self.store.queued_count() + 1, self.usable_slots())
--- a/crates/woodladder-core/src/target/slow_start.rs
+++ b/crates/woodladder-core/src/target/slow_start.rs
@@ -8,9 +8,10 @@
 
 use crate::clock::Instant;
 
-/// One, in thousandths.
+/// A full share of the slots, or the normal speed of the ramp, in thousandths.
 const FULL_THOUSANDTHS: u32 = 1000;
-/// Divisor of the moving average: a new sample has a weight of one over this.
+/// Divisor of the moving average of service times: a new sample has a weight of
+/// one over this.
 const AVERAGE_DIVISOR: u32 = 8;
 
 /// Parameters of slow start.
@@ -73,8 +74,10 @@
     /// Progress of the ramp, from zero to `options.window`.
     progress: Duration,
     updated_at: Instant,
-    average: Option<Duration>,
-    lowest_average: Option<Duration>,
+    /// Moving average of the service time since the ramp began.
+    average_service_time: Option<Duration>,
+    /// Lowest value of that average since the ramp began.
+    lowest_average_service_time: Option<Duration>,
 }
 
 impl SlowStart {
@@ -85,8 +88,8 @@
             options,
             progress: Duration::ZERO,
             updated_at: now,
-            average: None,
-            lowest_average: None,
+            average_service_time: None,
+            lowest_average_service_time: None,
         }
     }
 
@@ -98,17 +101,17 @@
     /// Records the service time of a request.
     pub fn record_service_time(&mut self, sample: Duration, now: Instant) {
         self.advance(now);
-        let average = match self.average {
+        let average = match self.average_service_time {
             None => sample,
             Some(average) => {
                 (average * (AVERAGE_DIVISOR - 1)).saturating_add(sample) / AVERAGE_DIVISOR
             }
         };
-        self.average = Some(average);
+        self.average_service_time = Some(average);
         let lowest = self
-            .lowest_average
+            .lowest_average_service_time
             .map_or(average, |known| known.min(average));
-        self.lowest_average = Some(lowest);
+        self.lowest_average_service_time = Some(lowest);
     }
 
     /// How many of the back end's `slots` are usable now.
@@ -133,7 +136,9 @@
 
     /// Speed of the ramp in thousandths of the normal speed.
     fn speed_thousandths(&self) -> u32 {
-        let (Some(average), Some(lowest)) = (self.average, self.lowest_average) else {
+        let (Some(average), Some(lowest)) =
+            (self.average_service_time, self.lowest_average_service_time)
+        else {
             return FULL_THOUSANDTHS;
         };
         let speed = thousandths(lowest, average);
