--- a/crates/woodladder/src/command/agent.rs
+++ b/crates/woodladder/src/command/agent.rs
@@ -14,7 +14,8 @@
   WOODLADDER_SLOTS=5 woodladder agent --settings agent.toml
 
 SIGTERM requests a planned stop: callers are told to use another target, no new
-work is accepted, and the process ends with code 0 when its last stream has ended.";
+work is accepted, and the process ends with code 0 when its last stream has ended
+or drain_timeout has passed.";
 
 #[derive(Args, Debug)]
 pub(super) struct AgentCommand {
--- a/crates/woodladder/src/command/balancer.rs
+++ b/crates/woodladder/src/command/balancer.rs
@@ -14,10 +14,11 @@
   WOODLADDER_HTTP_LISTEN=10.0.0.5:9000 woodladder balancer --settings balancer.toml
 
 SIGTERM requests a planned stop: /ready answers 503, forwarding continues for
-stop_grace and until traffic has ceased, then the process ends with code 0.";
+stop_grace and then until traffic has ceased or stop_timeout has passed, and the
+process ends with code 0.";
 
-/// Threads for the control plane and the HTTP server; forwarding has its own
-/// threads.
+/// Number of threads for the control plane and the HTTP server. Forwarding has its
+/// own threads.
 const CONTROL_THREADS: usize = 1;
 
 #[derive(Args, Debug)]
--- a/crates/woodladder/src/command/error.rs
+++ b/crates/woodladder/src/command/error.rs
@@ -21,8 +21,8 @@
         /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The key-value service cannot be reached or does not answer; nothing was
-    /// changed.
+    /// The key-value service cannot be reached or does not answer in time;
+    /// nothing was changed.
     StoreUnreachable(String),
     /// Another operator's roll took effect first.
     LostRace(String),
--- a/crates/woodladder/src/command/fleet_report.rs
+++ b/crates/woodladder/src/command/fleet_report.rs
@@ -52,16 +52,16 @@
             total.most
         ));
     }
-    for spread in &report.spreads {
+    for propagation in &report.propagations {
         text.push_str(&format!(
             "{:<22} {:<22} {:>5} nodes, delay after the first: median {} ms, 99th percentile {} ms, \
              last {} ms\n",
-            spread.event,
-            spread.subject,
-            spread.nodes,
-            spread.median_ms,
-            spread.late_ms,
-            spread.last_ms
+            propagation.event,
+            propagation.subject,
+            propagation.nodes,
+            propagation.median_ms,
+            propagation.p99_ms,
+            propagation.last_ms
         ));
     }
     text
--- a/crates/woodladder/src/command/roll.rs
+++ b/crates/woodladder/src/command/roll.rs
@@ -29,9 +29,9 @@
 
 An older bundle is put in force in the same way: it gets a new sequence, and no
 node returns to an older sequence. When two operators roll at the same time, one
-roll takes effect, and the other ends with code 4. Code 5 means that the roll was accepted and not all
-nodes have it in force yet, or that the outcome is unknown: see
-`woodladder status` before rolling again.";
+roll takes effect, and the other ends with code 4. Code 5 means that the roll was
+accepted and not all nodes have it in force yet, or that the outcome is unknown:
+see `woodladder status` before rolling again.";
 
 const RULE_SIGNED: &str = "only a bundle made by `bundle sign` is rolled";
 const RULE_SIGNING_KEY: &str = "`signing_key` names the file with the operator's secret key";
--- a/crates/woodladder/src/command/roll_report.rs
+++ b/crates/woodladder/src/command/roll_report.rs
@@ -23,16 +23,22 @@
     sequence: Option<u64>,
     bundle_version: Option<u64>,
     operator: Option<String>,
+    /// Digest of the snapshot that the roll puts in force.
     snapshot: Option<String>,
-    nodes: Option<NodeReport>,
+    nodes: Option<NodeCounts>,
     error: Option<String>,
 }
 
+/// Numbers of nodes at the end of the roll.
 #[derive(Debug, Serialize)]
-struct NodeReport {
+struct NodeCounts {
+    /// Nodes that have the roll or a later one in force.
     in_force: usize,
+    /// Nodes that have a later roll in force; included in `in_force`.
     later: usize,
+    /// Nodes that answered at least one status request.
     answered: usize,
+    /// All nodes to which status requests are sent.
     known: usize,
 }
 
@@ -82,7 +88,7 @@
             bundle_version: Some(outcome.roll.bundle_version),
             operator: Some(outcome.roll.operator.clone()),
             snapshot: Some(outcome.snapshot.to_string()),
-            nodes: Some(NodeReport {
+            nodes: Some(NodeCounts {
                 in_force: outcome.progress.in_force,
                 later: outcome.progress.later,
                 answered: outcome.progress.answered,
--- a/crates/woodladder/src/command/status.rs
+++ b/crates/woodladder/src/command/status.rs
@@ -62,10 +62,10 @@
     let addresses = nodes::find_addresses(settings, logger).await;
     let socket = nodes::bind_socket(settings, &addresses).await?;
     let mut replies = query_nodes(&socket, &addresses, settings.poll).await;
-    let nodes = addresses.iter().map(|control| NodeReport {
-        control: *control,
+    let nodes = addresses.iter().map(|address| NodeReport {
+        control_address: *address,
         status: replies
-            .remove(control)
+            .remove(address)
             .map(|reply| NodeState::from_reply(&reply)),
     });
     Ok(StatusReport {
--- a/crates/woodladder/src/command/status_report.rs
+++ b/crates/woodladder/src/command/status_report.rs
@@ -26,8 +26,11 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub(super) enum StoreReport {
+    /// The key-value service gave no usable answer.
     Unreachable,
+    /// The key-value service has no roll yet.
     Empty,
+    /// The current entry is malformed or its signature is not trusted.
     Unreadable,
     Roll {
         sequence: u64,
@@ -36,10 +39,13 @@
     },
 }
 
-/// One node and its status, when it answered.
+/// One node of the report.
 #[derive(Debug, Serialize)]
 pub(super) struct NodeReport {
-    pub(super) control: SocketAddr,
+    /// Control address of the node.
+    #[serde(rename = "control")]
+    pub(super) control_address: SocketAddr,
+    /// Status of the node; `None` when the node did not answer.
     pub(super) status: Option<NodeState>,
 }
 
@@ -49,12 +55,18 @@
     role: &'static str,
     sequence: u64,
     bundle_version: u64,
+    /// Digest of the snapshot in force, in hexadecimal digits.
     snapshot: String,
     ready: bool,
     leaving: bool,
+    /// Whether the node's process was paused and the roll in force has not been
+    /// confirmed since.
     suspect: bool,
+    /// Number of nodes in the node's member table.
     known_nodes: u32,
+    /// Number of nodes in the member table that were heard from recently.
     heard_nodes: u32,
+    /// Number of frames, records, deltas and copies rejected since the node started.
     rejections: u64,
 }
 
@@ -143,12 +155,12 @@
 
 fn print_row(node: &NodeReport) {
     let Some(status) = &node.status else {
-        println!("{:<22} no answer", node.control);
+        println!("{:<22} no answer", node.control_address);
         return;
     };
     println!(
         "{:<22} {:<9} {:<8} {:>9} {:>8}  {:<12} {:>6} {:>9}",
-        node.control,
+        node.control_address,
         status.role,
         status.state_name(),
         status.sequence,
--- a/crates/woodladder/src/control/machine_list.rs
+++ b/crates/woodladder/src/control/machine_list.rs
@@ -47,9 +47,9 @@
     }
 }
 
-/// Pause after reading a list of this many machines. Proportional to the length
-/// of the list, so that reading takes at most [`MAXIMUM_BYTES_PER_SECOND`] on
-/// average; at least [`MINIMUM_PAUSE`].
+/// Pause after reading a list of this many machines. The pause is proportional to
+/// the length of the list, so that the average transfer rate is at most
+/// [`MAXIMUM_BYTES_PER_SECOND`], and is at least [`MINIMUM_PAUSE`].
 fn pause_after(machines: usize) -> Duration {
     let bytes = BYTES_PER_MACHINE * u64::try_from(machines).unwrap_or(u64::MAX / BYTES_PER_MACHINE);
     Duration::from_millis(bytes * 1000 / MAXIMUM_BYTES_PER_SECOND).max(MINIMUM_PAUSE)
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -70,7 +70,7 @@
     pub ready: bool,
     /// Whether the process has been suspended by the system, and no peer and no
     /// key-value service has confirmed since that its roll is still the one in
-    /// force. Ends by itself after [`ReplicaTuning::suspect_time`].
+    /// force. The flag is cleared in any case after [`ReplicaTuning::suspect_timeout`].
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: Sequence,
@@ -196,8 +196,8 @@
     }
 
     /// Announces to other nodes whether this node's target accepts new flows.
-    pub fn announce_accepting_flows(&self, takes: bool) {
-        let _ = self.inputs.send(DriverInput::TakesNewFlows(takes));
+    pub fn announce_accepting_flows(&self, accepts: bool) {
+        let _ = self.inputs.send(DriverInput::TakesNewFlows(accepts));
     }
 
     /// Reports a sequence that the data path has seen in an envelope to the
--- a/crates/woodladder/src/control/socket.rs
+++ b/crates/woodladder/src/control/socket.rs
@@ -9,8 +9,8 @@
 };
 use woodladder_core::packets::keyed_tag::TagKey;
 
-/// One byte more than allowed, so that longer datagrams are detected instead of
-/// truncated to a valid length.
+/// Size in bytes of the receive buffer: one more than the longest valid datagram, so
+/// that longer datagrams are detected instead of truncated to a valid length.
 const BUFFER_LENGTH: usize = MAXIMUM_DATAGRAM_LENGTH + 1;
 
 /// A UDP socket that sends and receives authenticated control messages.
--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -24,12 +24,15 @@
 
 /// Size in bytes that is requested for each buffer of the data socket.
 const SOCKET_BUFFER_BYTES: usize = 4 * 1024 * 1024;
-/// Shortest time from the announcement that the agent leaves until it closes.
-const LEAVE_ANNOUNCEMENT_TIME: Duration = Duration::from_secs(2);
-/// Interval at which the newest sequence in balancers' datagrams is read.
+/// Shortest time from the announcement that the agent leaves until the agent
+/// closes, so that other nodes receive the announcement while the agent can still
+/// forward the flows that they send to it.
+const MINIMUM_LEAVE_TIME: Duration = Duration::from_secs(2);
+/// Interval at which the agent checks whether balancers' datagrams named a newer
+/// configuration sequence.
 const SEQUENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The parts of a running agent, which give its status to the HTTP server.
+/// The parts of a running agent from which the HTTP server gets its status.
 struct RunningAgent {
     status_source: StatusSource,
     agent: AgentHandle,
@@ -51,7 +54,7 @@
 /// Runs an agent until a planned stop has ended.
 ///
 /// # Errors
-/// [`StartError`] when it cannot start.
+/// [`StartError`] when the agent cannot start.
 pub async fn run(settings: AgentSettings, logger: Logger) -> Result<(), StartError> {
     let mut stop = StopSignal::on_process_signals().map_err(StartError::Signals)?;
     let running = Arc::new(start(&settings, &stop, &logger).await?);
@@ -149,16 +152,20 @@
     Box::new(move |latest| routing_table.store(Arc::clone(latest)))
 }
 
-/// The Unix time in milliseconds, so that a later start has a greater number. The
-/// protocol tolerates a clock that was set back.
+/// Number of this run of the agent, which marks its availability reports as newer
+/// than those of earlier runs for the same target: the Unix time in milliseconds at
+/// the start. If the clock was set back, a report of an earlier run may have a
+/// greater number. When the agent receives such a report with its own control
+/// address, it adopts that number and sends a report with the next version.
 fn run_number() -> RunNumber {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let milliseconds = since_epoch.unwrap_or_default().as_millis();
     RunNumber(u64::try_from(milliseconds).unwrap_or_default())
 }
 
-/// Reports to the control plane each new sequence that balancers' datagrams name,
-/// so that it fetches a configuration that this node does not have yet.
+/// Reports to the control plane each newer configuration sequence that balancers'
+/// datagrams name, so that the control plane fetches a configuration that this
+/// node does not have yet.
 async fn report_sequences(running: &RunningAgent) {
     let mut ticks = interval(SEQUENCE_POLL_INTERVAL);
     let mut reported = running.agent.status().newest_sequence_seen;
@@ -172,7 +179,7 @@
     }
 }
 
-/// Drains the agent while the machine list has this machine as leaving.
+/// Drains the agent while the machine list lists this machine as leaving.
 async fn follow_machine_list(running: &RunningAgent) {
     let mut leaving = running.status_source.control.subscribe_listed_leaving();
     while leaving.changed().await.is_ok() {
@@ -190,9 +197,10 @@
     std::future::pending::<()>().await;
 }
 
-/// Drains the agent and closes it when the last stream has ended, but not before
-/// other nodes know that it leaves: flows that they still send here are handed on
-/// until then.
+/// Stops accepting flows, and closes the agent when the last stream has ended or
+/// the drain timeout has passed, but no earlier than [`MINIMUM_LEAVE_TIME`] after
+/// the announcement. Until the agent closes, new flows are forwarded to other
+/// targets.
 async fn drain(settings: &AgentSettings, agent: &AgentHandle, logger: &Logger) {
     info!(logger, "agent: stopping as planned"; "timeout" => ?settings.drain_timeout);
     let announced_at = tokio::time::Instant::now();
@@ -203,7 +211,7 @@
     {
         warn!(logger, "agent: stopped with streams still open");
     }
-    sleep_until(announced_at + LEAVE_ANNOUNCEMENT_TIME).await;
+    sleep_until(announced_at + MINIMUM_LEAVE_TIME).await;
     agent.close().await;
     info!(logger, "agent: stopped");
 }
@@ -235,7 +243,7 @@
     figures
 }
 
-/// A name with dashes as the names of metrics spell it, with underscores.
+/// Converts a name with dashes to the form of metric names, with underscores.
 fn metric_word(text: &str) -> String {
     text.replace('-', "_")
 }
--- a/crates/woodladder/src/daemon/balancer.rs
+++ b/crates/woodladder/src/daemon/balancer.rs
@@ -18,10 +18,10 @@
 use crate::process::{StartError, StopSignal};
 use crate::settings::BalancerSettings;
 
-/// Traffic has ceased when no datagram arrived for this time.
+/// Traffic counts as ceased when no datagram has arrived for this time.
 const QUIET_PERIOD: Duration = Duration::from_millis(500);
 
-/// The parts of a running balancer, which give its status to the HTTP server.
+/// The parts of a running balancer from which the HTTP server gets its status.
 struct RunningBalancer {
     status_source: StatusSource,
     path: PacketPath,
@@ -42,7 +42,7 @@
 /// Runs a balancer until a planned stop has ended.
 ///
 /// # Errors
-/// [`StartError`] when it cannot start.
+/// [`StartError`] when the balancer cannot start.
 pub async fn run(settings: BalancerSettings, logger: Logger) -> Result<(), StartError> {
     let mut stop = StopSignal::on_process_signals().map_err(StartError::Signals)?;
     let running = Arc::new(start(&settings, &stop, &logger).await?);
@@ -101,7 +101,8 @@
 }
 
 /// The callback with which the control plane gives the balancer a new routing
-/// table: it builds a router from the table and hands it to the workers.
+/// table: the callback builds a router from the table and passes the router to the
+/// workers.
 fn build_table_installer(
     settings: &BalancerSettings,
     router: Arc<ArcSwapOption<Router>>,
@@ -114,9 +115,9 @@
     })
 }
 
-/// Keeps forwarding for the grace period, in which the network fabric learns that
-/// the balancer is not ready, and then until traffic has ceased or the timeout
-/// has passed.
+/// Keeps forwarding for the grace period, so that the network fabric's health
+/// checks can find the balancer not ready, and then until traffic has ceased or the
+/// timeout has passed. The timeout includes the grace period.
 async fn drain(settings: &BalancerSettings, path: &PacketPath, logger: &Logger) {
     let deadline = Instant::now() + settings.stop_timeout;
     info!(logger, "balancer: stopping as planned"; "grace" => ?settings.stop_grace);
--- a/crates/woodladder/src/endpoint/server.rs
+++ b/crates/woodladder/src/endpoint/server.rs
@@ -38,8 +38,9 @@
     /// the server is dropped.
     ///
     /// volo-http's server stops accepting connections when the process gets
-    /// SIGTERM. Readiness must stay visible while a node drains, so a second
-    /// server accepts on the same listening socket once a stop is requested.
+    /// SIGTERM, SIGINT or SIGHUP. Readiness must stay visible while a node drains,
+    /// so a second server accepts on the same listening socket once a stop is
+    /// requested.
     ///
     /// # Errors
     /// The system's error when the address cannot be listened on.
--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -71,7 +71,7 @@
     pub not_ready: Option<NotReadyReason>,
     /// Whether the process has been suspended by the system, and no peer and no
     /// key-value service has confirmed since that its roll is still the one in
-    /// force. Ends by itself after some time.
+    /// force. The flag is cleared in any case after some time.
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: u64,
--- a/crates/woodladder/src/explain/mod.rs
+++ b/crates/woodladder/src/explain/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Agents log the identifier of a request and the flow that carries it;
 //! balancers log flows only. The lines of both are joined by flow and sorted
-//! by time. State changes that the same nodes logged around that time, such as
-//! a lost agent or a new configuration, are added as context.
+//! by time. State changes around that time, such as a lost agent or a new
+//! configuration, are added as context.
 
 mod reader;
 mod verdict;
@@ -14,8 +14,8 @@
 pub use reader::{LogError, read_directory};
 pub use verdict::Verdict;
 
-/// State changes are shown from this many milliseconds before a flow's first
-/// line to as many after its last.
+/// Time in milliseconds, before a flow's first line and after its last, within
+/// which state changes are shown.
 const CONTEXT_WINDOW_MS: i64 = 2500;
 /// Events that change a node's own state or its view of agents, targets, the
 /// store and the configuration.
@@ -46,7 +46,7 @@
     pub fields: Value,
 }
 
-/// What the logs tell about one request or flow.
+/// What the logs contain about one request or flow.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
     /// Request identifier, flow or caller address that was looked up.
@@ -55,8 +55,9 @@
     pub flows: Vec<String>,
     /// Log lines of these flows, sorted by time.
     pub lines: Vec<LogLine>,
-    /// State changes that the same nodes, or nodes that follow the same agents,
-    /// logged around that time.
+    /// State changes around the time of these lines, sorted by time: those about an
+    /// agent that the lines name, and those that name no agent, from nodes that
+    /// wrote the lines.
     pub surroundings: Vec<LogLine>,
     /// Outcome of the request or flow.
     pub verdict: Verdict,
@@ -90,7 +91,8 @@
     }
     flow_lines.sort_by_key(|line| line.at_ms);
     let surroundings = state_changes_around(&flow_lines, lines);
-    // A request's identifier is logged only once the request reached a target.
+    // A request's identifier is logged only after the request has reached a target,
+    // so a match of the key means delivery.
     let is_delivered = flow_lines
         .iter()
         .any(|line| line.text("request") == Some(key));
@@ -121,8 +123,8 @@
     flows
 }
 
-/// State changes within the context window that concern the nodes or agents
-/// that the flow's lines name, sorted by time.
+/// State changes within the context window that [`concerns_flow`] selects, sorted
+/// by time.
 fn state_changes_around(flow_lines: &[LogLine], lines: &[LogLine]) -> Vec<LogLine> {
     let first = flow_lines.first().map_or(0, |line| line.at_ms) - CONTEXT_WINDOW_MS;
     let last = flow_lines.last().map_or(0, |line| line.at_ms) + CONTEXT_WINDOW_MS;
@@ -137,8 +139,9 @@
     changes
 }
 
-/// Whether a state change is about an agent that the flow's lines name or, when
-/// it names no agent, comes from a node that wrote one of them.
+/// Whether a state change concerns a flow. A change that names an agent concerns
+/// the flow when one of the flow's lines names the same agent. A change that names
+/// no agent concerns the flow when its node wrote one of the flow's lines.
 fn concerns_flow(line: &LogLine, flow_lines: &[LogLine]) -> bool {
     let agent = line.text("agent");
     flow_lines.iter().any(|flow_line| {
--- a/crates/woodladder/src/explain/verdict.rs
+++ b/crates/woodladder/src/explain/verdict.rs
@@ -6,8 +6,15 @@
 
 use super::LogLine;
 
-/// Longest time in milliseconds between a decision and the log line about it.
+/// Longest time in milliseconds from an agent's decision about a queued request to
+/// the agent's log line about the decision.
 const LOG_DELAY_MS: i64 = 100;
+/// Event of the line that an agent logs when it queues a request.
+const QUEUED_EVENT: &str = "request_queued";
+/// Event of the line that an agent logs when it releases a queued request to the target.
+const RELEASED_EVENT: &str = "queued_work_released";
+/// Event of the line that an agent logs when it drops a request from the queue.
+const GIVEN_UP_EVENT: &str = "request_given_up";
 
 /// The outcome of a request or flow.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
@@ -31,7 +38,7 @@
     DeliveredWithoutAnswer {
         /// Agent that serves the target.
         node: String,
-        /// How the target was lost meanwhile, when a node logged that.
+        /// How the target was lost around that time; `None` when no node logged a loss.
         cause: Option<String>,
     },
     /// The agent queued the request until its timeout and dropped it without
@@ -51,7 +58,8 @@
     },
     /// The flow waited for a target, and none accepted it.
     NoTarget,
-    /// The flow was sent to an agent, and nothing else is logged.
+    /// No line shows one of the other outcomes. Usually the flow was sent to an agent
+    /// and nothing else is logged.
     SentOnly,
 }
 
@@ -81,28 +89,28 @@
         }
     }
 
-    /// The outcome of the last request in a flow's lines, when its agent has it
-    /// queued or dropped it from the queue; `None` otherwise. Lines about the queue
-    /// are in order among themselves. A `request_delivered` line may be out of order
-    /// with them, so it counts as later only when [`LOG_DELAY_MS`] have passed.
+    /// The outcome of the last queued request in a flow's lines, when the agent
+    /// still has the request queued or dropped it from the queue; `None` otherwise.
+    /// Queue lines are in order among themselves. The order of `request_delivered`
+    /// and queue lines is not reliable within [`LOG_DELAY_MS`], so a delivery counts
+    /// only when its line is later than the last queue line by more than that.
     #[must_use]
     pub fn of_queued(flow_lines: &[LogLine]) -> Option<Self> {
-        const QUEUE_EVENTS: [&str; 3] =
-            ["request_queued", "queued_work_released", "request_given_up"];
+        const QUEUE_EVENTS: [&str; 3] = [QUEUED_EVENT, RELEASED_EVENT, GIVEN_UP_EVENT];
         let is_queue_event = |line: &&LogLine| QUEUE_EVENTS.contains(&line.event.as_str());
         let queued = flow_lines
             .iter()
             .rev()
-            .find(|line| line.event == QUEUE_EVENTS[0])?;
+            .find(|line| line.event == QUEUED_EVENT)?;
         let last = flow_lines.iter().rev().find(is_queue_event)?;
         let is_delivered = flow_lines.iter().any(|line| {
             line.event == "request_delivered" && line.at_ms > last.at_ms + LOG_DELAY_MS
         });
-        if is_delivered || last.event == QUEUE_EVENTS[1] {
+        if is_delivered || last.event == RELEASED_EVENT {
             return None;
         }
         let (node, behind) = (queued.node.clone(), describe_work_ahead(queued));
-        Some(if last.event == QUEUE_EVENTS[2] {
+        Some(if last.event == GIVEN_UP_EVENT {
             Self::GivenUp { node, behind }
         } else {
             Self::Waiting { node, behind }
--- a/crates/woodladder/src/fleet_report.rs
+++ b/crates/woodladder/src/fleet_report.rs
@@ -26,7 +26,8 @@
     pub totals: Vec<TrafficTotal>,
     /// Propagation of each change, in the order of [`CHANGE_EVENTS`], then by
     /// subject.
-    pub spreads: Vec<Propagation>,
+    #[serde(rename = "spreads")]
+    pub propagations: Vec<Propagation>,
 }
 
 /// Messages or store calls of one kind, for all nodes of one role.
@@ -40,11 +41,11 @@
     pub kind: String,
     /// Number of nodes that logged this kind.
     pub nodes: usize,
-    /// Messages or calls of all nodes.
+    /// Number of messages or calls of all nodes.
     pub count: u64,
-    /// Bytes of all nodes; zero for store calls.
+    /// Size in bytes of the messages of all nodes; zero for store calls.
     pub bytes: u64,
-    /// Messages or calls of the node with the most.
+    /// Number of messages or calls of the node that has the most.
     pub most: u64,
 }
 
@@ -60,7 +61,8 @@
     /// Median delay after the first node, in milliseconds.
     pub median_ms: i64,
     /// 99th percentile of the delay after the first node, in milliseconds.
-    pub late_ms: i64,
+    #[serde(rename = "late_ms")]
+    pub p99_ms: i64,
     /// Delay of the last node after the first, in milliseconds.
     pub last_ms: i64,
 }
@@ -80,7 +82,7 @@
 pub fn compute_report(lines: &[LogLine]) -> FleetReport {
     FleetReport {
         totals: sum_totals(lines),
-        spreads: CHANGE_EVENTS
+        propagations: CHANGE_EVENTS
             .iter()
             .flat_map(|(event, field)| measure_propagation(lines, event, field))
             .collect(),
@@ -120,9 +122,9 @@
     totals.into_values().collect()
 }
 
-/// Sums the totals of one node, in the order of its log. They restart at zero
-/// with each process, so a lower count marks a restart, and the last value of
-/// each process is added.
+/// The total of one node over all its processes, from the totals in the order of
+/// the node's log. Counters start at zero in each process, so a count below the
+/// previous one marks a restart. The result is the sum of each process's last total.
 fn sum_across_restarts(amounts: &[Amount]) -> Amount {
     let mut sum = Amount::default();
     let mut previous = Amount::default();
@@ -201,7 +203,7 @@
             subject,
             nodes: times.len(),
             median_ms: after_first(50),
-            late_ms: after_first(99),
+            p99_ms: after_first(99),
             last_ms: after_first(100),
         }
     };
--- a/crates/woodladder/src/log.rs
+++ b/crates/woodladder/src/log.rs
@@ -6,8 +6,8 @@
 use slog::{Drain, Level, Logger, o};
 use slog_async::OverflowStrategy;
 
-/// Records that may wait for the asynchronous drain. Records beyond these are
-/// dropped, and their number is logged.
+/// Maximum number of records that wait for the asynchronous drain. Further records
+/// are dropped, and the number of dropped records is logged.
 const QUEUE_LENGTH: usize = 4096;
 
 /// Minimum severity of the records that are written.
--- a/crates/woodladder/src/process/exit.rs
+++ b/crates/woodladder/src/process/exit.rs
@@ -12,8 +12,8 @@
     Refused = 1,
     /// The command line is invalid.
     Usage = 2,
-    /// The key-value service cannot be reached or does not answer; nothing
-    /// was changed.
+    /// The key-value service cannot be reached or does not answer in time;
+    /// nothing was changed.
     StoreUnreachable = 3,
     /// Another operator's roll took effect first.
     LostRace = 4,
@@ -28,7 +28,7 @@
   0   success
   1   refused, or a check has findings
   2   invalid command line
-  3   the key-value service cannot be reached; nothing was changed
+  3   the key-value service cannot be reached or does not answer in time; nothing was changed
   4   another operator's roll took effect first
   5   the outcome is unknown, or the command timed out
   70  internal error of the program or the machine";
--- a/crates/woodladder/src/process/stop.rs
+++ b/crates/woodladder/src/process/stop.rs
@@ -3,8 +3,8 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// Tells the parts of the process that a planned stop has been requested. Each
-/// part holds a clone.
+/// Signal that a planned stop has been requested. Each part of the process that
+/// reacts to a stop holds a clone.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
     is_requested: watch::Receiver<bool>,
@@ -31,8 +31,9 @@
         )
     }
 
-    /// A stop signal that SIGTERM, SIGINT and SIGHUP set. SIGHUP is included
-    /// because volo-http's server stops on any of the three.
+    /// A stop signal that SIGTERM, SIGINT and SIGHUP set. SIGHUP is included because
+    /// volo-http's server stops on any of the three, and the process must not go on
+    /// without its HTTP server.
     ///
     /// # Errors
     /// The operating system's error when the handlers cannot be installed.
@@ -48,6 +49,7 @@
                 _ = hang_up.recv() => {}
             }
             switch.stop();
+            // Keeps `switch` and the signal receivers until the process ends.
             std::future::pending::<()>().await;
         });
         Ok(signal)
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -16,8 +16,9 @@
 use crate::agent::{self, CertificateError, Limits};
 
 const DEFAULT_WORKER_THREADS: usize = 2;
-/// The time for which a removed target can still be resolved. A stream may last a
-/// week, and a planned stop must not cut it.
+/// Default of `drain_timeout`. It equals the default time for which a removed target
+/// stays in snapshots, because a stream may last a week and a planned stop must not
+/// close a stream that is still open.
 const DEFAULT_DRAIN_TIMEOUT: Duration = DEFAULT_LINGER;
 
 const RULE_DRAIN_GRACE: &str = "a leaving target accepts requests for at most 4 seconds";
@@ -37,12 +38,12 @@
     pub service: ServiceId,
     /// Address of the back end, which speaks HTTP/1.1.
     pub back_end: SocketAddr,
-    /// Path of the back end's health endpoint; absent when the agent is not to
-    /// poll one.
+    /// Path of the back end's health endpoint; absent when the agent does
+    /// not poll one.
     pub health_path: Option<String>,
     /// Addresses of the network fabric that datagrams to callers are sent to.
     pub fabric_egress: Vec<SocketAddr>,
-    /// Source of the certificate that callers are shown.
+    /// Source of the certificate that the agent presents to callers.
     pub certificate: CertificateSource,
     /// Limits on requests, connections and times.
     pub limits: Limits,
@@ -52,7 +53,7 @@
     pub drain_timeout: Duration,
 }
 
-/// Where the certificate that callers are shown comes from.
+/// Source of the certificate that the agent presents to callers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CertificateSource {
     /// PEM files.
--- a/crates/woodladder/src/settings/balancer.rs
+++ b/crates/woodladder/src/settings/balancer.rs
@@ -31,7 +31,7 @@
     /// Size in bytes that is requested for the receive buffer and for the send
     /// buffer of each data socket.
     pub socket_buffer: usize,
-    /// Number of candidate targets for each new flow.
+    /// Number of candidate targets to which a new flow is offered, one after another.
     pub hops: usize,
     /// Shortest time for which forwarding continues after a stop is requested.
     pub stop_grace: Duration,
--- a/crates/woodladder/src/settings/flags.rs
+++ b/crates/woodladder/src/settings/flags.rs
@@ -108,7 +108,7 @@
     #[arg(long, value_name = "BYTES")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub socket_buffer: Option<String>,
-    /// Number of candidate targets for each new flow
+    /// Number of candidate targets to which a new flow is offered, one after another
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hops: Option<String>,
@@ -165,7 +165,7 @@
     #[arg(long = "server-name", value_name = "NAME")]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub server_names: Vec<String>,
-    /// Number of requests that the back end runs at the same time
+    /// Number of slots: requests that the back end runs at the same time
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slots: Option<String>,
@@ -173,7 +173,7 @@
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub queue: Option<String>,
-    /// Maximum number of callers' connections, and of connections to the back end
+    /// Maximum number of callers' connections, and separately of connections to the back end
     #[arg(long, value_name = "COUNT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections: Option<String>,
@@ -197,7 +197,7 @@
     #[arg(long, value_name = "DURATION")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub minimum_retry_after: Option<String>,
-    /// Whether slots come into use one after another after the start
+    /// Whether the number of usable slots grows step by step after the agent starts or the back end accepts connections again
     #[arg(long, value_name = "BOOL")]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slow_start: Option<String>,
--- a/crates/woodladder/src/settings/reader.rs
+++ b/crates/woodladder/src/settings/reader.rs
@@ -12,7 +12,7 @@
 const RULE_SCALAR: &str = "the value must be a string, a number or true or false";
 const RULE_LIST: &str = "the value must be a list, or a string of entries separated by commas";
 
-/// Settings whose values findings never show.
+/// Keys of secret settings. Findings do not show their values.
 const SECRET_KEYS: [&str; 3] = ["cluster_key", "token_key_current", "token_key_previous"];
 
 /// Reads settings one by one and keeps track of the keys that were read, so that
@@ -97,7 +97,7 @@
         list
     }
 
-    /// Adds a finding about a key, also one that depends on several settings.
+    /// Adds a finding about a key. The problem may also depend on other settings.
     pub fn add_finding(&mut self, key: &str, problem: String, rule: &'static str) {
         self.findings.push(Finding {
             place: self.layers.locate(key),
--- a/crates/woodladder/src/store/consul.rs
+++ b/crates/woodladder/src/store/consul.rs
@@ -127,8 +127,8 @@
         Err(last_error)
     }
 
-    /// The next request tries this address first when it responded, and the one
-    /// after it when it did not.
+    /// Makes the next request start with the address at `index`, or with the
+    /// following address when this one gave no complete response.
     fn update_preferred(&self, index: usize, result: &Result<Response, ServiceError>) {
         let next = match result {
             Err(ServiceError::NoResponse(_)) => index + 1,
@@ -160,7 +160,9 @@
     format!("/v1/kv/{}", key.path())
 }
 
-/// What a failed request says about its effect.
+/// The answer for a failed request, by whether the request may have had an effect.
+/// A request that the service rejected had none, so its answer is
+/// [`StoreAnswer::Unreachable`], too.
 fn answer_for_error(error: &ServiceError) -> StoreAnswer {
     match error {
         ServiceError::Unreachable(_) => StoreAnswer::Unreachable,
--- a/crates/woodladder/src/store/http.rs
+++ b/crates/woodladder/src/store/http.rs
@@ -87,10 +87,10 @@
     })
 }
 
-/// Tells a connection that could not be made from one that broke.
+/// Distinguishes a failed connect from a connection that broke.
 ///
-/// The kind of the client's error does not distinguish them. Its direct source is
-/// the system's I/O error only when no connection could be made.
+/// The kind of the client's error can be the same for both. The direct source of
+/// the error is the system's I/O error only when no connection could be made.
 fn classify_error(error: &ClientError) -> ServiceError {
     let is_not_connected = error
         .source()
--- a/crates/woodladder/src/store/machine_list.rs
+++ b/crates/woodladder/src/store/machine_list.rs
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Reads the list. Malformed entries are left out, so that one of them does
-    /// not hide the others.
+    /// Reads the list. Malformed entries are left out, so that the valid
+    /// entries stay usable.
     ///
     /// # Errors
     /// [`ServiceError`] when there is no response or it is malformed.
--- a/crates/woodladder/src/store/mod.rs
+++ b/crates/woodladder/src/store/mod.rs
@@ -25,7 +25,8 @@
 /// Why a service of the platform gave no usable response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ServiceError {
-    /// No connection could be made; the request never reached the service.
+    /// No request was sent: no connection could be made, or the HTTP client could
+    /// not be built.
     Unreachable(String),
     /// The service limits the rate of requests; the request had no effect.
     RateLimited {
--- a/crates/woodladder/tests/fleet_report.rs
+++ b/crates/woodladder/tests/fleet_report.rs
@@ -74,8 +74,8 @@
         subject: "7".to_owned(),
         nodes: 3,
         median_ms: 40,
-        late_ms: 40,
+        p99_ms: 40,
         last_ms: 250,
     };
-    assert_eq!(compute_report(&lines).spreads, vec![expected]);
+    assert_eq!(compute_report(&lines).propagations, vec![expected]);
 }
