--- a/crates/woodladder-core/src/control/availability/own.rs
+++ b/crates/woodladder-core/src/control/availability/own.rs
@@ -19,12 +19,13 @@
 /// agent's own report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnReportOutcome {
-    /// The received report says the same as the agent's own report.
+    /// The received report has the same run, version and availability as the
+    /// agent's own report.
     Repeated,
     /// The received report is older than the agent's own report.
     Outdated,
-    /// The received report was wrong, and the agent has raised its version
-    /// above it.
+    /// The received report was wrong; the agent has raised the version of its
+    /// own report above that of the received one.
     Refuted,
     /// Another process, started later, serves the target now.
     Superseded,
--- a/crates/woodladder-core/src/control/availability/pending_probes.rs
+++ b/crates/woodladder-core/src/control/availability/pending_probes.rs
@@ -20,7 +20,7 @@
 /// Time to wait for the answer to each repeated probe.
 const REPEATED_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// If the timers are checked later than this after a deadline, the probing of
-/// the agent starts again.
+/// the agent goes back to its first stage.
 const MAXIMUM_TIMER_DELAY: Duration = Duration::from_millis(250);
 
 /// Stage of the probing of one agent.
--- a/crates/woodladder-core/src/control/availability/report.rs
+++ b/crates/woodladder-core/src/control/availability/report.rs
@@ -85,8 +85,8 @@
         self.rank() > other.rank()
     }
 
-    /// Whether this report and `other`, a report about the same target, say the
-    /// same.
+    /// Whether this report and `other`, a report about the same target, have the
+    /// same run, version and availability. Control addresses are not compared.
     #[must_use]
     pub fn is_same_as(&self, other: &Self) -> bool {
         self.rank() == other.rank()
--- a/crates/woodladder-core/src/control/availability/report_queue.rs
+++ b/crates/woodladder-core/src/control/availability/report_queue.rs
@@ -20,7 +20,7 @@
 
 impl ReportQueue {
     /// Queues the report about a target to be sent `sends` times, first at
-    /// `due`.
+    /// `due`. Does nothing if the queue is full and does not hold the target.
     pub fn add(&mut self, target: TargetId, sends: u8, due: Instant) {
         if self.due.len() >= MAXIMUM_QUEUED_REPORTS && !self.due.contains(target) {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Delays a report that could not be sent.
+    /// Makes a report that could not be sent due again at `until`.
     pub fn postpone(&mut self, target: TargetId, until: Instant) {
         self.due.set(target, until);
     }
--- a/crates/woodladder-core/src/control/availability/table.rs
+++ b/crates/woodladder-core/src/control/availability/table.rs
@@ -14,16 +14,17 @@
 /// Result of merging a report into the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MergeOutcome {
-    /// The report is new.
+    /// The report was stored: the table held no report about the target, or an
+    /// older one.
     New {
         /// Whether the set of unavailable targets changed.
         unavailable_changed: bool,
     },
-    /// The table holds the same report already.
+    /// The same report is already in the table.
     Repeated,
-    /// The table holds this newer report.
+    /// The report is older than the one in the table, which is returned.
     Outdated(AvailabilityReport),
-    /// The table is full.
+    /// The table is full and holds no report about the target.
     Full,
 }
 
--- a/crates/woodladder-core/src/control/control_message.rs
+++ b/crates/woodladder-core/src/control/control_message.rs
@@ -56,7 +56,7 @@
     Digest(DigestMessage),
     /// Offers a roll that the receiver may adopt.
     Offer(Box<Offer>),
-    /// Requests an offer of the roll in force at the receiver.
+    /// Requests an offer of a roll with a greater sequence than the sender's.
     RecordRequest(RecordRequest),
     /// Requests chunks of a copy.
     CopyRequest(CopyRequest),
@@ -70,10 +70,10 @@
     StatusReply(StatusReply),
     /// Availability reports about targets that the sender knows.
     AvailabilityReports(AvailabilityReports),
-    /// Asks the receiver to probe a node that does not answer the sender.
+    /// Requests a probe of a node that does not answer the sender.
     ProbeRequest(ProbeRequest),
-    /// Tells the receiver that the node it asked to have probed has answered
-    /// the sender.
+    /// Confirms that the node which the receiver asked the sender to probe has
+    /// answered.
     ProbeConfirmed(ProbeConfirmed),
 }
 
@@ -151,7 +151,9 @@
     },
 }
 
-/// Requests an offer of the roll in force at the receiver.
+/// Requests an offer of the roll that the receiver has in force or is fetching,
+/// if its sequence is greater than the sender's. The digest lets the receiver
+/// choose a delta.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RecordRequest {
     /// Sequence in force at the sender; zero when none is.
@@ -203,14 +205,15 @@
     pub reports: Vec<AvailabilityReport>,
 }
 
-/// Asks a node to probe another node.
+/// Requests that the receiver probe another node.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ProbeRequest {
     /// Control address of the node to probe.
     pub control_address: SocketAddr,
 }
 
-/// Confirms that a node answered, to the node that asked for the probe.
+/// Confirms that the node which the receiver asked the sender to probe has
+/// answered.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ProbeConfirmed {
     /// Control address of the node that answered.
--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -17,7 +17,7 @@
 use crate::clock::Instant;
 use crate::identifier::NodeId;
 
-/// Default for the largest number of nodes in a member table.
+/// Default capacity of a member table, in nodes.
 pub const DEFAULT_CAPACITY: usize = 8192;
 /// A node that was heard from within this time counts as heard from recently
 /// and may be named to other nodes.
@@ -25,7 +25,8 @@
 /// Number of unanswered messages after which a node counts as silent.
 pub const UNANSWERED_BEFORE_SILENT: u8 = 3;
 
-/// Members drawn at random for one pick, and for one sample.
+/// Largest number of random draws from the table for one pick, and for one
+/// sample.
 const RANDOM_PICK_ATTEMPTS: usize = 12;
 /// Silent nodes are only removed while the table holds more members than this,
 /// so that a node that was cut off from all others can find them again.
@@ -178,7 +179,9 @@
 }
 
 impl Membership {
-    /// An empty table for the node with control address `own_address`.
+    /// Creates an empty table for the node with control address `own_address`.
+    /// Only the region of `locality` is kept. The table holds at most `capacity`
+    /// nodes.
     #[must_use]
     pub fn new(own_address: SocketAddr, locality: Locality, capacity: usize) -> Self {
         Self {
@@ -233,7 +236,9 @@
         self.remove_silent();
     }
 
-    /// Records that a message which expects an answer is sent to a node.
+    /// Counts a message to a node as unanswered until the node is heard from.
+    /// Removes the node if it is now silent and may be removed, and if the table
+    /// holds more than `MINIMUM_RETAINED_MEMBERS` nodes.
     pub fn record_request_sent(&mut self, control_address: SocketAddr) {
         let Some(&position) = self.positions.get(&control_address) else {
             return;
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -235,7 +235,8 @@
             .push(ReplicaAction::ReplaceDirectory(Arc::new(routing_table)));
     }
 
-    /// Merges a received report; returns the newer one if this node has one.
+    /// Merges a received report; returns this node's report about the target if
+    /// that report is newer.
     fn merge_report(
         &mut self,
         report: AvailabilityReport,
--- a/crates/woodladder-core/src/control/replica/catch_up.rs
+++ b/crates/woodladder-core/src/control/replica/catch_up.rs
@@ -1,4 +1,5 @@
-//! From a received record to the snapshot that the record states.
+//! Handles received records: adopts their rolls, or fetches the snapshots that
+//! they state.
 
 use std::net::SocketAddr;
 
@@ -136,11 +137,11 @@
             }
             self.greatest_known_sequence = self.greatest_known_sequence.max(record.sequence());
         }
-        if self.try_unchanged_snapshot(&record, now) {
+        if self.try_adopt_unchanged_snapshot(&record, now) {
             return;
         }
         if let OfferedDelta::Inline(delta) = &delta
-            && self.try_delta(&record, delta, now)
+            && self.try_adopt_delta(&record, delta, now)
         {
             return;
         }
@@ -152,7 +153,7 @@
             _ => self.schedule_store_read(now),
         }
         if is_new {
-            self.offer_fetched_roll();
+            self.offer_roll_being_fetched();
         }
     }
 
@@ -198,8 +199,10 @@
         true
     }
 
-    /// Adopts a record whose snapshot is the one in force already.
-    fn try_unchanged_snapshot(&mut self, record: &RollRecord, now: Instant) -> bool {
+    /// Adopts a record whose snapshot is already in force, by an empty delta.
+    /// Returns true when the record was adopted or is finally rejected, so that
+    /// its snapshot need not be fetched.
+    fn try_adopt_unchanged_snapshot(&mut self, record: &RollRecord, now: Instant) -> bool {
         let Some(installed) = &self.installed else {
             return false;
         };
@@ -208,7 +211,7 @@
         }
         let delta = SnapshotDelta::between(&installed.snapshot, &installed.snapshot);
         let record = record.clone();
-        self.try_delta(&record, &delta, now)
+        self.try_adopt_delta(&record, &delta, now)
     }
 
     /// Resumes the fetch of the deferred record, once a roll with a smaller
@@ -228,7 +231,15 @@
         }
     }
 
-    fn try_delta(&mut self, record: &RollRecord, delta: &SnapshotDelta, now: Instant) -> bool {
+    /// Adopts a record by a delta from the snapshot in force. Returns true when
+    /// the record was adopted or is finally rejected, so that its snapshot need
+    /// not be fetched.
+    fn try_adopt_delta(
+        &mut self,
+        record: &RollRecord,
+        delta: &SnapshotDelta,
+        now: Instant,
+    ) -> bool {
         let Some(installed) = self.installed.clone() else {
             return false;
         };
@@ -256,7 +267,7 @@
         fetch.discard_copy();
         match SnapshotDelta::try_from_slice(bytes) {
             Ok(delta) => {
-                self.try_delta(&record, &delta, now);
+                self.try_adopt_delta(&record, &delta, now);
             }
             Err(_) => self.count_rejection(Rejection::Malformed),
         }
--- a/crates/woodladder-core/src/control/replica/copy_server.rs
+++ b/crates/woodladder-core/src/control/replica/copy_server.rs
@@ -15,6 +15,7 @@
 use crate::control::replica::token_bucket::TokenBucket;
 
 const MAXIMUM_CACHED_COPIES: usize = 4;
+/// A cached copy is dropped when it has not been requested for this time.
 const CACHE_IDLE_TIME: Duration = Duration::from_secs(30);
 
 /// Limits the rate of the copies that are sent, and caches the encoded copies
@@ -33,7 +34,8 @@
 }
 
 impl CopyServer {
-    /// A server that sends at most this mean rate.
+    /// Creates a server that sends copies at a mean rate of at most
+    /// `bytes_per_second`.
     #[must_use]
     pub fn new(bytes_per_second: u32, now: Instant) -> Self {
         Self {
@@ -75,9 +77,9 @@
             .retain(|copy| now.since(copy.last_used) < CACHE_IDLE_TIME);
     }
 
-    /// Sends some of the wanted chunks. They are chosen at random, so that
-    /// nodes which ask at the same time get different chunks and can pass them
-    /// on to each other.
+    /// Sends some of the wanted chunks. The chunks are chosen at random, so that
+    /// nodes which request the copy at the same time receive different chunks
+    /// and can send them to each other.
     fn send<'a>(
         &mut self,
         request: &CopyRequest,
--- a/crates/woodladder-core/src/control/replica/delta_history.rs
+++ b/crates/woodladder-core/src/control/replica/delta_history.rs
@@ -1,5 +1,5 @@
-//! The last few deltas. A node that is a few rolls behind gets them merged into
-//! one delta instead of a full copy of the snapshot.
+//! History of the latest deltas. A node that is a few rolls behind receives
+//! these deltas merged into one instead of a full copy of the snapshot.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,8 +7,10 @@
 use crate::configuration::snapshot_delta::SnapshotDelta;
 use crate::digest::Digest;
 
+/// Largest number of deltas in the history.
 const MAXIMUM_DELTAS: usize = 8;
-/// A longer delta is not kept, because a full copy serves as well.
+/// Longest encoding of a delta in the history, in bytes. A longer delta is not
+/// kept, because a full copy serves as well.
 const MAXIMUM_DELTA_LENGTH: usize = 48 * 1024;
 
 /// Consecutive deltas that lead to the snapshot in force.
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -23,7 +23,7 @@
 const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(400);
 /// A fetch that has received no new chunk for this long counts as stuck.
 const PROGRESS_TIME_LIMIT: Duration = Duration::from_secs(2);
-/// Pause after the first refusal; it doubles with each further one.
+/// Pause after the first refusal; each further refusal doubles the pause.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(25);
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Longest pause after refusals while the fetch is stuck.
@@ -96,8 +96,9 @@
         &self.record
     }
 
-    /// Whether the sources do not deliver: there is none, they have failed too
-    /// often, or no chunk has arrived for [`PROGRESS_TIME_LIMIT`].
+    /// Whether the sources do not deliver: there is no source, more than
+    /// [`FAILURES_BEFORE_STUCK`] requests in a row were not answered, or no new
+    /// chunk has arrived for [`PROGRESS_TIME_LIMIT`].
     pub(super) fn is_stuck(&self, now: Instant) -> bool {
         let has_no_progress = now.since(self.last_progress) >= PROGRESS_TIME_LIMIT;
         self.sources.is_empty() || self.failures > FAILURES_BEFORE_STUCK || has_no_progress
--- a/crates/woodladder-core/src/control/replica/gossip.rs
+++ b/crates/woodladder-core/src/control/replica/gossip.rs
@@ -17,7 +17,7 @@
 use crate::identifier::Sequence;
 
 /// Number of nodes that a node contacts at once when it starts, resumes after a
-/// pause, begins a planned stop or learns of a greater sequence.
+/// pause, begins a planned stop or receives a greater sequence.
 const URGENT_FANOUT: usize = 5;
 /// Mean time between the rounds of a node that is not ready yet.
 const JOINING_INTERVAL: Duration = Duration::from_millis(300);
@@ -65,7 +65,7 @@
     }
 
     /// Whether a record may be requested: only if the last request for it, or
-    /// for a greater sequence, is at least [`REQUEST_INTERVAL`] ago. Notes the
+    /// for a greater sequence, is at least [`REQUEST_INTERVAL`] ago. Records the
     /// request if it may be sent.
     fn may_request(&mut self, sequence: Sequence, now: Instant) -> bool {
         let is_recent = self.requested.is_some_and(|(requested, at)| {
@@ -138,7 +138,7 @@
     ) {
         if request.sequence < self.sequence() {
             self.offer_to(from, request.snapshot_digest, now);
-        } else if let Some(offer) = self.fetched_offer()
+        } else if let Some(offer) = self.offer_of_record_being_fetched()
             && offer.record.sequence() > request.sequence
         {
             self.send(from, ControlMessage::Offer(Box::new(offer)));
@@ -177,8 +177,8 @@
 
     /// Offers the record that is being fetched to a few nodes, so that they
     /// fetch its snapshot at the same time and exchange chunks.
-    pub(super) fn offer_fetched_roll(&mut self) {
-        let Some(offer) = self.fetched_offer() else {
+    pub(super) fn offer_roll_being_fetched(&mut self) {
+        let Some(offer) = self.offer_of_record_being_fetched() else {
             return;
         };
         let fanout = self.settings.tuning.offer_fanout;
@@ -190,7 +190,7 @@
         }
     }
 
-    fn fetched_offer(&self) -> Option<Offer> {
+    fn offer_of_record_being_fetched(&self) -> Option<Offer> {
         let fetch = self.fetch.as_ref()?;
         Some(Offer {
             record: fetch.record().clone(),
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Handles the information that a node has a greater sequence in force.
+    /// Handles a digest message whose sender has a greater sequence in force.
     fn handle_greater_sequence(&mut self, from: SocketAddr, sequence: Sequence, now: Instant) {
         self.greatest_known_sequence = self.greatest_known_sequence.max(sequence);
         if let Some(fetch) = &mut self.fetch
--- a/crates/woodladder-core/src/control/replica/install.rs
+++ b/crates/woodladder-core/src/control/replica/install.rs
@@ -11,6 +11,7 @@
 use crate::control::replica::{InstalledRoll, Replica, ReplicaAction};
 use crate::digest::Digest;
 
+/// Largest number of unacceptable records that a replica remembers.
 const MAXIMUM_UNACCEPTABLE_RECORDS: usize = 16;
 
 /// Whether a snapshot was built from a delta or received as a full copy.
--- a/crates/woodladder-core/src/control/replica/joining.rs
+++ b/crates/woodladder-core/src/control/replica/joining.rs
@@ -87,8 +87,9 @@
         self.deadline(fetching).filter(|_| !self.ready)
     }
 
-    /// Time limit, which is twice as long while a roll with a greater sequence
-    /// is being fetched.
+    /// When the node becomes ready even without enough answers: `timeout` after
+    /// its first roll was put in force, or twice `timeout` while a roll with a
+    /// greater sequence is being fetched.
     fn deadline(&self, fetching: bool) -> Option<Instant> {
         let factor = if fetching { 2 } else { 1 };
         self.first_install
--- a/crates/woodladder-core/src/control/replica/machine.rs
+++ b/crates/woodladder-core/src/control/replica/machine.rs
@@ -158,16 +158,16 @@
         installed.map_or(Sequence::default(), |installed| installed.sequence())
     }
 
-    /// Whether the node has a roll in force and has heard from enough nodes to
-    /// serve.
+    /// Whether the node has a roll in force and is ready to serve, because it
+    /// has enough answers or the time limit for joining has passed.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.joining.is_ready()
     }
 
     /// Whether the process was paused and the roll in force has not been
-    /// confirmed since. Also true between the end of a pause and the first call
-    /// after it.
+    /// confirmed since. Also true between the end of a pause and the first event
+    /// handled after it.
     #[must_use]
     pub fn is_suspect(&self, now: Instant) -> bool {
         self.pause_detector.is_suspect(now)
--- a/crates/woodladder-core/src/control/replica/pause_detector.rs
+++ b/crates/woodladder-core/src/control/replica/pause_detector.rs
@@ -45,8 +45,9 @@
         paused
     }
 
-    /// Makes the node suspect. Only answers to probes and requests from these
-    /// numbers on count as confirmation.
+    /// Makes the node suspect. Only answers to probes from `first_probe` on, and
+    /// to requests to the key-value service from `first_request` on, confirm the
+    /// roll in force.
     pub(super) fn become_suspect(
         &mut self,
         first_probe: ProbeNumber,
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Probes a node on behalf of another.
+    /// Probes a node on behalf of the node that sent the request.
     pub(super) fn handle_probe_request(
         &mut self,
         from: SocketAddr,
@@ -112,8 +112,9 @@
         self.probe_now(request.control_address, now);
     }
 
-    /// Records that a node answered the probe that another node sent on this
-    /// node's behalf.
+    /// Handles the confirmation that an agent answered a probe which another
+    /// node sent on this node's behalf: stops tracking this node's probe of the
+    /// agent.
     pub(super) fn handle_probe_confirmed(&mut self, confirmed: ProbeConfirmed, now: Instant) {
         let pending_probes = &mut self.availability.probing.pending_probes;
         pending_probes.record_alive(confirmed.control_address);
--- a/crates/woodladder-core/src/control/replica/settings.rs
+++ b/crates/woodladder-core/src/control/replica/settings.rs
@@ -8,9 +8,9 @@
 use crate::identifier::NodeId;
 use crate::signature::TrustedKeys;
 
-/// A replica that was not called for longer than this was paused. It does not
-/// rely on the roll in force until another node or the key-value service has
-/// confirmed it.
+/// A replica that handled no event for longer than this was paused. The replica
+/// is then suspect until another node or the key-value service has confirmed
+/// the roll in force, or until [`ReplicaTuning::suspect_timeout`] has passed.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// Identity and configuration of a replica.
@@ -44,11 +44,12 @@
     /// Number of nodes to which a newly adopted roll, or one that is being
     /// fetched, is offered at once.
     pub offer_fanout: usize,
-    /// Mean rate of copies that the node fetches; it also limits the copies
-    /// and, separately, the offers that the node sends.
+    /// Mean rate in bytes per second of the copies that the node fetches. The
+    /// same rate also limits the copies and, separately, the offers that the
+    /// node sends.
     pub copy_bytes_per_second: u32,
-    /// Mean rate of messages about the availability of targets that the node
-    /// sends.
+    /// Mean rate in bytes per second of the messages about the availability of
+    /// targets that the node sends.
     pub report_bytes_per_second: u32,
     /// Reads of the key-value service per second by all nodes together.
     pub store_reads_per_second: u32,
--- a/crates/woodladder-core/src/control/replica/snapshot_read.rs
+++ b/crates/woodladder-core/src/control/replica/snapshot_read.rs
@@ -9,10 +9,11 @@
 use crate::control::replica::store_reader::jittered;
 use crate::control::store_operation::StoreRequestId;
 
+/// Time to wait for the answer to a read.
 const READ_TIME_LIMIT: Duration = Duration::from_secs(10);
 /// Mean time that a node waits for other nodes to deliver a snapshot, before it
 /// reads the snapshot from the key-value service. Applies when the node read
-/// the record there.
+/// the record there or resumes a deferred fetch.
 const MEAN_READ_DELAY: Duration = Duration::from_millis(200);
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 const LONGEST_BACKOFF: Duration = Duration::from_secs(30);
@@ -44,9 +45,10 @@
         }
     }
 
-    /// Schedules a read soon. The node read the record from the key-value
-    /// service, so the shared rate of those reads already limits how many nodes
-    /// know the record from there.
+    /// Schedules a read after a short delay, for a record that the node read
+    /// from the key-value service or whose deferred fetch is resumed. All nodes
+    /// share one rate of reads of the current entry, which already limits how
+    /// many nodes read the record there.
     pub(super) fn schedule_soon(&mut self, now: Instant, random: &mut impl Rng) {
         if matches!(self.stage, Stage::NotNeeded) {
             self.stage = Stage::DueAt(now + jittered(MEAN_READ_DELAY, random));
--- a/crates/woodladder-core/src/control/replica/store_reader.rs
+++ b/crates/woodladder-core/src/control/replica/store_reader.rs
@@ -1,7 +1,7 @@
 //! Decides when a node reads the current entry of the key-value service.
 //!
 //! All nodes together stay within a shared rate. In a large deployment each
-//! node therefore reads rarely and learns of rolls from other nodes. Watches,
+//! node therefore reads rarely and receives rolls from other nodes. Watches,
 //! which are reads that wait for a change, only shorten the delay in small
 //! deployments; correctness does not depend on them.
 
@@ -15,9 +15,13 @@
     StoreAnswer, StoreIndex, StoreKey, StoreOperation, StoreRequestId,
 };
 
+/// Shortest mean time between two reads, or two watches, by one node.
 const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time to the next read.
 const SHORTEST_READ_DELAY: Duration = Duration::from_millis(200);
+/// Time to wait for the answer to a read.
 const READ_TIME_LIMIT: Duration = Duration::from_secs(5);
+/// Time to wait for the answer to a watch.
 const WATCH_TIME_LIMIT: Duration = Duration::from_secs(90);
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
--- a/crates/woodladder-core/src/control/roll_command/outcome.rs
+++ b/crates/woodladder-core/src/control/roll_command/outcome.rs
@@ -30,7 +30,7 @@
     pub later: usize,
     /// Nodes that answered at least one status request.
     pub answered: usize,
-    /// Nodes that the command knows.
+    /// Nodes whose status the command requests.
     pub known: usize,
 }
 
--- a/crates/woodladder-core/src/control/roll_command/rollout.rs
+++ b/crates/woodladder-core/src/control/roll_command/rollout.rs
@@ -18,19 +18,19 @@
 use crate::control::roll_command::plan::PlannedRoll;
 use crate::digest::Digest;
 
-/// Number of nodes that are offered the roll at the start; they spread it to
-/// the others.
+/// Number of nodes that are offered the roll at the start; these nodes spread
+/// the roll to the others.
 const INITIAL_OFFER_FANOUT: usize = 32;
 /// Time between two batches of status requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Largest number of status requests in one batch.
 const POLL_BATCH: usize = 1000;
-/// Time for nodes to learn of the roll from each other. After it, the command
-/// offers the roll to each node whose status reply shows that it is behind.
+/// Time for nodes to receive the roll from each other. After this time, the
+/// command offers the roll to each node whose status reply shows an older roll.
 const DIRECT_OFFER_DELAY: Duration = Duration::from_secs(1);
 /// Least time between two status requests to the same node.
 const NODE_POLL_INTERVAL: Duration = Duration::from_millis(700);
-/// Mean rate of copies that the command sends.
+/// Mean rate in bytes per second of the copies that the command sends.
 const COPY_BYTES_PER_SECOND: u32 = 1024 * 1024;
 
 /// A node whose status is polled.
--- a/crates/woodladder-core/src/control/roll_command/stages.rs
+++ b/crates/woodladder-core/src/control/roll_command/stages.rs
@@ -40,7 +40,7 @@
             | (_, StoreAnswer::Unreachable | StoreAnswer::Unknown) => {
                 self.handle_failure(answer, now);
             }
-            (Stage::ReadCurrent, _) => self.handle_current(answer, now),
+            (Stage::ReadCurrent, _) => self.handle_current_entry(answer, now),
             (Stage::ReadSnapshot(digest), _) => self.handle_snapshot(digest, answer, now),
             (Stage::WriteSnapshot { .. }, StoreAnswer::Written) => {
                 self.enter_stage(Stage::Swap, now)
@@ -85,7 +85,7 @@
         self.retry_at = now;
     }
 
-    fn handle_current(&mut self, answer: &StoreAnswer, now: Instant) {
+    fn handle_current_entry(&mut self, answer: &StoreAnswer, now: Instant) {
         let StoreAnswer::Value { index, value } = answer else {
             self.expected_index = StoreIndex::default();
             self.plan(None, now);
@@ -188,7 +188,8 @@
 
     /// Fails because another operator's roll is in force. Exactly one roll
     /// takes effect under each sequence, so this command's roll can have been
-    /// in force before only if the sequence in force is greater than its own.
+    /// in force before only if the sequence now in force is greater than the
+    /// sequence of this command's roll.
     fn fail_for_lost_race(&mut self, record: &RollRecord) {
         let planned = self.planned.as_ref();
         let own = planned.map(|planned| planned.record().sequence());
--- a/crates/woodladder-core/src/control/store_operation.rs
+++ b/crates/woodladder-core/src/control/store_operation.rs
@@ -74,7 +74,7 @@
     Conflict,
     /// The service refused the request for now; nothing was written.
     RateLimited {
-        /// How long the service asks the client to wait, if it says so.
+        /// Time to wait before the next request, if the service states one.
         retry_after: Option<Duration>,
     },
     /// The request never reached the service; nothing was written.
