--- a/crates/woodladder-core/src/flow/balancer/decision.rs
+++ b/crates/woodladder-core/src/flow/balancer/decision.rs
@@ -1,5 +1,4 @@
-//! Options of a balancer, the actions that it asks its shell to carry out, and its
-//! counters.
+//! Options of a balancer, the actions that its shell carries out, and its counters.
 
 use std::time::Duration;
 
@@ -11,9 +10,9 @@
 /// Settings of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerOptions {
-    /// Address at which other nodes reach it.
+    /// Address at which other nodes reach the balancer.
     pub address: NodeAddress,
-    /// Zone that its machine is in.
+    /// Zone of the balancer's machine.
     pub zone: ZoneKey,
     /// CPU that the balancer may use, in thousandths of a core.
     pub cpu_millicores: u32,
@@ -105,8 +104,8 @@
     pub relayed_packets_received: u64,
     /// Probes sent to agents to learn whether they are alive.
     pub agent_probes: u64,
-    /// Packets sent to agents that could not tell without one whether their target
-    /// holds the flow.
+    /// Packets sent to agents that need a packet to decide whether their target holds
+    /// the flow.
     pub search_packets: u64,
     /// Openings that were deferred because enough flows already shared the link.
     pub openings_deferred_for_link: u64,
--- a/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
@@ -9,12 +9,12 @@
 use crate::flow::flow_record::{RecordNeed, RecordRestorer, RecordSession, RestoreTotals};
 use crate::flow::identity::{NodeAddress, address_hash};
 
-/// Figures of the flow records, for metrics.
+/// Counters of the flow records, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FlowRecordCounters {
     /// Number of records written.
     pub writes: u64,
-    /// Flows in the last record written.
+    /// Number of flows in the last record written.
     pub last_record_flows: u64,
     /// Size of the last record written, in bytes.
     pub last_record_bytes: u64,
@@ -28,7 +28,7 @@
     session: RecordSession,
     restorer: RecordRestorer,
     counters: FlowRecordCounters,
-    /// The need that was last written to the log.
+    /// Need for the flow record that was last written to the log.
     logged_need: RecordNeed,
     queried_this_tick: usize,
 }
@@ -50,13 +50,13 @@
 }
 
 impl Balancer {
-    /// Figures of the flow records.
+    /// Counters of the flow records.
     #[must_use]
-    pub fn record_counters(&self) -> FlowRecordCounters {
+    pub fn flow_record_counters(&self) -> FlowRecordCounters {
         self.flow_records.counters
     }
 
-    /// What became of the flows that were recorded before the balancer's start.
+    /// Totals of the flows that were recorded before the balancer's start, by outcome.
     #[must_use]
     pub fn restore_totals(&self) -> RestoreTotals {
         self.flow_records.restorer.totals()
--- a/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
@@ -13,9 +13,9 @@
 use crate::flow::store_session::{NextCall, StoreCall, StoreReply};
 
 /// Number of heartbeats that a target must send after a flow was opened before the flow
-/// is recorded. The first one may have been sent by an incarnation that had already
-/// ended when the flow was opened. A target sends the second only when the first has
-/// been answered or given up.
+/// is recorded. The first heartbeat can arrive late: an incarnation that had already
+/// ended when the flow was opened may have sent it. A target sends its second heartbeat
+/// only when the first has been answered or given up.
 const CONFIRMING_HEARTBEATS: u64 = 2;
 /// Age, by wall-clock time, from which on a record is ignored because its flows have
 /// ended: longer than a restart takes, and not longer than a flow lasts.
@@ -30,7 +30,7 @@
         match self.flow_records.session.next(need, now) {
             RecordStep::At(at) => NextCall::At(at),
             RecordStep::Read => NextCall::Now(StoreCall::ReadFlowRecord),
-            RecordStep::Collect => self.write_record(time_of_day, now),
+            RecordStep::Collect => self.next_write_call(time_of_day, now),
         }
     }
 
@@ -87,7 +87,11 @@
         }
     }
 
-    fn write_record(&mut self, time_of_day: u64, now: Instant) -> NextCall {
+    /// The call that writes the record. If the session needs no write now,
+    /// `NextCall::At(now)`: the session has then set the time of its next step, or
+    /// ended, and the next call of [`Self::next_record_call`] returns the time to wait
+    /// for.
+    fn next_write_call(&mut self, time_of_day: u64, now: Instant) -> NextCall {
         let record = self.flow_record(time_of_day);
         let fingerprint = record.fingerprint();
         let session = &mut self.flow_records.session;
@@ -100,9 +104,8 @@
         NextCall::Now(StoreCall::WriteFlowRecord { revision, bytes })
     }
 
-    /// The flows that this balancer knows to be held: first those whose requests must
-    /// not be sent again, then the others. Within each group, recently used flows come
-    /// first.
+    /// The flows with a confirmed holder: first those whose requests must not be sent
+    /// again, then the others. Within each group, recently used flows come first.
     #[must_use]
     pub fn flow_record(&self, time_of_day: u64) -> FlowRecord {
         let mut first = Vec::new();
--- a/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
@@ -46,8 +46,8 @@
     }
 
     /// Probes the agents that the record names. After a restart of the whole
-    /// deployment, agents know only the balancers of their settings, which may be the
-    /// last to start.
+    /// deployment, agents report only to the balancers of their settings, which may be
+    /// the last to start.
     fn probe_recorded_agents(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         for to in self.flow_records.restorer.agents_to_probe(now) {
             self.counters.agent_probes += 1;
@@ -125,7 +125,7 @@
     }
 
     /// Handles an agent's denial of a flow. If the flow record names this agent as the
-    /// holder, the flow no longer exists: it is reset and the result is `true`.
+    /// holder, the flow no longer exists: the flow is reset and the result is `true`.
     pub(crate) fn reset_if_recorded_here(
         &mut self,
         from: NodeAddress,
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Resets the recorded flows of a target that has ended. Returns how many.
+    /// Resets the recorded flows of a target that has ended, and returns their number.
     pub(crate) fn reset_recorded_flows_of(
         &mut self,
         agent: NodeAddress,
@@ -204,9 +204,9 @@
         }
     }
 
-    /// Handles an agent's answer that only its target can tell whether it holds
-    /// recorded flows. Their packets go to that target, which returns them if it does
-    /// not hold the flow.
+    /// Handles an agent's answer that only a packet can show whether its target holds
+    /// the given recorded flows. Packets of these flows are sent to that target, which
+    /// returns them if it does not hold the flow.
     pub(crate) fn handle_recorded_flows_undecided(
         &mut self,
         agent: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
@@ -25,7 +25,7 @@
         let Some(entry) = self.flows.touch(&packet.key) else {
             return self.route_unknown_flow(packet, bytes, now);
         };
-        let is_repeated = entry.is_repeated(packet);
+        let is_repeated = entry.advance_caller_next(packet);
         entry.acknowledged = packet.acknowledgement;
         entry.is_finished |= packet.kind == PacketKind::Finish;
         entry.apply_caller_choice(packet.acknowledgement, now);
@@ -35,8 +35,8 @@
                 let agent = *agent;
                 self.counters.established_packets += 1;
                 if is_repeated {
-                    // The caller repeats its data: the target may be slow, or its
-                    // machine may be gone.
+                    // The caller has repeated its data: the target may be slow, or the
+                    // target's machine may be gone.
                     self.directory.start_probing(agent, now);
                 }
                 Routing::One {
@@ -61,9 +61,11 @@
         }
     }
 
-    /// Resets the flows of a target that has ended. `ended` is its incarnation and the
-    /// time when that was last heard, or `None` if the agent itself is lost. Returns
-    /// the number of flows.
+    /// Resets the flows of a target that has ended, and returns the number of flows.
+    /// `ended` is the incarnation that has ended and the time when the incarnation was
+    /// last heard: only flows that this balancer had recorded as held by the
+    /// incarnation at that time are reset. `None` means that the agent itself is gone:
+    /// all its flows are reset.
     pub(crate) fn reset_flows_of(
         &mut self,
         agent: NodeAddress,
@@ -81,8 +83,8 @@
                     known_since,
                     ..
                 } => {
-                    let has_ended = ended.is_none_or(|(ended, last_heard)| {
-                        *incarnation == Some(ended) && *known_since <= last_heard
+                    let has_ended = ended.is_none_or(|(ended_incarnation, last_heard_at)| {
+                        *incarnation == Some(ended_incarnation) && *known_since <= last_heard_at
                     });
                     *holder == agent && has_ended
                 }
@@ -100,9 +102,9 @@
 }
 
 impl crate::flow::balancer::FlowEntry {
-    /// Whether the caller has sent the data of this packet before, because nobody
-    /// acknowledged it. New data advances `caller_next`.
-    fn is_repeated(&mut self, packet: &FlowPacket) -> bool {
+    /// Advances `caller_next` past the data of a packet. Returns whether the packet has
+    /// data and the caller has sent all of this data before.
+    fn advance_caller_next(&mut self, packet: &FlowPacket) -> bool {
         let end = packet.sequence.wrapping_add(packet.payload_length.into());
         let ahead = end.wrapping_sub(self.caller_next);
         let is_new = ahead != 0 && ahead < u32::MAX / 2;
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -50,9 +50,9 @@
             .is_some_and(LinkBudget::can_release_waiting)
     }
 
-    /// Decides whether a packet has to wait for the link; `None` if it may be routed
-    /// now.
-    pub(crate) fn defer_for_link(
+    /// Defers or refuses an opening while the link is full; `None` if the packet may be
+    /// routed now.
+    pub(crate) fn admit_to_link(
         &mut self,
         packet: &FlowPacket,
         bytes: &[u8],
@@ -76,8 +76,8 @@
                 }
                 Some(Routing::Drop(DropReason::LinkShared))
             }
-            // A late copy of an opening whose flow is open: refusing it would end the
-            // flow.
+            // This is a late copy of an opening whose flow is open. Refusing the copy
+            // would end the flow.
             BulkDecision::Refuse if is_open(&self.flows, &packet.key) => {
                 Some(Routing::Drop(DropReason::LinkShared))
             }
@@ -133,8 +133,8 @@
     }
 }
 
-/// Whether a flow is open or being opened, as far as this balancer knows. A new flow
-/// may have the key of one that has finished.
+/// Whether a flow is open or being opened according to the flow table. A new flow may
+/// have the key of one that has finished.
 fn is_open(flows: &FlowTable<FlowEntry>, key: &FlowKey) -> bool {
     flows.peek(key).is_some_and(|entry| !entry.is_finished)
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -15,7 +15,7 @@
 /// Maximum number of targets that one opening is offered to before it waits here.
 const MAXIMUM_TRIES: usize = 4;
 /// Number of agents that may return one opening because their targets hold more flows
-/// than this balancer believed.
+/// than this balancer's records show.
 const MAXIMUM_RETURNS_BY_LOAD: usize = 1;
 
 impl Balancer {
@@ -222,8 +222,8 @@
         }
     }
 
-    /// Handles an opening that an agent returned: it is offered to the next target at
-    /// once.
+    /// Handles an opening that an agent returned: the opening is offered to the next
+    /// target at once.
     pub(crate) fn handle_returned_opening(
         &mut self,
         from: NodeAddress,
@@ -265,7 +265,8 @@
 
     /// Handles an opening that was returned because its agent has a newer
     /// configuration. If that version has arrived here meanwhile, the flow is opened
-    /// under it; otherwise the version is being fetched and the opening is dropped.
+    /// under that version; otherwise the version is being fetched and the opening is
+    /// dropped.
     fn reopen_under_new_version(
         &mut self,
         packet: &FlowPacket,
@@ -296,8 +297,8 @@
         Routing::Reset(self.issue_reset(packet.key, 0, ResetReason::NoTarget, 0))
     }
 
-    /// Whether a live target of a service has a free slot, as far as this balancer
-    /// knows.
+    /// Whether a live target of a service has a free slot according to this balancer's
+    /// records.
     fn has_free_target(&self, service: ServiceKey) -> bool {
         let now = self.last_tick_at.unwrap_or(self.started_at);
         let agents = self.directory.agents_of(service).iter();
--- a/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
@@ -2,19 +2,19 @@
 //!
 //! Routers give every ready balancer of a zone the same share of packets, so a machine
 //! with a fraction of the others' CPU or link capacity gets as many packets as they do.
-//! It cannot afford to track targets and flows and to run searches. Instead it relays
-//! each packet to a larger balancer, which decides as if the packet had arrived there.
-//! The receiver is chosen by rendezvous hashing of the flow key, so all small balancers
-//! relay one flow to the same balancer. A relaying balancer holds no flows, and so
-//! never resets one.
+//! Such a machine lacks the capacity to track targets and flows and to run searches.
+//! Instead its balancer relays each packet to a larger balancer, which decides as if
+//! the packet had arrived there. The receiver is chosen by rendezvous hashing of the
+//! flow key, so all small balancers relay one flow to the same balancer. A relaying
+//! balancer holds no flows, and so never resets one.
 
 use crate::clock::Instant;
 use crate::flow::balancer::{Balancer, BalancerAction, Routing};
 use crate::flow::identity::{FlowKey, NodeAddress};
 use crate::flow::packet::FlowPacket;
 
-/// Factor by which another balancer's usable CPU must exceed this balancer's for
-/// packets to be relayed to it.
+/// Minimum ratio of another balancer's usable CPU to this balancer's usable CPU for
+/// packets to be relayed to the other balancer.
 pub(crate) const RELAY_SIZE_RATIO: u32 = 4;
 
 impl Balancer {
@@ -34,8 +34,9 @@
         };
     }
 
-    /// Whether a balancer with the given usable CPU, in thousandths of a core, relays
-    /// its packets to one of this balancer's size.
+    /// Whether this balancer has at least [`RELAY_SIZE_RATIO`] times the given usable
+    /// CPU, in thousandths of a core. A balancer with the given CPU then relays its
+    /// packets.
     pub(crate) fn is_much_larger_than(&self, usable_cpu_millicores: u32) -> bool {
         usable_cpu_millicores <= self.options.usable_cpu_millicores() / RELAY_SIZE_RATIO
     }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
@@ -18,9 +18,9 @@
     Several(Vec<(NodeAddress, ForwardHeader)>),
     /// To a larger balancer, which decides.
     Relay(NodeAddress),
-    /// To nobody; the caller is sent a reset.
+    /// To no node; the caller is sent a reset.
     Reset(CallerReset),
-    /// To nobody; the caller gets no answer.
+    /// To no node; the caller gets no answer.
     Drop(DropReason),
 }
 
@@ -35,7 +35,7 @@
     NoTargetYet,
     /// The holder of the flow is not known yet.
     HolderUnknown,
-    /// The limit of new searches between two ticks is reached.
+    /// The limit of new searches between two full rounds of queries is reached.
     TooManySearches,
     /// Enough flows share the link; the opening waits for one of them to end.
     LinkShared,
--- a/crates/woodladder-core/src/flow/balancer/membership/agent_discovery.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/agent_discovery.rs
@@ -1,11 +1,12 @@
-//! Tracks whether the balancer knows every agent. Only then can the denials of all
-//! agents prove that no target holds a flow.
+//! Tracks whether the balancer has a record of every agent. Only then can the denials
+//! of all agents prove that no target holds a flow.
 //!
-//! The balancer knows all agents once it has listened long enough, has a report of each
-//! agent that another node has named, and either has a snapshot from a balancer that
-//! knew all agents or has found no new agent for a while. Agents report immediately to
-//! a balancer that is new to them, so these times do not grow with the fleet. An agent
-//! that starts later does not invalidate the result: it is queried like the others.
+//! The list of agents counts as complete once the balancer has listened long enough,
+//! has a report of each agent that another node has named, and either has a snapshot
+//! from a balancer whose list was complete or has found no new agent for a while.
+//! Agents report immediately to a balancer that is new to them, so these times do not
+//! grow with the fleet. An agent that starts later does not invalidate the result: the
+//! new agent is queried like the others.
 
 use std::time::Duration;
 
@@ -19,11 +20,11 @@
 /// Minimum time of listening without such a snapshot. After a restart of the whole
 /// deployment, machines come back within some tenths of a second of each other.
 const MINIMUM_LISTENING_ALONE: Duration = Duration::from_millis(600);
-/// Time after its start in which the balancer requests snapshots until it finds a
-/// balancer that knows all agents.
+/// Time after its start in which the balancer requests snapshots, until it finds a
+/// balancer with a complete list of agents.
 const COMPLETE_SNAPSHOT_REQUESTS_FOR: Duration = Duration::from_secs(2);
-/// Time without a new agent after which the balancer counts as knowing all of them,
-/// when it has no snapshot with all agents.
+/// Time without a new agent after which the list of agents counts as complete, if the
+/// balancer has no snapshot with all agents.
 const SETTLED_AFTER: Duration = Duration::from_millis(150);
 /// Time in which an agent that other nodes have named must report. It is sent a hello
 /// repeatedly meanwhile, so an agent that stays silent for this long is gone or cut
@@ -32,9 +33,11 @@
 /// Time between two hellos to a named agent that has not reported.
 const NAMED_HELLO_INTERVAL: Duration = Duration::from_millis(200);
 /// CPU, in thousandths of a core, that the balancer must have for each hello sent to an
-/// agent between two ticks. A hello is answered, and both together take some 30
-/// microseconds of CPU. Three quarters of the balancer's CPU remain for callers'
-/// packets.
+/// agent between two ticks. A hello and its answer together take some 30 microseconds
+/// of CPU. The limit applies separately to hellos to named agents and to hellos to
+/// agents that have reported. With ticks 25 ms apart, hellos of one kind up to the
+/// limit take 15 % of the balancer's CPU; with ticks 4 ms apart, they take 94 %. The
+/// rest remains for callers' packets.
 const MILLICORES_PER_HELLO: u32 = 8;
 /// Minimum number of agents that may be sent a hello between two ticks.
 const MINIMUM_HELLOS_PER_TICK: u32 = 4;
@@ -44,15 +47,15 @@
 /// An agent that another node has named and that has not reported here yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NamedAgent {
-    /// When it was first sent a hello; `None` if none was sent yet.
+    /// When the agent was first sent a hello; `None` if none was sent yet.
     first_hello_sent_at: Option<Instant>,
     hello_sent_at: Instant,
-    /// When its next hello is due, within the time that the last one stated.
+    /// When the agent's next hello is due, within the time stated in the last hello.
     pub(crate) next_hello_at: Option<Instant>,
 }
 
 impl Balancer {
-    /// Whether the balancer knows every agent.
+    /// Whether the balancer has a record of every agent.
     pub(crate) fn knows_all_agents(&self, now: Instant) -> bool {
         let listened = now.since(self.listening_since);
         let has_listened = if self.has_complete_snapshot {
@@ -64,8 +67,8 @@
         has_listened && self.named_agents.is_empty() && !self.directory.is_empty()
     }
 
-    /// Requests a snapshot from one balancer after the other until one of them knows
-    /// all agents.
+    /// Requests a snapshot from one balancer after the other until one of them has a
+    /// complete list of agents.
     pub(crate) fn request_complete_snapshot(
         &mut self,
         now: Instant,
@@ -87,7 +90,7 @@
 
     /// Requests a snapshot from a balancer that was just found, because the two may
     /// have been separated by a network failure. Shortly after a start many balancers
-    /// are found at once: only the first is asked here, and
+    /// are found at once: only the first is sent a request here, and
     /// [`Self::request_complete_snapshot`] continues with the others one by one.
     pub(crate) fn request_snapshot_of_found_balancer(
         &mut self,
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Probes the agents that have left something unanswered.
+    /// Probes the agents that have not answered a packet or message.
     pub(crate) fn send_due_probes(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         for to in self.directory.take_due_probes(now) {
             self.counters.agent_probes += 1;
@@ -190,7 +193,7 @@
     }
 
     /// Handles the first report after a long silence of all agents: the balancer was
-    /// cut off, so it requests a snapshot to learn which agents there are now.
+    /// cut off, and requests a snapshot with the agents that there are now.
     pub(crate) fn detect_return_of_contact(
         &mut self,
         from: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
@@ -5,8 +5,8 @@
 //! hear of it, and send its version to their zone immediately. The other balancers, and
 //! the agents, wait a short time for a node of their own zone to have it. With 986
 //! nodes, a configuration of 256 routes amounts to some 20 MB in total. Four fifths of
-//! that crossed between zones when each node fetched it from the first node it heard
-//! of.
+//! that would cross between zones if each node fetched the configuration from the first
+//! node known to have it.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// cut off, and another may just have ended.
 const FIRST_FETCHERS_PER_ZONE: usize = 3;
 /// Time that a node which hears of a new configuration from another zone waits for a
-/// node of its own zone to have it. A change has seconds to take effect.
+/// node of its own zone to have the configuration. A change has seconds to take effect.
 pub const OTHER_ZONE_FETCH_DELAY: Duration = Duration::from_millis(400);
 
 impl Balancer {
@@ -53,8 +53,8 @@
     }
 
     /// Sends a hello with the version of an adopted configuration to the nodes of the
-    /// own zone. The first balancers of the zone send it to the other balancers; each
-    /// agent gets it from the one balancer that its address is assigned to.
+    /// own zone. The first balancers of the zone send the hello to the other balancers;
+    /// each agent gets it from the one balancer that its address is assigned to.
     pub(crate) fn inform_zone(&self, now: Instant, actions: &mut Vec<BalancerAction>) {
         let version = self.routes.version();
         if self.is_first_of_zone(now) {
--- a/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/exclusion.rs
@@ -12,7 +12,7 @@
         self.adopt_excluded_zones(zones, None);
     }
 
-    /// The excluded zones that the balancer knows of.
+    /// The excluded zones in force at this balancer.
     #[must_use]
     pub fn excluded_zones(&self) -> &ExcludedZones {
         &self.excluded_zones
@@ -27,9 +27,9 @@
         if !self.excluded_zones.adopt(zones) {
             return;
         }
-        // The next tick sends a hello to the next few balancers. A change from the
-        // store is sent to every node at once, because only a few balancers watch the
-        // store.
+        // This makes a round of hellos to some of the other balancers due at the next
+        // tick. If the change came from the store, that tick also sends a hello to
+        // every node, because only a few balancers watch the store.
         self.peer_hellos_sent_at = Instant::ORIGIN;
         self.must_send_excluded_zones |= from.is_none();
         self.log_events.add(LogEvent::ZonesExcluded {
--- a/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
@@ -3,9 +3,9 @@
 //! The total rate of hellos to each kind of receiver is limited, so the time between
 //! two hellos to one receiver follows from the number of receivers. Each hello states
 //! when the next one will follow ([`crate::flow::message_timing`]). With 304 balancers
-//! and 682 agents, a balancer with an eighth of a core sends some 80 hellos a second. A
-//! hello to each agent every ten seconds and to each zone member every half second took
-//! some 220 a second.
+//! and 682 agents, a balancer with an eighth of a core sends some 80 hellos a second.
+//! With a hello to each agent every ten seconds and to each zone member every half
+//! second, it would send some 220 hellos a second.
 
 use std::time::Duration;
 
@@ -13,13 +13,17 @@
 use crate::flow::identity::{NodeAddress, address_hash};
 use crate::flow::message_timing::round_time;
 
-/// Minimum time between reports, over all agents, to a small balancer. It limits the
-/// cost of reports to about a hundredth of an eighth of a core.
+/// Minimum time between reports, over all agents, to a balancer with less than
+/// [`LARGE_BALANCER_MILLICORES`] of CPU. This time limits the cost of reports to about
+/// 1.25 thousandths of a core: a hundredth of the CPU of a balancer with an eighth of a
+/// core.
 const REPORT_SPACING: Duration = Duration::from_millis(12);
-/// The same for a balancer with at least [`LARGE_BALANCER_MILLICORES`] CPU.
+/// Minimum time between reports, over all agents, to a balancer with at least
+/// [`LARGE_BALANCER_MILLICORES`] of CPU.
 const LARGE_REPORT_SPACING: Duration = Duration::from_millis(6);
-/// The same for a balancer that relays its packets to others. It only needs to know
-/// that there are agents, and which, in case it has to decide itself.
+/// Minimum time between reports, over all agents, to a balancer that relays its packets
+/// to others. Such a balancer needs only a list of the agents, in case it has to route
+/// packets itself.
 const RELAYING_REPORT_SPACING: Duration = Duration::from_millis(24);
 /// CPU from which on a balancer can afford more frequent reports, in thousandths of a
 /// core.
@@ -35,23 +39,25 @@
 /// Minimum number of balancers of the own zone that are sent a hello in a round.
 const MINIMUM_MEMBERS_PER_ROUND: usize = 6;
 /// Maximum number of balancers of the own zone that are sent a hello in a round, which
-/// makes 40 a second. Half of a zone of 63 would make 126 a second.
+/// makes 40 hellos a second. Sending one to half of a zone of 63 balancers in each
+/// round would make 126 hellos a second.
 const MAXIMUM_MEMBERS_PER_ROUND: usize = 10;
 /// Number of rounds after which each balancer of the own zone has been sent a hello, in
 /// a zone of up to twice [`MAXIMUM_MEMBERS_PER_ROUND`].
 const MEMBER_ROUNDS: usize = 2;
-/// Minimum time between two hellos to a balancer that relays its packets to this one:
-/// it must notice the end of this one quickly.
+/// Minimum time between two hellos to a balancer that relays its packets to this one.
+/// The relaying balancer must notice the end of this one quickly.
 const MINIMUM_RELAYING_HELLO_INTERVAL: Duration = Duration::from_millis(150);
-/// Minimum time between hellos over all such balancers. It limits their cost to about a
-/// hundredth of half a core.
+/// Minimum time between hellos, over all balancers that relay their packets to this
+/// one. This time limits the cost of these hellos to about 5 thousandths of a core: a
+/// hundredth of the CPU of a balancer with half a core.
 const RELAYING_HELLO_SPACING: Duration = Duration::from_micros(2500);
 
 impl Balancer {
-    /// Interval of reports that this balancer asks each agent for. Agents that were
-    /// only named by other nodes count too. Otherwise the balancer, when it starts,
-    /// would ask each agent for frequent reports until it knows all of them: half a
-    /// million in a fleet of 986.
+    /// Interval of reports that this balancer requests from each agent. Agents that
+    /// were only named by other nodes count too. Otherwise a starting balancer would
+    /// request frequent reports from each agent until all agents have reported, which
+    /// would cause half a million reports in a fleet of 986 nodes.
     pub(crate) fn report_interval(&self) -> Duration {
         let agents = self.directory.len() + self.named_agents.len();
         let agents = u32::try_from(agents).unwrap_or(u32::MAX);
@@ -76,8 +82,9 @@
     }
 
     /// Time until an agent is sent the next hello: between half and the whole of the
-    /// period stated to it, by a hash of its address, so that agents that are sent one
-    /// together at a start are spread out later.
+    /// period stated to the agent, by a hash of its address. Agents that are sent a
+    /// hello at the same time after a start are therefore sent later ones at different
+    /// times.
     pub(crate) fn next_hello_delay(&self, agent: NodeAddress) -> Duration {
         let part = u32::try_from(address_hash(agent) % 1000).unwrap_or(0);
         let period = self.agent_hello_period();
--- a/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
@@ -13,8 +13,8 @@
 use crate::flow::message_timing::milliseconds;
 use crate::flow::zone_members::ZoneMember;
 
-/// An agent that reports more than this many times as often as asked is sent a hello at
-/// once.
+/// An agent that reports more than this many times as often as requested is sent a
+/// hello at once.
 const EXCESSIVE_REPORT_FACTOR: u32 = 2;
 
 impl Balancer {
@@ -45,7 +45,8 @@
             self.request_snapshot_of_found_balancer(from, now, actions);
         }
         if hello.version == 0 && self.routes.version() > 0 {
-            // The sender has just started and needs what this balancer knows.
+            // The sender has just started and needs the version and the addresses that
+            // this balancer has.
             self.send_hello(from, now, actions);
         }
         if !hello.has_agent_contact {
@@ -117,9 +118,10 @@
         usize::try_from(self.peer_hello_round).unwrap_or(0)
     }
 
-    /// Sends a hello to an agent at once if it reports much more often than this
-    /// balancer needs. The need has changed since the last hello, and the next one may
-    /// be a minute away. The rate of these hellos is limited by that of the reports.
+    /// Sends a hello to an agent at once if the agent reports much more often than this
+    /// balancer needs. The interval requested in the last hello is outdated then, and
+    /// the next regular hello may be a minute away. Each of these hellos answers a
+    /// report, so the rate of the reports limits their rate.
     pub(crate) fn correct_report_interval(
         &mut self,
         agent: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -5,17 +5,20 @@
 use crate::clock::Instant;
 use crate::flow::balancer::Balancer;
 
-/// Silence of all agents after which the balancer counts as cut off, if the other
-/// balancers are silent too or hear agents themselves. The reports of all agents
-/// together arrive at least every 24 ms. Routers take another second to react, and
+/// Silence of all agents after which the balancer counts as cut off, unless another
+/// balancer has recently reported that it hears no agent either. Balancers request
+/// reports so that one arrives at least every 24 ms from five agents or more together,
+/// and every 100 ms from a single agent. Routers take another second to react, and
 /// everything sent to the balancer until then is lost.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-/// Silence of all agents after which the balancer counts as cut off even if another
-/// balancer hears no agent either: both may be cut off together.
+/// Longer limit for the silence of all agents that applies while another balancer also
+/// hears no agent, because the agents themselves may then be gone. After this time the
+/// balancer counts as cut off all the same: both balancers may be cut off together.
 const CUT_OFF_WITH_OTHERS_AFTER: Duration = Duration::from_millis(900);
-/// Time after the last message of an agent in which the balancer's hellos say that it
-/// hears agents. Others learn of its silence soon after they count as cut off
-/// themselves, and long before a router has missed them twice.
+/// Time after the last message of an agent in which the balancer's hellos state that
+/// the balancer hears agents. When all agents fall silent, the other balancers receive
+/// a hello that states the opposite soon after they count as cut off themselves, and
+/// long before a second check of a router has failed at them.
 const HEARS_AGENTS_WITHIN: Duration = Duration::from_millis(100);
 /// Time in which another balancer's statement that it hears no agent stays valid.
 const SHARED_SILENCE_VALID_FOR: Duration = Duration::from_millis(600);
@@ -29,7 +32,7 @@
     NoConfiguration,
     /// No agent has been heard yet.
     NoAgent,
-    /// Agents are known, and none has been heard for a while.
+    /// Agents were heard before, and none has been heard for a while.
     CutOff,
     /// The zone carries more load if only its larger balancers are ready, because
     /// routers give each ready balancer an equal share.
@@ -54,7 +57,7 @@
     /// Checks whether the balancer is ready.
     ///
     /// # Errors
-    /// [`NotReadyReason`] when it is not.
+    /// [`NotReadyReason`] when the balancer is not ready.
     pub fn check_ready(&self, now: Instant) -> Result<(), NotReadyReason> {
         self.check_can_serve(now)?;
         let usable_cpu_millicores = self.options.usable_cpu_millicores();
@@ -89,8 +92,8 @@
         Ok(())
     }
 
-    /// Whether another balancer has recently said that it hears no agent either: the
-    /// targets may be gone for all balancers.
+    /// Whether another balancer has recently stated in a hello that it hears no agent.
+    /// The targets may then be gone for all balancers.
     fn is_silence_shared(&self, now: Instant) -> bool {
         self.peer_without_agents_at
             .is_some_and(|heard_at| now.since(heard_at) < SHARED_SILENCE_VALID_FOR)
--- a/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots of a node's knowledge: requested from other nodes, applied here, and sent
-//! to others.
+//! Snapshots of a node's configuration and known nodes: requested from other nodes,
+//! applied here, and sent to others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     }
 
     /// Requests a snapshot from a node unless another request is pending. Returns
-    /// whether it did.
+    /// whether the request was made.
     pub(crate) fn request_snapshot(
         &mut self,
         from: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/messages.rs
+++ b/crates/woodladder-core/src/flow/balancer/messages.rs
@@ -16,7 +16,8 @@
 /// Time between ticks while new queries are collected, so that queries about several
 /// flows share a message.
 const QUERY_BATCH_TICK_INTERVAL: Duration = Duration::from_millis(4);
-/// Time between ticks while nothing waits.
+/// Time between ticks while no opening, search or unanswered agent depends on the next
+/// one.
 const LONG_TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of acceptances kept for one opening.
 const MAXIMUM_ACCEPTANCES: usize = 4;
@@ -184,7 +185,7 @@
     }
 
     /// Maximum time from one tick to the next in the present state. Events may shorten
-    /// it.
+    /// this time.
     #[must_use]
     pub fn tick_interval(&self) -> Duration {
         let is_waited_for = !self.waiting_openings.is_empty()
@@ -199,7 +200,8 @@
         }
     }
 
-    /// Does the periodic work. The shell calls it again after [`Self::tick_interval`].
+    /// Does the periodic work. The shell calls `tick` again after
+    /// [`Self::tick_interval`].
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         self.detect_stall(now);
         self.flows.tick(now);
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -46,8 +46,8 @@
 pub use store_duty::{REGISTERED_BALANCERS, STORE_WATCHERS};
 
 /// Largest number of agents at which every agent is queried about an unknown flow. With
-/// more agents, the queries and answers take longer than the packets to the first
-/// targets that they replace.
+/// more agents, the queries and their answers take longer than copying the packet to
+/// the first targets, which the queries replace.
 const MAXIMUM_QUERIED_AGENTS: usize = 160;
 /// Time between two ticks from which on the process counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
@@ -134,19 +134,19 @@
     /// Balancers that the hellos of this round name. Each round names the next few, so
     /// that every node learns of every balancer.
     balancers_in_hellos: Vec<NodeAddress>,
-    /// When the store last confirmed the configuration to this balancer or to one whose
-    /// hello said so.
+    /// When the store last confirmed the configuration, to this balancer or to another
+    /// one whose confirmation was stated in a hello.
     configuration_confirmed_at: Option<Instant>,
     /// A configuration version newer than the one in force here, and when the store
-    /// confirmed it, as another balancer's hello said.
+    /// confirmed that version, as stated in another balancer's hello.
     newer_version_confirmation: Option<(u64, Instant)>,
     /// Whether this balancer watched the store as of its last tick.
     was_watching_store: bool,
     /// Whether the settings name any seed balancers.
     has_seeds: bool,
-    /// Whether this balancer is itself a seed or in the store's list, so that others
+    /// Whether this balancer is a seed or in the store's list, so that other balancers
     /// contact it first.
-    is_seed: bool,
+    is_contacted_first: bool,
     /// Whether the next round sends a hello to every balancer with an older
     /// configuration, because the store has just delivered a new one to this balancer.
     must_inform_outdated_peers: bool,
@@ -165,22 +165,22 @@
     relaying_member_hellos_sent_at: Instant,
     pending_snapshot: Option<(NodeAddress, Instant)>,
     last_agent_heard_at: Option<Instant>,
-    /// When another balancer's hello last said that it hears no agent.
+    /// When a hello last stated that its sender, another balancer, hears no agent.
     peer_without_agents_at: Option<Instant>,
     last_agent_found_at: Instant,
     /// Since when the balancer has received messages without interruption: its start,
     /// or the end of the last stall or loss of contact.
     listening_since: Instant,
-    /// Whether, since then, a balancer that knew all agents has sent a snapshot of
-    /// them.
+    /// Whether a balancer that had a record of every agent has sent a snapshot of them
+    /// since `listening_since`.
     has_complete_snapshot: bool,
-    /// Number of snapshots requested so far in order to learn of all agents.
+    /// Number of snapshots requested so far in order to find all agents.
     snapshots_requested: usize,
-    /// Whether this balancer knew all agents as of its last tick.
+    /// Whether this balancer had a record of every agent as of its last tick.
     knew_all_agents: bool,
     /// Agents that other nodes have named but that have not reported here yet.
     named_agents: BTreeMap<NodeAddress, membership::agent_discovery::NamedAgent>,
-    /// How many of those were sent a hello since the last tick.
+    /// Number of hellos sent to agents in `named_agents` since the last tick.
     named_agent_hellos_this_tick: u32,
     /// Flows with a search under way.
     searched_flows: Vec<FlowKey>,
@@ -191,12 +191,12 @@
     packet_byte_budget: search::work_budget::WorkBudget,
     /// Flows about which all agents are to be queried at the next tick.
     unqueried_flows: Vec<FlowKey>,
-    /// Searches begun since the last full round of queries.
+    /// Number of searches begun since the last full round of queries.
     searches_begun_this_round: u32,
     /// When all searches were last gone through in one round.
     last_full_round_at: Instant,
-    /// Packets sent, since the last full round, to agents that cannot answer a query
-    /// without one.
+    /// Number of packets sent since the last full round to agents that need a packet to
+    /// answer a query.
     search_packets_this_round: u32,
     /// This balancer's records of held flows in the store.
     flow_records: flow_records::FlowRecords,
@@ -233,7 +233,7 @@
             newer_version_confirmation: None,
             was_watching_store: false,
             has_seeds: false,
-            is_seed: false,
+            is_contacted_first: false,
             must_inform_outdated_peers: false,
             must_inform_zone: false,
             newer_version_heard_at: None,
@@ -344,7 +344,7 @@
         now: Instant,
         actions: &mut Vec<BalancerAction>,
     ) {
-        self.is_seed |= balancers.contains(&self.options.address);
+        self.is_contacted_first |= balancers.contains(&self.options.address);
         for balancer in balancers {
             self.add_named_peer(*balancer, now, actions);
         }
@@ -378,8 +378,9 @@
         if let Some(link) = &mut self.link {
             link.retain_routes(|address| routes.route(address).is_some());
         }
-        // The next tick sends a hello to some of the other balancers and, if the
-        // configuration came from the store, to every balancer that has an older one.
+        // This makes a round of hellos due at the next tick. The round covers some of
+        // the other balancers and, if the configuration came from the store, every
+        // balancer that has an older one.
         self.peer_hellos_sent_at = Instant::ORIGIN;
         self.must_inform_outdated_peers |= from.is_none();
         self.must_inform_zone = true;
@@ -455,7 +456,7 @@
         now: Instant,
     ) -> Routing {
         self.counters.caller_packets += 1;
-        match self.defer_for_link(packet, bytes, now) {
+        match self.admit_to_link(packet, bytes, now) {
             Some(routing) => routing,
             None => self.relay_or_route_packet(packet, bytes, now),
         }
--- a/crates/woodladder-core/src/flow/balancer/search/announced_holders.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/announced_holders.rs
@@ -1,8 +1,9 @@
 //! Searches that begin with the agents that announce a flow.
 //!
 //! A packet of an unknown flow is sent to the agents that the index lists, three at
-//! most. If the index lists none, or these deny the flow, the packet is kept while all
-//! agents are queried without it, and then sent to the agent that holds the flow.
+//! most. If the index lists none, or the listed agents deny the flow, the packet is
+//! kept while all agents are queried without a packet. The kept packet is then sent to
+//! the agent that holds the flow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,7 +30,9 @@
 const FINGERPRINT_BYTES: u32 = 4;
 
 impl Search {
-    /// Keeps the latest packet until the holder of the flow is known.
+    /// Keeps the latest packet until the holder of the flow is known. A packet that is
+    /// already kept is not added again, nor is any while [`MAXIMUM_KEPT_PACKETS`] are
+    /// kept.
     pub(crate) fn keep_packet(&mut self) {
         let is_new =
             !self.latest_packet.is_empty() && !self.kept_packets.contains(&self.latest_packet);
@@ -42,7 +45,7 @@
     /// agent that was found to hold the flow.
     pub(crate) fn take_kept_packets_for(&mut self, agent: NodeAddress) -> Vec<Vec<u8>> {
         let already_has_them =
-            self.was_sent_first(agent) || self.packet_sent_at.contains_key(&agent);
+            self.is_first_target(agent) || self.packet_sent_at.contains_key(&agent);
         let kept = std::mem::take(&mut self.kept_packets);
         if already_has_them { Vec::new() } else { kept }
     }
@@ -52,8 +55,9 @@
         !self.latest_packet.is_empty()
     }
 
-    /// Whether the packet was copied to an agent when the search began.
-    pub(crate) fn was_sent_first(&self, agent: NodeAddress) -> bool {
+    /// Whether the agent is one of the first targets, to which the packet was copied
+    /// when the search began.
+    pub(crate) fn is_first_target(&self, agent: NodeAddress) -> bool {
         self.first_targets.contains(&agent)
     }
 }
@@ -77,8 +81,8 @@
             .collect()
     }
 
-    /// Routes a packet of a flow that is searched for: to the announced holders, or
-    /// nowhere until an agent has answered a query.
+    /// Routes a packet of a flow that is searched for to the announced holders. Without
+    /// any, the packet is sent nowhere until an agent has answered a query.
     pub(crate) fn route_to_announced_holders(&mut self, key: FlowKey) -> Routing {
         let Some(search) = self.search_of(&key) else {
             return Routing::Several(Vec::new());
@@ -126,7 +130,7 @@
         }));
     }
 
-    /// Agents that cannot tell without a packet whether their targets hold a flow, with
+    /// Agents that need a packet to decide whether their targets hold a flow, with
     /// their services.
     pub(crate) fn undecided_agents(&self) -> BTreeMap<NodeAddress, ServiceKey> {
         self.directory
@@ -141,10 +145,11 @@
         self.query_budget.has_remaining(now) && self.packet_byte_budget.has_remaining(now)
     }
 
-    /// Sends the packet of a search to those of the agents that cannot tell without
-    /// one, and returns the others. All of them are sent the packet at once: a search
-    /// ends only when every agent has answered, so completing one flow after the other
-    /// is faster than advancing all of them together.
+    /// Sends the packet of a search to those of `agents` that need a packet to decide
+    /// whether their targets hold the flow, and returns the other agents. All agents of
+    /// one flow are sent the packet in the same round, because a search ends only when
+    /// every agent has answered: completing the searches one after the other is faster
+    /// than advancing all searches together.
     pub(crate) fn send_to_undecided(
         &mut self,
         key: FlowKey,
--- a/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
@@ -13,8 +13,8 @@
 };
 use crate::flow::identity::NodeAddress;
 
-/// Maximum number of entries, of some 40 bytes each. Flows beyond it are treated like
-/// those of agents that announce nothing.
+/// Maximum number of entries, of some 40 bytes each. Flows beyond this number are
+/// treated like flows of agents that announce nothing.
 const MAXIMUM_ENTRIES: usize = 400_000;
 /// Maximum number of agents kept for one fingerprint.
 const MAXIMUM_HOLDERS: usize = 3;
--- a/crates/woodladder-core/src/flow/balancer/search/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/mod.rs
@@ -3,8 +3,8 @@
 //! The first packet of the flow is copied to the first targets of its route, at most
 //! [`SEARCH_FANOUT`] of each service, and each further packet to the first targets that
 //! have not denied the flow. The agents of all other targets are queried without a
-//! packet; an agent that cannot tell without a packet is sent one. Where agents
-//! announce which flows they hold, a search begins with the announced holders: see
+//! packet; an agent that needs a packet to decide is sent one. Where agents announce
+//! which flows they hold, a search begins with the announced holders: see
 //! [`announced_holders`]. How a search ends is described in
 //! [`crate::flow::balancer::search::outcome`].
 
@@ -34,12 +34,12 @@
 /// is longer than the pauses between a caller's retransmissions, so that denials still
 /// count when the next one arrives.
 const SEARCH_LIFETIME: Duration = Duration::from_millis(5000);
-/// Time after which an agent that could not tell is sent the packet again.
+/// Time after which an agent that needs a packet to decide is sent the packet again.
 const PACKET_RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// Time that the first targets have to show whether one of them holds the flow before
 /// all others are queried: the pause before a caller's first retransmission. Targets
-/// that do not hold the flow return the packet at once; the one that does only shows it
-/// with its answer.
+/// that do not hold the flow return the packet at once; a target that holds the flow is
+/// recognised only by its answer to the caller.
 const FIRST_TARGETS_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum number of searches begun between two full rounds of queries. Further packets
 /// are dropped, and the callers' retransmissions can begin the search later. This
@@ -56,11 +56,11 @@
     latest_packet: Vec<u8>,
     /// Packets that wait until the holder of the flow is known, oldest first.
     kept_packets: Vec<Vec<u8>>,
-    /// When each agent that could not tell without a packet was last sent one.
+    /// When each agent that needs a packet to decide was last sent one.
     packet_sent_at: BTreeMap<NodeAddress, Instant>,
     /// Agents of the first targets, which the packet was copied to.
     first_targets: Vec<NodeAddress>,
-    /// Time that these have to answer before all agents are queried.
+    /// Time that the first targets have to answer before all agents are queried.
     first_targets_timeout: Duration,
     /// Whether it was already logged that this search takes long.
     is_logged: bool,
@@ -82,7 +82,7 @@
     }
 
     /// Whether one of the first targets may still hold the flow and has not yet had
-    /// time to show it. `may_answer` tells whether an agent may be alive.
+    /// time to answer. `may_answer` returns whether an agent may be alive.
     pub(crate) fn awaits_first_targets(
         &self,
         may_answer: impl Fn(NodeAddress) -> bool,
@@ -93,8 +93,8 @@
             && self.first_targets.iter().any(is_open)
     }
 
-    /// The packet, if it is time to send it to an agent that could not tell without
-    /// one. The packet counts as sent.
+    /// The packet, if it is time to send it to an agent that needs a packet to decide.
+    /// The packet counts as sent.
     pub(crate) fn take_packet_for(&mut self, agent: NodeAddress, now: Instant) -> Option<Vec<u8>> {
         let sent_at = self.packet_sent_at.get(&agent);
         let is_due = sent_at.is_none_or(|at| now.since(*at) >= PACKET_RESEND_INTERVAL);
@@ -151,8 +151,9 @@
         self.begin_search(packet.key)
     }
 
-    /// Begins a search for a flow that was opened through another balancer, while its
-    /// opening waited here or was offered to a target that the caller did not choose.
+    /// Begins a search for a flow that was opened through another balancer. At this
+    /// balancer the flow's opening still waits, or was sent to a target that the caller
+    /// did not choose.
     pub(crate) fn search_flow_opened_elsewhere(
         &mut self,
         packet: &FlowPacket,
@@ -169,8 +170,9 @@
         }
     }
 
-    /// Begins a search if the agent that denies a flow was believed to hold it. Returns
-    /// whether that was so. `bytes` is the packet that the agent returned, or empty.
+    /// Begins a search if the agent that denies a flow is the one that the table lists
+    /// as the holder. Returns whether the table lists that agent. `bytes` is the packet
+    /// that the agent returned, or empty.
     pub(crate) fn search_if_denied_by_holder(
         &mut self,
         from: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/search/outcome.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/outcome.rs
@@ -3,10 +3,11 @@
 //!
 //! Once the first targets have denied the flow, or have had time to answer, every agent
 //! whose target may hold it is queried. Queries are batched and need no further packet
-//! of the caller. An agent that has restarted beside a running target cannot tell. It
-//! is sent the packet, which the target returns if it does not hold the flow. The flow
-//! is reset only when each of these agents has denied it and the balancer knows all
-//! agents ([`crate::flow::balancer::membership::agent_discovery`]).
+//! of the caller. An agent that has restarted beside a running target has no complete
+//! list of the target's flows. Such an agent is sent the packet, which the target
+//! returns if it does not hold the flow. The flow is reset only when each of these
+//! agents has denied the flow and the balancer has a record of every agent
+//! ([`crate::flow::balancer::membership::agent_discovery`]).
 
 use std::time::Duration;
 
@@ -18,7 +19,8 @@
 use crate::flow::packet::{FlowPacket, ResetReason};
 
 /// Maximum number of packets sent, between two full rounds of queries, to agents that
-/// cannot tell without one. The others follow when the agent has been queried again.
+/// need a packet to decide. Further packets follow when the agent has been queried
+/// again.
 const MAXIMUM_PACKETS_PER_ROUND: u32 = 256;
 
 impl Balancer {
@@ -82,10 +84,11 @@
         self.reset_denied_flows(keys, now, actions);
     }
 
-    /// Handles the answer of an agent that cannot tell whether its target holds flows:
-    /// it is sent a packet of each flow, and the target decides. For a flow that cannot
-    /// have been opened with the agent's service, the answer counts as a denial: the
-    /// packet must not reach another service, so nothing more can be learned.
+    /// Handles the answer of an agent that needs packets to decide whether its target
+    /// holds flows: the agent is sent a packet of each flow, and the target decides.
+    /// For a flow that cannot have been opened with the agent's service, the answer
+    /// counts as a denial: the packet must not reach another service, so nothing more
+    /// can be learned.
     pub(crate) fn handle_undecided(
         &mut self,
         from: NodeAddress,
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Sends the packet of a search to an agent that cannot tell without one, if the
-    /// limits allow another.
+    /// Sends the packet of a search to an agent that needs a packet to decide, if the
+    /// limits allow another packet.
     fn send_search_packet_within_limits(
         &mut self,
         agent: NodeAddress,
@@ -207,7 +210,7 @@
             return;
         };
         let waited = now.since(search.started_at);
-        let was_named = search.was_sent_first(agent);
+        let was_named = search.is_first_target(agent);
         if self.locates_flows() {
             let (terms, _) = self.routes.terms(key.service, service);
             let is_awaited = waited < Duration::from_millis(terms.timeout_ms.into());
--- a/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
@@ -8,11 +8,12 @@
 /// CPU time that one query and its answer take, in microseconds: two datagrams.
 const QUERY_CPU_US: f64 = 30.0;
 /// Share of the CPU that queries may take. Queries are numerous only when almost no
-/// flow is known, after the loss of all state; packets of known flows keep the rest.
+/// flow is in the table, after the loss of all state. The rest of the CPU is left for
+/// packets of flows in the table.
 const QUERY_CPU_SHARE: f64 = 0.8;
 /// Share of the link that lists of flows may take.
 const LIST_LINK_SHARE: f64 = 0.05;
-/// Share of the link that packets sent to agents that cannot tell without one may take.
+/// Share of the link that callers' packets sent in searches may take.
 const PACKET_LINK_SHARE: f64 = 0.4;
 /// Rate assumed for a link of unknown rate, in kilobits a second.
 const ASSUMED_LINK_RATE_KBPS: u32 = 10_000;
@@ -20,11 +21,12 @@
 const BYTES_PER_KILOBIT: f64 = 125.0;
 /// Microseconds of CPU time a second in a thousandth of a core.
 const MICROSECONDS_PER_MILLICORE: f64 = 1000.0;
-/// Duration whose work may be done in one burst.
+/// Duration that determines the burst size: a burst may contain the work that the rate
+/// allows in this time.
 const BURST_DURATION: Duration = Duration::from_millis(100);
 
-/// A token bucket for work. A round may overdraw it; the next round then waits until
-/// the balance is positive again.
+/// A token bucket for work. A round may spend more than remains; the next round then
+/// waits until `remaining` is positive again.
 #[derive(Clone, Debug)]
 pub struct WorkBudget {
     rate_per_second: f64,
@@ -36,8 +38,9 @@
     /// A budget of queries for a CPU, given in thousandths of a core.
     #[must_use]
     pub fn for_queries(cpu_millicores: u32, now: Instant) -> Self {
-        let share = f64::from(cpu_millicores) * MICROSECONDS_PER_MILLICORE * QUERY_CPU_SHARE;
-        Self::with_rate(share / QUERY_CPU_US, now)
+        let cpu_us_per_second =
+            f64::from(cpu_millicores) * MICROSECONDS_PER_MILLICORE * QUERY_CPU_SHARE;
+        Self::with_rate(cpu_us_per_second / QUERY_CPU_US, now)
     }
 
     /// A budget of bytes of flow lists for a link, given in kilobits a second.
--- a/crates/woodladder-core/src/flow/balancer/store_duty.rs
+++ b/crates/woodladder-core/src/flow/balancer/store_duty.rs
@@ -10,8 +10,8 @@
 //! one of them gets an answer.
 //!
 //! At start-up, the seed balancers and those in the store's list read the configuration
-//! at once, because all others contact them first. The list itself may be outdated, and
-//! reading it costs little.
+//! at once, because all others contact them first and wait for their hellos. A balancer
+//! that an outdated list names makes an additional call, which costs little.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -35,26 +35,28 @@
 /// other than watchers.
 const TAKE_OVER_AGE: Duration = Duration::from_millis(3000);
 /// Time in which hellos spread an answer of the store to all balancers. The balancers
-/// that do not watch take over in waves this far apart, each wave as large as all
-/// earlier ones together. The last of 304 balancers therefore calls the store 4.2 s
-/// after the first, and the last of 4,000 after 7.2 s, while an answer to any of them
-/// saves at least half of the calls. With one more balancer every 0.1 s, these times
-/// were 30 s and 400 s.
+/// that do not watch take over in waves this far apart, each wave as large as the
+/// watchers and all earlier waves together. The last of 304 balancers therefore calls
+/// the store 4.2 s after the first, and the last of 4,000 after 7.2 s. An answer to a
+/// balancer of one wave makes the calls of all later waves unnecessary. If one more
+/// balancer called the store every 0.1 s, the last one would call it 30 s after the
+/// first among 304 balancers, and 400 s after the first among 4,000.
 const TAKE_OVER_WAVE_INTERVAL: Duration = Duration::from_millis(800);
 /// Maximum duration of one watch while every balancer watches. A watch can hang without
-/// an error; the node then learns of changes from the other balancers, and otherwise
-/// after this time.
+/// an error. The node then receives a change from the other balancers, or from its own
+/// next watch after this time.
 const LONG_WATCH_WAIT: Duration = Duration::from_millis(5000);
 /// Maximum duration of one watch while some balancers do not watch: short enough that
 /// the answers to all watchers together are seldom further apart than [`TAKE_OVER_AGE`].
 const SHORT_WATCH_WAIT: Duration = Duration::from_millis(4000);
-/// Time after its start in which a balancer with seeds waits for their hellos before it
-/// calls the store.
+/// Time after its start in which a balancer with seeds waits for hellos from the seeds
+/// before calling the store.
 const SEED_WAIT: Duration = Duration::from_millis(150);
-/// Additional wait, spread over this time by a hash of the address.
+/// Upper limit of an additional wait before a balancer with seeds calls the store. A
+/// hash of the balancer's address determines the part of this time that it waits.
 const SEED_WAIT_SPREAD: Duration = Duration::from_millis(400);
-/// Time after its start in which a balancer does not register itself, because it may
-/// not have heard yet of the balancers that precede it.
+/// Time after its start in which a balancer does not register itself, because hellos
+/// from the balancers that precede it may not have arrived yet.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(1000);
 
 impl Balancer {
@@ -86,8 +88,8 @@
 
     /// Applies the confirmation that was heard for the version that has just been
     /// adopted. Without this, a balancer that has just started would read the store
-    /// although others had told it everything: 109 of 304 did when the whole fleet
-    /// started.
+    /// although a hello has already confirmed its version. At a start of the whole
+    /// fleet, 109 of 304 balancers did so.
     pub(super) fn apply_confirmation_of_adopted(&mut self) {
         if let Some((version, confirmed_at)) = self.newer_version_confirmation
             && version <= self.routes.version()
@@ -98,8 +100,9 @@
         }
     }
 
-    /// Time since the store confirmed the configuration to this balancer or to one that
-    /// it has heard of; `None` if it never has.
+    /// Time since the last confirmation of the configuration by the store, to this
+    /// balancer or to another one whose confirmation was stated in a hello; `None`
+    /// without any.
     #[must_use]
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.configuration_confirmed_at.map(|at| now.since(at))
@@ -157,9 +160,10 @@
     }
 
     /// Whether the seeds have had enough time to send a hello to this balancer, and
-    /// `delay` more. The seeds themselves wait for nobody.
+    /// `delay` more. A balancer without seeds need not wait, nor does one that is a
+    /// seed or in the store's list.
     fn has_waited_for_seeds(&self, delay: Duration, now: Instant) -> bool {
-        if self.is_seed || !self.has_seeds {
+        if self.is_contacted_first || !self.has_seeds {
             return true;
         }
         let part = address_hash(self.options.address) % 1000;
--- a/crates/woodladder-node/src/balancer/metrics.rs
+++ b/crates/woodladder-node/src/balancer/metrics.rs
@@ -15,7 +15,7 @@
         let now = self.clock.now();
         let core = self.core.borrow();
         let counters = core.counters();
-        let recorded = core.record_counters();
+        let recorded = core.flow_record_counters();
         let restored = core.restore_totals();
         let (answers, refusals, failures) = self.store_stats.totals();
         let mut text = MetricsText::default();
