--- a/crates/woodladder-core/src/flow/activation.rs
+++ b/crates/woodladder-core/src/flow/activation.rs
@@ -8,9 +8,11 @@
 use super::configuration::{Configuration, RouteTerms};
 use super::identity::ServiceKey;
 
-/// Time after which a caller retransmits an unacknowledged packet for the last time
-/// before its attempt is likely to be over, in milliseconds.
-const LAST_EARLY_RETRANSMISSION_MS: u32 = 3000;
+/// Time from the first sending of an unacknowledged packet to the last retransmission
+/// that its caller sends before the attempt is likely to be over, in milliseconds. A
+/// timeout of at most this length leaves a caller at most one retransmission after an
+/// outage.
+const LAST_USEFUL_RETRANSMISSION_MS: u32 = 3000;
 /// Throughput that a balancer reaches with one whole core, in kilobits per second.
 const FORWARDED_KBPS_PER_CORE: u64 = 320_000;
 const MILLICORES_PER_CORE: u64 = 1000;
@@ -72,10 +74,10 @@
     !terms.is_repeatable || times_out_early(terms)
 }
 
-/// Whether a request times out before, or when, its caller sends the last early
+/// Whether a request times out before, or when, its caller sends the last useful
 /// retransmission.
 fn times_out_early(terms: &RouteTerms) -> bool {
-    terms.timeout_ms <= LAST_EARLY_RETRANSMISSION_MS
+    terms.timeout_ms <= LAST_USEFUL_RETRANSMISSION_MS
 }
 
 /// Whether routes of different priority lead to the same service, among the services that
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -1,7 +1,7 @@
 //! Answers to balancers that search for the target that holds a flow.
 
 use super::super::identity::{FlowKey, Incarnation, NodeAddress};
-use super::super::message::{MAXIMUM_KEYS, PeerMessage, TargetState};
+use super::super::message::{MAXIMUM_FLOWS_PER_QUERY, PeerMessage, TargetState};
 use super::super::packet::{FlowPacket, PacketKind};
 use super::{
     Agent, AgentAction, FlowState, ForwardDecision, ListenState, ReplyBody, TargetFlow,
@@ -76,7 +76,7 @@
         let knows_all = accounts_for_recorded || self.knows_all_flows(now);
         let mut denied = Vec::new();
         let mut undecided = Vec::new();
-        for key in keys.iter().take(MAXIMUM_KEYS) {
+        for key in keys.iter().take(MAXIMUM_FLOWS_PER_QUERY) {
             if let Some(message) = self.located_message(key) {
                 actions.push(AgentAction::Send { to: from, message });
             } else if knows_all && self.flows.peek(key).is_none() {
--- a/crates/woodladder-core/src/flow/agent_record.rs
+++ b/crates/woodladder-core/src/flow/agent_record.rs
@@ -46,7 +46,7 @@
     pub state: TargetState,
     /// Requests that the target processes concurrently.
     pub slots: u16,
-    /// Whether the agent has reported that it knows every open flow of its target.
+    /// Whether the agent has reported that its list of the target's open flows is complete.
     pub knows_all_flows: bool,
     /// Last reported load.
     pub load: TargetLoad,
@@ -67,16 +67,16 @@
     /// When the load was reported.
     pub load_at: Instant,
     /// Flows sent to the agent since its load was last reported.
-    pub sent_since: u32,
+    pub flows_sent_since_report: u32,
     /// Consecutive openings that the agent has not answered.
     pub unanswered_openings: u32,
     /// When the target's warm-up after its start ends.
-    pub warm_at: Instant,
+    pub warm_up_ends_at: Instant,
     pub(super) epoch: u64,
     pub(super) sequence: u64,
     pub(super) interval: Duration,
     pub(super) is_marked_lost: bool,
-    /// When the next hello is due, as promised by the last one.
+    /// When the next hello to the agent is due, as stated in the last hello to it.
     pub(super) next_hello_at: Instant,
     /// When the first probe that is still unanswered was sent.
     pub(super) unanswered_since: Option<Instant>,
@@ -95,7 +95,8 @@
             && !ignores_probes
     }
 
-    /// Time since the first unanswered probe of the agent; zero when it owes no answer.
+    /// Time since the first unanswered probe of the agent; zero if no probe is
+    /// unanswered.
     #[must_use]
     pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.unanswered_since
@@ -154,8 +155,9 @@
     /// load was reported.
     #[must_use]
     pub fn estimated_load(&self) -> u16 {
-        let sent_since = u16::try_from(self.sent_since).unwrap_or(u16::MAX);
-        self.load.requests().saturating_add(sent_since)
+        let flows_sent_since_report =
+            u16::try_from(self.flows_sent_since_report).unwrap_or(u16::MAX);
+        self.load.requests().saturating_add(flows_sent_since_report)
     }
 
     /// Openings that a cold target still accepts within this second, as far as is known.
@@ -164,8 +166,9 @@
     pub fn openings_left(&self, now: Instant) -> Option<u16> {
         let is_recent = now.since(self.load_at) < OPENINGS_LEFT_VALID_FOR;
         let stated = self.load.openings_left.filter(|_| is_recent)?;
-        let sent_since = u16::try_from(self.sent_since).unwrap_or(u16::MAX);
-        Some(stated.saturating_sub(sent_since))
+        let flows_sent_since_report =
+            u16::try_from(self.flows_sent_since_report).unwrap_or(u16::MAX);
+        Some(stated.saturating_sub(flows_sent_since_report))
     }
 
     /// Whether the flows of the agent count as lost.
@@ -175,9 +178,10 @@
     }
 
     /// Whether the agent last reported that it has had no target since it started, and
-    /// has left several probes in a row unanswered. Such an agent can hold a flow only
-    /// if, within this silence, its target started, accepted the flow and had it moved to
-    /// another balancer, all of it heard by others and none of it by this balancer.
+    /// has left several probes in a row unanswered. The target of such an agent can hold a
+    /// flow only if it started within this silence and accepted the flow through another
+    /// balancer, the flow then moved to this balancer, and this balancer received none of
+    /// the agent's messages while other balancers did.
     #[must_use]
     pub fn is_gone_without_target(&self, now: Instant) -> bool {
         let had_no_target = self.state == TargetState::Unknown
@@ -200,6 +204,6 @@
     pub(super) fn update_load(&mut self, load: TargetLoad, now: Instant) {
         self.load = load;
         self.load_at = now;
-        self.sent_since = 0;
+        self.flows_sent_since_report = 0;
     }
 }
--- a/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
@@ -58,7 +58,7 @@
     /// this one.
     fn deciding_balancers(&self, now: Instant) -> usize {
         let own = self.options.cpu_millicores;
-        let others: Vec<u32> = self.peers.capacities(now).collect();
+        let others: Vec<u32> = self.peers.processors_millicores(now).collect();
         let largest = others.iter().copied().max().unwrap_or(0).max(own);
         let decides = |capacity: &&u32| capacity.saturating_mul(RELAY_SIZE_RATIO) > largest;
         1 + others.iter().filter(decides).count()
--- a/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
@@ -8,7 +8,7 @@
 use crate::flow::flow_record::{AgentKnowledge, FlowRecord, RestoredFlow};
 use crate::flow::identity::{FlowKey, Incarnation, NodeAddress};
 use crate::flow::log_event::LogEvent;
-use crate::flow::message::{MAXIMUM_KEYS, PeerMessage, TargetReport};
+use crate::flow::message::{MAXIMUM_FLOWS_PER_QUERY, PeerMessage, TargetReport};
 use crate::flow::packet::{FlowPacket, ResetReason};
 
 /// Maximum number of recorded flows queried between two ticks. Each may be answered by
@@ -81,7 +81,7 @@
             MAXIMUM_QUERIED_PER_TICK.saturating_sub(self.flow_records.queried_this_tick);
         for query in self.flow_records.restorer.take_due_queries(remaining, now) {
             self.flow_records.queried_this_tick += query.keys.len();
-            for batch in query.keys.chunks(MAXIMUM_KEYS) {
+            for batch in query.keys.chunks(MAXIMUM_FLOWS_PER_QUERY) {
                 let message = PeerMessage::LocateRecorded {
                     incarnation: query.incarnation,
                     keys: batch.to_vec(),
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -15,7 +15,7 @@
 /// Maximum number of targets that one opening is offered to before it waits here.
 const MAXIMUM_TRIES: usize = 4;
 /// Number of agents that may return one opening because their targets hold more flows
-/// than this balancer believed.
+/// than this balancer has estimated.
 const MAXIMUM_RETURNS_BY_LOAD: usize = 1;
 
 impl Balancer {
@@ -187,7 +187,7 @@
         let key = packet.key;
         let mut load_age = std::time::Duration::ZERO;
         if let Some(record) = self.directory.agent_mut(chosen.agent) {
-            record.sent_since += 1;
+            record.flows_sent_since_report += 1;
             load_age = now.since(record.load_at);
         }
         if let Some(entry) = self.flows.touch(&key)
--- a/crates/woodladder-core/src/flow/balancer/search/rounds.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/rounds.rs
@@ -7,7 +7,7 @@
 use crate::flow::balancer::{Balancer, BalancerAction};
 use crate::flow::identity::{FlowKey, NodeAddress};
 use crate::flow::log_event::LogEvent;
-use crate::flow::message::{MAXIMUM_KEYS, PeerMessage};
+use crate::flow::message::{MAXIMUM_FLOWS_PER_QUERY, PeerMessage};
 
 /// Time between two rounds of queries about one flow.
 const QUERY_INTERVAL: Duration = Duration::from_millis(120);
@@ -125,7 +125,7 @@
         }
         for (to, keys) in queries {
             self.directory.start_probing(to, now);
-            for batch in keys.chunks(MAXIMUM_KEYS) {
+            for batch in keys.chunks(MAXIMUM_FLOWS_PER_QUERY) {
                 self.counters.search_queries += 1;
                 self.query_budget.spend(1);
                 let message = PeerMessage::Locate {
--- a/crates/woodladder-core/src/flow/cold_reason.rs
+++ b/crates/woodladder-core/src/flow/cold_reason.rs
@@ -3,10 +3,10 @@
 /// Why a target is assumed to be cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ColdReason {
-    /// Its zone was excluded until now.
+    /// The zone of the target was excluded until now.
     ZoneTakenBack,
     /// The target was silent, so it may have restarted.
     Silent,
-    /// The agent was paused, or did not hear of excluded zones for a while.
+    /// The agent was paused, or received no list of excluded zones for a while.
     OutOfTouch,
 }
--- a/crates/woodladder-core/src/flow/configuration.rs
+++ b/crates/woodladder-core/src/flow/configuration.rs
@@ -53,7 +53,7 @@
     pub address: SocketAddrV4,
     /// Weighted services; usually a single one.
     pub parts: Vec<RoutePart>,
-    /// Requirements for its requests.
+    /// Requirements for the route's requests.
     pub terms: RouteTerms,
 }
 
@@ -141,18 +141,19 @@
     /// not specified.
     #[must_use]
     pub fn warm_up_rate(&self, service: ServiceKey) -> u32 {
-        self.service(service).map_or(0, |terms| terms.warm_up_rate)
+        self.service_terms(service)
+            .map_or(0, |terms| terms.warm_up_rate)
     }
 
     /// Time for which a target of a service is cold after its start.
     #[must_use]
     pub fn warm_up_time(&self, service: ServiceKey) -> Duration {
-        self.service(service).map_or(Duration::ZERO, |terms| {
+        self.service_terms(service).map_or(Duration::ZERO, |terms| {
             Duration::from_millis(terms.warm_up_ms.into())
         })
     }
 
-    fn service(&self, service: ServiceKey) -> Option<&ServiceTerms> {
+    fn service_terms(&self, service: ServiceKey) -> Option<&ServiceTerms> {
         let services = &self.current.as_ref()?.services;
         services.iter().find(|terms| terms.service == service)
     }
--- a/crates/woodladder-core/src/flow/directory.rs
+++ b/crates/woodladder-core/src/flow/directory.rs
@@ -45,7 +45,7 @@
     },
     /// The agent has been silent for so long that its flows count as lost.
     Lost(NodeAddress),
-    /// The silent agent was removed from the directory.
+    /// The agent was removed from the directory after a long silence.
     Forgotten(NodeAddress),
 }
 
@@ -154,7 +154,7 @@
         record.slots = report.slots;
         record.version = report.version;
         record.interval = Duration::from_millis(report.interval_ms.into());
-        record.warm_at = now + Duration::from_millis(report.warm_up_ms.into());
+        record.warm_up_ends_at = now + Duration::from_millis(report.warm_up_ms.into());
         record.record_contact(now);
         record.update_load(report.load, now);
     }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Records the time by which an agent was promised its next hello.
+    /// Records when the next hello to an agent is due, as stated in the last hello to it.
     pub fn set_next_hello(&mut self, address: NodeAddress, next_hello_at: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
             record.next_hello_at = next_hello_at;
@@ -192,8 +192,8 @@
             .collect()
     }
 
-    /// Starts to probe an agent that may be dead, until it answers. Its silence is timed
-    /// from now on.
+    /// Starts to probe an agent that may be dead. Probes are repeated until the agent sends
+    /// a message or counts as lost. [`AgentRecord::unanswered_for`] counts from now.
     pub fn start_probing(&mut self, address: NodeAddress, now: Instant) {
         if let Some(record) = self.agents.get_mut(&address)
             && record.unanswered_since.is_none()
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Reports agents that have become silent, and removes those silent for long.
+    /// Marks agents as lost that were silent or left probes unanswered for too long, and
+    /// removes those whose silence has reached the limit after which they are forgotten.
     pub fn tick(&mut self, now: Instant, changes: &mut Vec<DirectoryChange>) {
         let hears_live_agent = self.live_count(now) > 0;
         let heard_at = self.agents.values().map(|record| record.heard_at).max();
@@ -282,9 +283,9 @@
                 last_heartbeat: 0,
                 heard_at: now,
                 load_at: now,
-                sent_since: 0,
+                flows_sent_since_report: 0,
                 unanswered_openings: 0,
-                warm_at: now,
+                warm_up_ends_at: now,
                 epoch: report.epoch,
                 sequence: 0,
                 interval: Duration::ZERO,
--- a/crates/woodladder-core/src/flow/flow_record/record.rs
+++ b/crates/woodladder-core/src/flow/flow_record/record.rs
@@ -8,15 +8,17 @@
 
 use crate::flow::identity::{FlowKey, Incarnation, NodeAddress};
 
-/// Most flows in one record. Each takes 14 bytes and each group 28, so a record has about
-/// 70 KB, far below the store's limit of 1 MB per value.
+/// Most flows in one record. Each flow takes 14 bytes and each [`HolderFlows`] group 24
+/// more, so a full record with 500 groups has about 70 KB, far below the store's limit of
+/// 1 MB per value.
 pub const MAXIMUM_FLOWS: usize = 4096;
 /// Most bytes of a record that is read.
 pub const MAXIMUM_BYTES: usize = 256 * 1024;
 /// Version of the encoding.
 const ENCODING_VERSION: u8 = 1;
 /// Low bits of a sequence number whose changes do not make a record worth writing again.
-/// The sequence number of a reset may differ by up to 76,800 from the caller's.
+/// The sequence number of a reset may differ by up to 76,800 bytes from the
+/// caller's.
 const INSIGNIFICANT_BITS: u32 = 14;
 
 /// One flow that a target held.
@@ -43,7 +45,7 @@
     pub flows: Vec<RecordedFlow>,
 }
 
-/// The flows that one balancer knew to be held.
+/// The flows that were open at targets according to one balancer's flow table.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct FlowRecord {
     /// Address of the balancer.
--- a/crates/woodladder-core/src/flow/flow_record/restorer.rs
+++ b/crates/woodladder-core/src/flow/flow_record/restorer.rs
@@ -1,12 +1,13 @@
-//! Finds out which recorded flows still exist after a balancer's start, by asking the
-//! agents that held them.
+//! Finds out which recorded flows still exist after a balancer's start, by querying the
+//! agents of the targets that held them.
 //!
-//! Each agent that is heard is asked for its recorded flows, a bounded number at a time.
-//! It is asked again if an answer is lost, and once more when it starts to know all flows
+//! Each agent that is heard is queried for its recorded flows, a bounded number at a time.
+//! It is queried again if an answer is lost, and once more when it starts to know all flows
 //! of its target. Its denial proves that a flow is gone: only the target that the caller
 //! has chosen holds a flow, and the record names that target. If the agent answers that
-//! the target holds or may hold a flow, the flow is known to be there. Flows without any
-//! answer within [`QUERY_DURATION`] are forgotten without further effect.
+//! the target holds or may hold a flow, the flow is added to the balancer's flow table
+//! with this agent. Flows without any answer within [`QUERY_DURATION`] are dropped without
+//! further effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -47,7 +48,8 @@
     /// Recorded sequence number after the caller's last new byte.
     pub caller_next: u32,
     queried_at: Option<Instant>,
-    /// Whether the agent has answered that only its target can tell.
+    /// Whether the agent has answered that it cannot decide whether its target holds the
+    /// flow.
     is_undecided: bool,
 }
 
@@ -71,7 +73,7 @@
     pub recorded: u64,
     /// Flows that their target holds.
     pub held: u64,
-    /// Flows that their agent has denied.
+    /// Flows that their agent has denied, or whose target has ended.
     pub denied: u64,
     /// Flows that were closed or opened anew in the meantime.
     pub superseded: u64,
@@ -79,10 +81,10 @@
     pub unproven: u64,
 }
 
-/// What an agent knows about its target's flows, according to its reports.
+/// What an agent's reports state about its knowledge of its target's flows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AgentKnowledge {
-    /// Whether it knows all of them.
+    /// Whether the agent knows all open flows of its target.
     pub knows_all_flows: bool,
     /// Incarnation of the target.
     pub incarnation: Option<Incarnation>,
@@ -153,8 +155,8 @@
         self.by_agent.contains_key(&agent)
     }
 
-    /// Records that an agent was heard. If its knowledge has changed, it is asked again
-    /// for the flows that it could not decide.
+    /// Records that an agent was heard. If its reported knowledge has changed, the agent is
+    /// queried again for the flows that it could not decide.
     pub fn update_agent_knowledge(&mut self, agent: NodeAddress, knowledge: AgentKnowledge) {
         if !self.awaits(agent) {
             return;
@@ -259,8 +261,8 @@
         Some(flow)
     }
 
-    /// Handles an agent's answer that only its target can tell. The agent is not asked
-    /// again until its knowledge changes.
+    /// Handles an agent's answer that it cannot decide whether its target holds a flow.
+    /// The agent is not queried again until its reported knowledge changes.
     pub fn mark_undecided(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
         let flow = self.flows.get_mut(key).filter(|flow| flow.agent == agent)?;
         flow.is_undecided = true;
--- a/crates/woodladder-core/src/flow/flow_record/session.rs
+++ b/crates/woodladder-core/src/flow/flow_record/session.rs
@@ -14,12 +14,12 @@
 pub const MAXIMUM_WRITES_PER_SECOND: u32 = 4;
 /// Shortest time between two writes of one balancer.
 const MINIMUM_PERIOD: Duration = Duration::from_secs(1);
-/// Longest time between two writes. With a longer one, too many flows of a record would
-/// have ended for it to be worth its store calls: callers use a flow only once in some
-/// seconds.
+/// Longest time between two writes of one balancer. After a longer time, most recorded
+/// flows would have ended, because callers use a flow only once in some seconds, and the
+/// record would not be worth its store calls.
 const MAXIMUM_PERIOD: Duration = Duration::from_secs(5);
 /// Time after the first attempt within which a record is read. By then, callers have
-/// found out about their flows themselves.
+/// noticed the loss of their flows themselves.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(4);
 /// Polling interval while there is nothing to do.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
@@ -29,8 +29,8 @@
 /// Time after the balancer's start in which [`POLL_INTERVAL_AT_START`] applies.
 const START_PHASE: Duration = Duration::from_secs(2);
 
-/// Time between two writes of one balancer when `balancers` of them decide about flows;
-/// `None` if there are too many to write at all.
+/// Time between two writes of one balancer when `balancers` balancers route flows
+/// themselves; `None` if there are too many of them to write at all.
 #[must_use]
 pub fn write_period(balancers: usize) -> Option<Duration> {
     let count = u32::try_from(balancers).unwrap_or(u32::MAX);
@@ -41,7 +41,10 @@
 /// What the record is currently needed for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RecordNeed {
-    /// Nothing: the mechanism is inactive, or the balancer does not decide about flows.
+    /// Nothing: [`ActiveMechanisms::locates_flows`] is off, or the balancer relays
+    /// callers' packets to larger balancers.
+    ///
+    /// [`ActiveMechanisms::locates_flows`]: crate::flow::activation::ActiveMechanisms::locates_flows
     Nothing,
     /// The record is read but not written, because there are too many balancers.
     ReadOnly,
--- a/crates/woodladder-core/src/flow/held_flows.rs
+++ b/crates/woodladder-core/src/flow/held_flows.rs
@@ -44,15 +44,17 @@
 /// The announcement that an agent attaches to a report.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Eq, PartialEq)]
 pub struct FlowAnnouncement {
-    /// Which flows it covers.
+    /// Which flows the announcement covers.
     pub coverage: AnnouncementCoverage,
     /// Number of the change just before the first announced one.
     pub base_change: u32,
     /// Number of the last announced change.
     pub last_change: u32,
-    /// Flows that are open as of `last_change`.
+    /// Flows that are open as of `last_change`: with [`AnnouncementCoverage::Complete`] all
+    /// of them, with [`AnnouncementCoverage::Changes`] those that opened after
+    /// `base_change`.
     pub open: Vec<FlowFingerprint>,
-    /// Flows that have closed between `base_change` and `last_change`.
+    /// Flows that have closed after `base_change`, up to `last_change`.
     pub closed: Vec<FlowFingerprint>,
 }
 
--- a/crates/woodladder-core/src/flow/identity.rs
+++ b/crates/woodladder-core/src/flow/identity.rs
@@ -33,7 +33,7 @@
 }
 
 /// One run of a target from its start to its end, identified by a hash of the target's
-/// identifier.
+/// identifier and, if stated, of its start time.
 #[derive(
     BorshDeserialize,
     BorshSerialize,
@@ -50,14 +50,15 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a target with this identifier.
+    /// The incarnation of a target with this identifier that states no start time.
     #[must_use]
     pub fn named(identifier: &str) -> Self {
         Self(xxh3_64(identifier.as_bytes()))
     }
 
-    /// The incarnation of a target with this identifier that started at a time by its own
-    /// clock, in milliseconds of Unix time. One identifier may start several times.
+    /// The incarnation of a target with this identifier that started at `born_ms`, in
+    /// milliseconds of Unix time by the target's clock. Several runs may share one
+    /// identifier.
     #[must_use]
     pub fn started_at(identifier: &str, born_ms: u64) -> Self {
         Self(xxh3_64_with_seed(
@@ -111,12 +112,12 @@
     bytes
 }
 
-/// The two ends of a flow, as its packets name them.
+/// The addresses and ports of a flow's two ends, as its packets state them.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct FlowKey {
     /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// Address and port of the service.
+    /// Address and port that the caller connects to, which select the route.
     pub service: SocketAddrV4,
 }
 
--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -9,7 +9,7 @@
 use super::message::{ReturnReason, TargetLoad, TargetState};
 use super::packet::ResetReason;
 
-/// A decision, or a change in what a node believes.
+/// A decision of a node, or a change in its state or in its view of other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// A new flow was sent to a target.
@@ -21,7 +21,8 @@
         copy: u32,
         /// Agents that were tried before.
         tried: usize,
-        /// Score of the selected target, in slots; the lowest one wins.
+        /// Score of the selected target: its load as a share of its slots, with
+        /// penalties. The lowest score wins.
         score: f64,
         /// Age of the load report behind the score.
         load_age: Duration,
@@ -72,7 +73,7 @@
         agent: NodeAddress,
         /// Time since the search began.
         waited: Duration,
-        /// Whether the agent had announced the flow before it was asked.
+        /// Whether the agent had announced the flow before it was queried.
         was_named: bool,
     },
     /// A search takes long.
@@ -84,7 +85,8 @@
         open: usize,
         /// One of these agents.
         awaited: Option<NodeAddress>,
-        /// Whether `awaited` has answered that only its target can tell.
+        /// Whether `awaited` has answered that it cannot decide whether its target holds the
+        /// flow.
         is_undecided: bool,
         /// Whether the balancer knows all agents.
         knows_all: bool,
@@ -132,10 +134,10 @@
         /// Node that sent the set; `None` for the store.
         from: Option<NodeAddress>,
     },
-    /// The agent no longer knows whether its target is cold, so the target is assumed to
-    /// be cold until a heartbeat tells.
+    /// The agent can no longer tell whether its target is cold, so the target is assumed
+    /// to be cold until a heartbeat states it.
     AssumedCold {
-        /// Why this is not known.
+        /// Why the target is assumed to be cold.
         reason: ColdReason,
         /// Incarnation of the target, if known.
         incarnation: Option<Incarnation>,
@@ -267,7 +269,7 @@
     /// agent's target.
     WorkDelivered {
         key: FlowKey,
-        /// Time that it waited in the queue.
+        /// Time that the opening or request waited in the queue.
         waited: Duration,
     },
     /// A queued request on an open flow was dropped because its caller has given up.
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -19,21 +19,21 @@
 pub const MAXIMUM_NAMED_BALANCERS: usize = 12;
 
 /// Most flows in one query.
-pub const MAXIMUM_KEYS: usize = 64;
+pub const MAXIMUM_FLOWS_PER_QUERY: usize = 64;
 
 /// Why a balancer sends a packet to an agent.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ForwardPurpose {
     /// To open the flow.
     Open(OpeningTerms),
-    /// The balancer believes that the agent's target holds the flow.
+    /// According to the balancer's flow table, the agent's target holds the flow.
     Established,
     /// The balancer searches for the flow, which the agent's target may hold.
     Search,
 }
 
-/// What a balancer knows about an opening, the first packet of a flow. The agent orders
-/// its queue by it.
+/// What a balancer states about an opening, the first packet of a flow. The agent orders
+/// its queue by these terms.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OpeningTerms {
     /// Time since the caller first sent the opening, in milliseconds.
@@ -44,8 +44,9 @@
     pub timeout_ms: u32,
     /// Whether another route of the same service has a lower priority.
     pub is_urgent: bool,
-    /// Requests that the balancer believes the target to hold or to have queued, not
-    /// counting this one. `None` if the agent must accept the opening whatever its load.
+    /// The balancer's estimate of the requests that are in progress or queued at the
+    /// target, not counting this one. `None` if the agent must accept the opening whatever
+    /// its load.
     pub estimated_load: Option<u16>,
 }
 
@@ -74,7 +75,7 @@
     /// The target is cold and has received as many requests within the last second as it
     /// can handle.
     WarmingUp,
-    /// The target's load is higher than the balancer believed, or the agent's queue is
+    /// The target's load is higher than the balancer's estimate, or the agent's queue is
     /// full; the balancer may try another target.
     Saturated,
     /// The opening has waited in the agent's queue for the maximum time.
@@ -122,11 +123,12 @@
     pub idle_flow_work_millislots: Option<u16>,
     /// Share of recent requests that the target has failed, in percent.
     pub failed_percent: u8,
-    /// Number of the target's last heartbeat, zero before the first. Shows which flows
-    /// were already open at that heartbeat.
+    /// Sequence number of the target's last heartbeat; zero before the first. A balancer
+    /// writes a flow to its record only after the target has sent enough heartbeats since
+    /// the flow was located or accepted.
     pub last_heartbeat: u64,
-    /// Openings that the possibly cold target still accepts within the second; `None` if
-    /// it is not limited.
+    /// Openings that a target that may be cold accepts within the second after this
+    /// report; `None` if their number is not limited.
     pub openings_left: Option<u16>,
 }
 
@@ -182,13 +184,13 @@
 pub struct BalancerHello {
     /// Version of the configuration that the balancer uses.
     pub version: u64,
-    /// Interval at which it asks for reports, in milliseconds.
+    /// Interval at which the agent should send reports, in milliseconds.
     pub report_interval_ms: u32,
-    /// Whether it does not know the receiving agent yet and waits for its report. It has
-    /// restarted then, while the agent may still rely on what it knew before.
+    /// Whether the balancer has not heard the receiving agent yet and waits for its
+    /// report. A balancer that has restarted has lost all that the agent reported before.
     pub requests_report: bool,
-    /// Longest time until its next hello to this receiver, in milliseconds. The
-    /// receiver's liveness timeouts are multiples of it.
+    /// Longest time until the balancer's next hello to this receiver, in milliseconds. The
+    /// receiver's liveness timeouts are multiples of this time.
     pub next_hello_within_ms: u32,
     /// Time since the store confirmed that this configuration is the newest, in
     /// milliseconds; `None` if the balancer has heard of no confirmation.
@@ -197,17 +199,18 @@
     pub excluded_zones: ExcludedZones,
     /// Whether the balancer is about to stop.
     pub is_leaving: bool,
-    /// Whether it has heard an agent recently.
+    /// Whether the balancer has heard an agent recently.
     pub has_agent_contact: bool,
-    /// Zone of its machine.
+    /// Zone of the balancer's machine.
     pub zone: ZoneKey,
-    /// Processor that it may use, in thousandths of a core.
+    /// Processor that the balancer may use, in thousandths of a core.
     pub cpu_millicores: u32,
     /// Rate of its machine's link, in kilobits per second; `None` if unknown.
     pub link_rate_kbps: Option<u32>,
-    /// Whether it could serve callers: it knows routes and hears agents.
+    /// Whether the balancer could serve callers: it has a configuration, has heard an
+    /// agent recently and is not shutting down.
     pub can_serve: bool,
-    /// Other balancers that it knows.
+    /// Addresses of other balancers, at most [`MAXIMUM_NAMED_BALANCERS`].
     pub balancers: Vec<NodeAddress>,
 }
 
@@ -229,7 +232,7 @@
     },
     /// Balancer to agent: does the target hold these flows? Carries no packet to deliver.
     Locate {
-        /// The flows, at most [`MAXIMUM_KEYS`].
+        /// The flows, at most [`MAXIMUM_FLOWS_PER_QUERY`].
         keys: Vec<FlowKey>,
     },
     /// Balancer to agent: send a report at once.
@@ -261,8 +264,8 @@
         /// Number of the target's last heartbeat, zero before the first.
         heartbeat: u64,
     },
-    /// Agent to balancer: only the target itself can tell whether it holds these flows,
-    /// when it receives a packet of them.
+    /// Agent to balancer: the agent cannot decide whether its target holds these flows;
+    /// only the target's answer to a packet of each flow shows it.
     MayBeHeld { keys: Vec<FlowKey> },
     /// Agent to balancer: state and load of its target.
     Report(TargetReport),
@@ -281,7 +284,7 @@
         /// The incarnation. Each of these flows was open at some heartbeat that the agent
         /// received from it.
         incarnation: Incarnation,
-        /// The flows, at most [`MAXIMUM_KEYS`].
+        /// The flows, at most [`MAXIMUM_FLOWS_PER_QUERY`].
         keys: Vec<FlowKey>,
     },
     /// Agent to balancer: the target does not hold these flows, which this incarnation of
@@ -324,18 +327,19 @@
     "flow_list",
 ];
 
-/// Requests a node's knowledge; sent over a stream.
+/// Requests a [`Snapshot`] from a node; sent over a stream.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotRequest {
     /// Version that the requesting node uses. The response omits the configuration unless
     /// it is newer.
     pub known_version: u64,
-    /// Whether the balancers and agents are requested too. They make up a third of a
-    /// snapshot of 986 nodes and 256 routes.
+    /// Whether the balancers and agents are requested too. Without them, a snapshot of 986
+    /// nodes and 256 routes is a third shorter.
     pub wants_nodes: bool,
 }
 
-/// A node's knowledge, for a node that starts or is out of date.
+/// Configuration, excluded zones and addresses known to one node, for another node that
+/// starts or is out of date.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
     /// The configuration, if it is newer than the requesting node's.
--- a/crates/woodladder-core/src/flow/packet.rs
+++ b/crates/woodladder-core/src/flow/packet.rs
@@ -6,8 +6,9 @@
 use super::identity::FlowKey;
 use crate::clock::Instant;
 
-/// Time from the opening to each of its retransmissions, as callers send them.
-const COPY_DELAYS: [Duration; 3] = [
+/// Time from the first sending of an opening to each of its sendings: the first one and
+/// two retransmissions, at the intervals that callers use.
+const OPENING_SEND_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
@@ -36,8 +37,9 @@
     pub kind: PacketKind,
     /// Sequence number of the first byte.
     pub sequence: u32,
-    /// Next byte that the sender expects. For [`PacketKind::Open`]: number of
-    /// retransmissions of the opening before this packet.
+    /// Acknowledgement number: the next byte that the sender expects. An opening has
+    /// nothing to acknowledge; for [`PacketKind::Open`], this field holds the number of
+    /// times that the caller sent the opening before this packet.
     pub acknowledgement: u32,
     /// Payload length in bytes.
     pub payload_length: u16,
@@ -45,13 +47,13 @@
 
 impl FlowPacket {
     /// When the caller first sent this opening, which arrives now: computed from the
-    /// number of retransmissions that it states.
+    /// number of earlier sendings, which an opening has in `acknowledgement`.
     #[must_use]
     pub fn first_sent(&self, now: Instant) -> Instant {
         let index = usize::try_from(self.acknowledgement).unwrap_or(usize::MAX);
-        let delay = COPY_DELAYS
+        let delay = OPENING_SEND_DELAYS
             .get(index)
-            .or(COPY_DELAYS.last())
+            .or(OPENING_SEND_DELAYS.last())
             .copied()
             .unwrap_or_default();
         Instant::from_origin(now.since_origin().saturating_sub(delay))
--- a/crates/woodladder-core/src/flow/peers.rs
+++ b/crates/woodladder-core/src/flow/peers.rs
@@ -10,15 +10,17 @@
 
 /// Shortest silence after which a balancer that has sent a hello is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// The same limit as a multiple of the balancer's hello interval.
+/// Hello intervals of the balancer for which the same silence must last: the longer of
+/// both limits applies.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
 /// Shortest silence after which a balancer no longer counts as live, for instance where
 /// balancers take turns at the store.
 const LIVE_FOR: Duration = Duration::from_secs(12);
-/// The same limit as a multiple of the balancer's hello interval.
+/// Hello intervals of the balancer for which the same silence must last: the longer of
+/// both limits applies.
 const LIVE_FOR_PERIODS: f64 = 2.0;
-/// Time within which a balancer that only others have named must send a hello, or it is
-/// forgotten.
+/// Time after which a balancer that only others have named is forgotten if it has sent no
+/// hello.
 const FIRST_HELLO_WITHIN: Duration = Duration::from_secs(4);
 /// Silence after which a balancer of any zone no longer counts as serving. This limit
 /// does not grow with the hello interval: the number of hellos that arrive within it is
@@ -28,15 +30,17 @@
 /// One node's view of another balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerRecord {
-    /// When its last hello arrived; `None` if it has sent none.
+    /// When the balancer's last hello arrived; `None` if it has sent none.
     pub heard_at: Option<Instant>,
-    /// Version of the configuration in its last hello.
+    /// Version of the configuration that the last hello stated.
     pub version: u64,
-    /// Its last announced capacity and readiness.
+    /// Capacity and readiness that the balancer announced last.
     pub member: Option<ZoneMember>,
-    /// Longest time until its next hello, as stated in the last one.
+    /// Longest time until the balancer's next hello, as stated in its last hello.
     next_hello_within: Duration,
-    learned_at: Instant,
+    /// When the balancer's address became known, or when the silence timers were last
+    /// restarted.
+    address_learned_at: Instant,
 }
 
 impl PeerRecord {
@@ -68,7 +72,7 @@
             version: 0,
             member: None,
             next_hello_within: Duration::ZERO,
-            learned_at: now,
+            address_learned_at: now,
         };
         self.records.insert(address, record);
         true
@@ -122,7 +126,7 @@
     }
 
     /// Processors of the live balancers, in thousandths of a core.
-    pub fn capacities(&self, now: Instant) -> impl Iterator<Item = u32> + '_ {
+    pub fn processors_millicores(&self, now: Instant) -> impl Iterator<Item = u32> + '_ {
         self.records
             .values()
             .filter(move |record| record.is_live(now))
@@ -140,7 +144,7 @@
         self.records.retain(|address, record| {
             let keep = match record.heard_at {
                 Some(heard_at) => now.since(heard_at) < record.forget_after(),
-                None => now.since(record.learned_at) < FIRST_HELLO_WITHIN,
+                None => now.since(record.address_learned_at) < FIRST_HELLO_WITHIN,
             };
             if !keep && record.heard_at.is_some() {
                 lost.push(*address);
@@ -170,7 +174,8 @@
             .map(|(address, _)| *address)
     }
 
-    /// Live balancers: those that have sent a hello and missed at most one since.
+    /// Live balancers: those whose last hello arrived within `LIVE_FOR`, or within
+    /// `LIVE_FOR_PERIODS` of their hello intervals if that is longer.
     pub fn heard_recently(&self, now: Instant) -> impl Iterator<Item = NodeAddress> + '_ {
         self.records
             .iter()
@@ -206,7 +211,7 @@
     /// Restarts the silence timers of all balancers.
     pub fn restart_silence_timers(&mut self, now: Instant) {
         for record in self.records.values_mut() {
-            record.learned_at = now;
+            record.address_learned_at = now;
             record.heard_at = record.heard_at.map(|_| now);
         }
     }
--- a/crates/woodladder-core/src/flow/promises.rs
+++ b/crates/woodladder-core/src/flow/promises.rs
@@ -1,6 +1,6 @@
 //! Service guarantees (promises) that a node has broken, counted by the node itself.
 //!
-//! | promise | counted by | a violation is |
+//! | promise | counted by | what is counted |
 //! | --- | --- | --- |
 //! | urgent openings first | agent | an opening is delivered while a more urgent one waits that can still be in time |
 //! | no work for a caller that has left | agent | an opening is delivered after its route's timeout |
@@ -9,12 +9,12 @@
 //! | no refusal while a target is free | balancer | an opening is refused while a live target has a free slot |
 //! | a refused opening has not run | balancer | an opening is refused that a target has accepted |
 //! | no open flow is reset | balancer | a flow that was reset turns out to be held |
-//! | a target that shuts down is acknowledged | agent | time since its first heartbeat that was rejected |
+//! | a target that shuts down is acknowledged | agent | milliseconds since its first heartbeat that was rejected |
 //!
 //! Some violations cannot be observed by any node: requests on open flows that overtake
 //! others, since an agent does not know their route; work of a target for a caller that
 //! has left without sending a packet; the age of a heartbeat that was never read; and
-//! repeated refusals of one caller, since a reset does not say when to come back.
+//! repeated refusals of one caller, since a reset does not state when to retry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,7 +27,8 @@
 /// Time for which a reset is remembered.
 const RESET_REMEMBERED_FOR: Duration = Duration::from_secs(5);
 
-/// Violations of each promise, in the order of [`BrokenPromises::by_name`].
+/// Violations of each promise, in the order of [`BrokenPromises::by_name`]; for the
+/// acknowledgement of targets that shut down, milliseconds waited.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct BrokenPromises {
     /// Openings delivered before a more urgent one that could still be in time. Includes
@@ -55,7 +56,7 @@
 pub struct DecidedOpening {
     /// Time since the caller first sent the opening.
     pub age: Duration,
-    /// Time from then after which an answer is useless to the caller.
+    /// Time from that first sending after which an answer is useless to the caller.
     pub timeout: Duration,
     /// Whether another route of the same service has a lower priority.
     pub is_urgent: bool,
@@ -66,12 +67,13 @@
 pub struct PromiseWatch {
     broken: BrokenPromises,
     resets: VecDeque<(FlowKey, Instant)>,
-    /// A target that shuts down and whose heartbeat was rejected, and since when.
+    /// A target that shuts down and whose heartbeat was rejected, with the time of its
+    /// first rejected heartbeat.
     unacknowledged: Option<(Incarnation, Instant)>,
 }
 
 impl BrokenPromises {
-    /// Each count with its name in metrics.
+    /// Each value with its name in metrics.
     #[must_use]
     pub fn by_name(&self) -> [(&'static str, u64); 8] {
         [
@@ -88,7 +90,7 @@
 }
 
 impl PromiseWatch {
-    /// Number of violations of each promise.
+    /// Violations of each promise; for `unacknowledged_ms`, milliseconds waited.
     #[must_use]
     pub fn broken(&self) -> &BrokenPromises {
         &self.broken
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -31,13 +31,15 @@
 const MILLISLOTS_PER_SLOT: f64 = 1000.0;
 /// Factor by which requests take longer at a target that has just started.
 const WARM_UP_FACTOR: f64 = 1.8;
-/// Load added to a target in another zone, as a share of its slots, for a flow without
-/// bytes.
+/// Penalty for a target in another zone, as a share of the target's slots: the part that
+/// does not depend on the bytes of the flow.
 const OTHER_ZONE_PENALTY: f64 = 0.05;
-/// Load added further for each byte that the flow is expected to carry.
+/// Further penalty for a target in another zone, as a share of the target's slots, for
+/// each byte that the flow is expected to carry.
 const OTHER_ZONE_PENALTY_PER_BYTE: f64 = 1.0 / 40_000.0;
-/// Upper limit of the load added for another zone. Without it, a zone would get more
-/// flows than its targets can start on while others have free slots.
+/// Upper limit of the penalty for another zone, as a share of the target's slots. Without
+/// this limit, a zone would get more flows than its targets can start on while other zones
+/// have free slots.
 const MAXIMUM_OTHER_ZONE_PENALTY: f64 = 1.0;
 /// Upper limit of the factor by which slow answers raise the load of a target.
 const MAXIMUM_SLOWNESS: f64 = 8.0;
@@ -49,8 +51,9 @@
 const TOLERATED_FAILURE_PERCENT: f64 = 15.0;
 /// Load added to a target for each further percent of failures, as a share of its slots.
 const PENALTY_PER_FAILURE_PERCENT: f64 = 0.08;
-/// Upper limit of the load added for failures. A target that fails all requests still
-/// gets flows once each of the others has as many additional waiting requests as slots.
+/// Upper limit of the load added for failures, as a share of the target's slots. A target
+/// that fails all requests still gets flows once each of the others has as many additional
+/// waiting requests as slots.
 const MAXIMUM_FAILURE_PENALTY: f64 = 2.0;
 
 /// Inputs to the selection of a target.
@@ -77,9 +80,10 @@
 pub struct SelectedTarget {
     /// Agent of the target.
     pub agent: NodeAddress,
-    /// Score of the target, in slots; the lowest one wins.
+    /// Score of the target: its load as a share of its slots, with penalties. The lowest
+    /// score wins.
     pub score: f64,
-    /// Requests that the balancer believes the target to hold or to have queued.
+    /// The balancer's estimate of the requests in progress or queued at the target.
     pub estimated_load: u16,
     /// Number of other targets that could have been selected.
     pub other_candidates: usize,
@@ -252,7 +256,7 @@
 
 /// Factor by which requests take longer at a target than is typical.
 fn slowdown(record: &AgentRecord, typical: &TypicalValues, now: Instant) -> f64 {
-    let warm_up = if now < record.warm_at {
+    let warm_up = if now < record.warm_up_ends_at {
         WARM_UP_FACTOR
     } else {
         1.0
--- a/crates/woodladder-core/src/flow/store_session/registration.rs
+++ b/crates/woodladder-core/src/flow/store_session/registration.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether the entry is believed to exist.
+    /// Whether the last write of the entry succeeded and its lease is not known to be lost.
     #[must_use]
     pub fn is_registered(&self) -> bool {
         matches!(self.stage, Stage::Registered { .. })
--- a/crates/woodladder-core/src/flow/target_restart.rs
+++ b/crates/woodladder-core/src/flow/target_restart.rs
@@ -1,12 +1,13 @@
 //! Decides whether one incarnation of a target supersedes the known one.
 //!
 //! Incarnations state when they started, by the wall clock of their machine. One that
-//! started later supersedes the known one at once. An earlier start time proves nothing,
-//! because the wall clock may jump back, and because a node that has restarted itself
-//! does not know which incarnations were replaced before. The message may be a late one
-//! of a previous incarnation, or come from a new one after a clock jump. Time tells them
-//! apart: either the known incarnation is heard again, or the other one continues to send
-//! while the known one stays silent.
+//! started later supersedes the known one at once; so does any other one if the start time
+//! of the known one is unknown. An earlier or missing start time proves nothing: the wall
+//! clock may have jumped back, and a node that has restarted has no record of the
+//! incarnations that were replaced before. A message with such a start time is either a
+//! delayed one of a previous incarnation or comes from a new incarnation. A new
+//! incarnation supersedes the known one if it continues to send messages while the known
+//! one stays silent for [`SILENCE_BEFORE_SUPERSEDED`].
 
 use std::time::Duration;
 
@@ -28,8 +29,9 @@
 }
 
 impl TargetStart {
-    /// Whether this start is certainly later than another one. If the other start time is
-    /// unknown, the order of messages decides.
+    /// Whether this start counts as later than another one: its start time is later, or
+    /// the other start time is unknown. In the second case, the start that was stated in
+    /// the later message wins.
     fn is_later_than(&self, other: &Self) -> bool {
         match (self.started_at_ms, other.started_at_ms) {
             (_, None) => true,
--- a/crates/woodladder-core/src/flow/zone_members.rs
+++ b/crates/woodladder-core/src/flow/zone_members.rs
@@ -24,15 +24,18 @@
 /// only after two hellos in a row were lost, which costs searches for its flows but no
 /// request.
 const RELAY_SILENT_AFTER: Duration = Duration::from_millis(450);
-/// The same limit as a multiple of the balancer's hello interval.
+/// Hello intervals of the balancer for which the same silence must last: the longer of
+/// both limits applies.
 const RELAY_SILENT_AFTER_PERIODS: f64 = 3.0;
 /// Shortest silence after which a member no longer counts as serving.
 const SILENT_AFTER: Duration = Duration::from_millis(900);
-/// The same limit as a multiple of the member's hello interval.
+/// Hello intervals of the member for which the same silence must last: the longer of both
+/// limits applies.
 const SILENT_AFTER_PERIODS: f64 = 1.8;
 /// Shortest silence after which a member no longer belongs to the zone.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// The same limit as a multiple of the member's hello interval.
+/// Hello intervals of the member for which the same silence must last: the longer of both
+/// limits applies.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
 
 /// Capacity and readiness that a balancer announces to the others of its zone.
@@ -42,7 +45,8 @@
     pub cpu_millicores: u32,
     /// Rate of its machine's link, in kilobits per second; `None` if unknown.
     pub link_rate_kbps: Option<u32>,
-    /// Whether it could serve: it knows routes and agents and is not shutting down.
+    /// Whether the balancer could serve callers, as defined for
+    /// [`BalancerHello::can_serve`](super::message::BalancerHello::can_serve).
     pub can_serve: bool,
 }
 
@@ -57,14 +61,14 @@
 #[derive(Clone, Copy, Debug)]
 struct MemberRecord {
     member: ZoneMember,
-    /// Longest time until its next hello, as stated in the last one.
+    /// Longest time until the balancer's next hello, as stated in its last hello.
     next_hello_within: Duration,
     heard_at: Instant,
 }
 
 impl MemberRecord {
-    /// Whether the balancer was heard within `minimum`, or within `periods` of its hello
-    /// intervals.
+    /// Whether the balancer was heard within `minimum` or within `periods` of its hello
+    /// intervals, whichever is longer.
     fn is_heard(&self, minimum: Duration, periods: f64, now: Instant) -> bool {
         now.since(self.heard_at) < liveness_timeout(self.next_hello_within, periods, minimum)
     }
@@ -181,7 +185,7 @@
     }
 
     /// Whether the balancer with this address and usable capacity should stand by,
-    /// because the zone can handle more without it.
+    /// because the zone can handle more without this balancer.
     #[must_use]
     pub fn should_stand_by(&self, address: NodeAddress, capacity: u32, now: Instant) -> bool {
         let mut able: Vec<(u32, NodeAddress)> = self.serving(now).collect();
--- a/crates/woodladder-core/tests/flow_uneven_targets.rs
+++ b/crates/woodladder-core/tests/flow_uneven_targets.rs
@@ -87,7 +87,7 @@
             .expect("a known target");
         flows[usize::from(target)] += 1;
         if let Some(record) = directory.agent_mut(chosen.agent) {
-            record.sent_since += 1;
+            record.flows_sent_since_report += 1;
         }
     }
     let works: Vec<f64> = (0..TARGETS)
