--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -187,7 +187,7 @@
         let key = packet.key;
         let mut load_age = std::time::Duration::ZERO;
         if let Some(record) = self.directory.agent_mut(chosen.agent) {
-            record.sent_since += 1;
+            record.flows_sent_since_report += 1;
             load_age = now.since(record.load_at);
         }
         if let Some(entry) = self.flows.touch(&key)
