--- a/crates/woodladder/src/agent/admission_control.rs
+++ b/crates/woodladder/src/agent/admission_control.rs
@@ -128,19 +128,19 @@
     }
 
     /// Records whether the back end's health endpoint reports that the back end
-    /// is leaving. While it does, the target is the last resort for new flows:
+    /// is leaving. While the endpoint reports this, the target is the last resort for new flows:
     /// chosen only when no other target accepts. Nothing is refused, because
     /// the report may be late or wrong.
     pub(super) fn set_back_end_leaving(&self, leaving: bool) {
         self.admission().set_last_resort(leaving);
     }
 
-    /// Applies the configuration in force and lets the drain's timer advance.
+    /// Applies the routing table in force and lets the drain's timer advance.
     pub(super) fn tick(&self) {
         let now = self.now();
         self.refresh_routing_table(&mut self.admission(), now);
-        self.apply_bundle_limits();
-        if let Some(event) = self.drain_event_from_bundle() {
+        self.apply_routing_table_limits();
+        if let Some(event) = self.drain_event_from_routing_table() {
             self.report_drain_event(event);
         }
         self.report_drain_event(DrainEvent::Tick);
@@ -178,9 +178,10 @@
         }
     }
 
-    /// Applies the back end's limits from the bundle. While no bundle holds
-    /// the target, the limits from the settings apply.
-    fn apply_bundle_limits(&self) {
+    /// Applies the back end's limits from the routing table. When the table has
+    /// no limits for the target, the limits applied last stay: those of an earlier
+    /// table, or those of the settings.
+    fn apply_routing_table_limits(&self) {
         let routing_table = self.routing_table.load();
         let entry = routing_table.target(self.identity.target);
         if let Some(limits) = entry.and_then(|entry| entry.limits) {
@@ -193,7 +194,7 @@
     /// The drain event that follows from the target's state in the routing
     /// table. `None` when the routing table has never held the target, because
     /// the roll that adds the target has yet to come into force.
-    fn drain_event_from_bundle(&self) -> Option<DrainEvent> {
+    fn drain_event_from_routing_table(&self) -> Option<DrainEvent> {
         let routing_table = self.routing_table.load();
         let entry = routing_table.target(self.identity.target)?;
         let is_active = match entry.status {
--- a/crates/woodladder/src/agent/config.rs
+++ b/crates/woodladder/src/agent/config.rs
@@ -81,8 +81,9 @@
     pub idle_timeout: Duration,
     /// Interval of keep-alive packets to callers.
     pub keep_alive_interval: Duration,
-    /// Time for the whole answer when the request states no deadline. Only
-    /// the beginning of a feed has to arrive within this time.
+    /// Time for the whole answer when the request states no deadline. For
+    /// a feed (an event stream without a foreseen end), only the beginning has to
+    /// arrive within this time.
     pub default_deadline: Duration,
     /// Shortest `retry-after` in answers that say that a request was not run.
     pub minimum_retry_after: Duration,
--- a/crates/woodladder/src/agent/connection.rs
+++ b/crates/woodladder/src/agent/connection.rs
@@ -22,11 +22,13 @@
 const MAXIMUM_HEADER_SECTION_LENGTH: u64 = 16 * 1024;
 /// Argument of [`server::Connection::shutdown`] for the first GOAWAY.
 ///
-/// The identifier in the GOAWAY is that of the last accepted request plus this
-/// number of requests, here capped at the greatest request identifier. The
-/// caller is asked to open no more requests, and requests already on their way
-/// are still accepted (RFC 9114, section 5.2). When no request was accepted
-/// yet, the library sends identifier 0 instead, which excludes all requests.
+/// The library adds this number of requests to the identifier of the last
+/// accepted request and caps the sum at the greatest request identifier. The
+/// GOAWAY with that identifier asks the caller to open no more requests, while
+/// requests already on their way are still accepted (RFC 9114, section 5.2).
+///
+/// Exception: when no request was accepted yet, the library sends identifier 0,
+/// which excludes all requests.
 const FIRST_GOAWAY_OFFSET: usize = usize::MAX;
 /// Argument of [`server::Connection::shutdown`] for the last GOAWAY: its
 /// identifier is that of the request after the last accepted one, and excludes
@@ -147,7 +149,7 @@
         if self.flow.declined && self.had_request {
             stage = stage.max(DrainStage::Refusing);
         }
-        if stage >= DrainStage::Leaving || (self.asked_to_reconnect && self.had_request) {
+        if stage >= DrainStage::CallersNotified || (self.asked_to_reconnect && self.had_request) {
             self.send_first_goaway().await?;
         }
         if stage >= DrainStage::Refusing && self.goaway_stage < DrainStage::Refusing {
@@ -161,10 +163,10 @@
     /// Sends the first GOAWAY, which asks the caller to open no more requests
     /// on this connection, unless it was sent already.
     async fn send_first_goaway(&mut self) -> Result<(), ConnectionError> {
-        if self.goaway_stage >= DrainStage::Leaving {
+        if self.goaway_stage >= DrainStage::CallersNotified {
             return Ok(());
         }
-        self.goaway_stage = DrainStage::Leaving;
+        self.goaway_stage = DrainStage::CallersNotified;
         self.goaway_preceded_requests = !self.had_request;
         self.http.shutdown(FIRST_GOAWAY_OFFSET).await
     }
--- a/crates/woodladder/src/agent/counters.rs
+++ b/crates/woodladder/src/agent/counters.rs
@@ -20,11 +20,10 @@
     ForeignToken,
     /// The packet has no valid token and cannot open a flow.
     InvalidToken,
-    /// The packet opens a flow under a configuration that was replaced too long
-    /// ago.
+    /// The packet opens a flow under a roll that was replaced too long ago.
     StaleSequence,
     /// The datagram belongs to a target that the routing table does not hold, so
-    /// it cannot be relayed.
+    /// the datagram cannot be relayed.
     UnknownRelayTarget,
     /// The agent already sends from the maximum number of service addresses.
     AddressBookFull,
@@ -199,8 +198,8 @@
     pub declined: u64,
     /// First datagrams of flows that were refused.
     pub refused: u64,
-    /// First datagrams of flows that were sent on to the next target on the
-    /// envelope's list.
+    /// First datagrams of flows that this agent did not decide on, and sent on to
+    /// the next target on the envelope's list.
     pub handed_on: u64,
     /// Datagrams of established flows that were sent on to the agent of the
     /// target in their token.
@@ -212,8 +211,8 @@
 pub struct AgentStatus {
     /// Phase of the agent's drain.
     pub drain_phase: DrainPhase,
-    /// Greatest configuration sequence seen in an envelope that is later than
-    /// the agent's own; zero when there was none.
+    /// Greatest sequence of a roll seen in an envelope that is later than the
+    /// sequence of the agent's own roll; zero when there was none.
     pub newest_sequence_seen: Sequence,
     /// First datagrams of flows, by decision, and relayed datagrams of
     /// established flows, since the start.
--- a/crates/woodladder/src/agent/health.rs
+++ b/crates/woodladder/src/agent/health.rs
@@ -41,9 +41,9 @@
 }
 
 impl ReconnectRequests {
-    /// Whether callers are to be asked to reconnect now. Returning `true` counts
-    /// as having asked them.
-    fn take_due(&mut self, leaving: bool, now: Instant) -> bool {
+    /// Returns whether callers are to be asked to reconnect now, and if so,
+    /// records the request as made.
+    fn record_due_request(&mut self, leaving: bool, now: Instant) -> bool {
         let interval_passed = self
             .last_asked_at
             .is_none_or(|last_asked_at| now - last_asked_at >= MINIMUM_RECONNECT_INTERVAL);
@@ -79,7 +79,7 @@
         }
         let leaving = leaving_answers >= LEAVING_CONFIRMATIONS;
         admission_control.set_back_end_leaving(leaving);
-        if reconnects.take_due(leaving, Instant::now()) {
+        if reconnects.record_due_request(leaving, Instant::now()) {
             admission_control.ask_callers_to_reconnect();
         }
     }
--- a/crates/woodladder/src/agent/ingress.rs
+++ b/crates/woodladder/src/agent/ingress.rs
@@ -1,8 +1,8 @@
-//! Decides what happens to a received datagram before the QUIC transport sees
-//! it.
+//! Decides what happens to a received datagram before the QUIC transport
+//! processes the datagram.
 //!
-//! The core's admission makes the decision. This module counts it and turns it
-//! into an action on the socket or the transport.
+//! The core's admission makes the decision. This module counts the decision and
+//! turns it into an action on the socket or the transport.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     Drop(DatagramDropReason),
 }
 
-/// Addresses of a datagram as the transport sees them.
+/// Addresses of a datagram that the transport is given.
 #[derive(Debug, Eq, PartialEq)]
 pub(super) struct Delivery {
     /// Address of the caller.
@@ -69,8 +69,8 @@
         &self.rejected_flows
     }
 
-    /// Greatest configuration sequence seen in an envelope that is later than
-    /// this node's own; zero when there was none.
+    /// Greatest sequence of a roll seen in an envelope that is later than the
+    /// sequence of this node's own roll; zero when there was none.
     pub(super) fn newest_sequence(&self) -> Sequence {
         Sequence(self.newest_sequence.load(Ordering::Relaxed))
     }
--- a/crates/woodladder/src/agent/permitted_body.rs
+++ b/crates/woodladder/src/agent/permitted_body.rs
@@ -1,7 +1,9 @@
-//! A request body that asks the scheduler for permission before it is written.
+//! A request body that requests the scheduler's permission before the request
+//! is written.
 //!
 //! The HTTP client connects and writes in one call. Between the two, right
-//! before it writes the request's head, it asks the body whether it is empty.
+//! before the client writes the request's head, it calls the body's
+//! `is_end_stream`, and that call asks for the send permit.
 //! At that moment the request changes from "certainly not run" to "may have
 //! run". When the request has been given up meanwhile, the body fails, and the
 //! client drops the connection with the head still in its buffer.
@@ -37,7 +39,9 @@
         }
     }
 
-    fn is_permitted(&self) -> bool {
+    /// Returns whether the request may be sent. The first call asks the scheduler
+    /// for the send permit; once that is granted, the request counts as sent.
+    fn obtain_permit(&self) -> bool {
         *self
             .permitted
             .get_or_init(|| self.scheduler.permit_send(self.request).is_some())
@@ -52,19 +56,21 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        if !self.is_permitted() {
+        if !self.obtain_permit() {
             let error = io::Error::other("the request was given up");
             return Poll::Ready(Some(Err(error.into())));
         }
         Pin::new(&mut self.body).poll_frame(context)
     }
 
+    // The HTTP client calls this right before it writes the request's head, so
+    // this call is usually the one that obtains the send permit.
     fn is_end_stream(&self) -> bool {
-        self.is_permitted() && self.body.is_end_stream()
+        self.obtain_permit() && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.is_permitted() {
+        if self.obtain_permit() {
             self.body.size_hint()
         } else {
             SizeHint::new()
--- a/crates/woodladder/src/agent/rejected_flows.rs
+++ b/crates/woodladder/src/agent/rejected_flows.rs
@@ -1,4 +1,5 @@
-//! New flows that admission has rejected.
+//! New flows that admission has rejected: their connections are refused, or
+//! opened only to answer all requests as not run.
 //!
 //! Only the QUIC transport can write a refusal that the caller understands, so
 //! the first datagram of a rejected flow still goes to the transport. The
@@ -28,17 +29,20 @@
 
 #[derive(Debug)]
 struct RejectedFlow {
-    flow: Vec<u8>,
+    connection_id: Vec<u8>,
     rejection: Rejection,
 }
 
 impl RejectedFlows {
     /// Adds a flow, or replaces its entry.
-    pub(super) fn insert(&self, flow: &[u8], rejection: Rejection) {
+    pub(super) fn insert(&self, connection_id: &[u8], rejection: Rejection) {
         let Ok(mut flows) = self.flows.lock() else {
             return;
         };
-        if let Some(known) = flows.iter_mut().find(|known| known.flow == flow) {
+        if let Some(known) = flows
+            .iter_mut()
+            .find(|known| known.connection_id == connection_id)
+        {
             known.rejection = rejection;
             return;
         }
@@ -46,15 +50,17 @@
             flows.pop_front();
         }
         flows.push_back(RejectedFlow {
-            flow: flow.to_vec(),
+            connection_id: connection_id.to_vec(),
             rejection,
         });
     }
 
     /// Removes a flow and returns its entry.
-    pub(super) fn remove(&self, flow: &[u8]) -> Option<Rejection> {
+    pub(super) fn remove(&self, connection_id: &[u8]) -> Option<Rejection> {
         let mut flows = self.flows.lock().ok()?;
-        let position = flows.iter().position(|known| known.flow == flow)?;
+        let position = flows
+            .iter()
+            .position(|known| known.connection_id == connection_id)?;
         flows.remove(position).map(|rejected| rejected.rejection)
     }
 }
--- a/crates/woodladder/src/agent/request_scheduler.rs
+++ b/crates/woodladder/src/agent/request_scheduler.rs
@@ -1,5 +1,5 @@
 //! Runs the core's request table: passes events from request tasks and the
-//! clock into it, and its actions back to the tasks.
+//! clock to the table, and the table's actions back to the tasks.
 //!
 //! The task of a request reports events and receives actions through its
 //! [`RequestHandle`]. Dropping the handle before a final action cancels the
@@ -111,8 +111,8 @@
     }
 
     /// Records that the back end accepts no connections: requests that wait or
-    /// arrive are refused at once. Returns whether the back end was not marked
-    /// as down before.
+    /// arrive are refused at once. Returns `true` when the back end was
+    /// marked as up until now.
     pub(super) fn mark_back_end_down(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
@@ -202,11 +202,11 @@
 /// Ticks the scheduler whenever a timer of the request table is due. Ends when
 /// the scheduler is dropped.
 pub(super) async fn run_timer(scheduler: Weak<RequestScheduler>) {
-    while let Some(strong) = scheduler.upgrade() {
-        strong.tick();
-        let changed = Arc::clone(&strong.timer_changed);
-        let sleep_time = strong.time_to_next_tick();
-        drop(strong);
+    while let Some(scheduler) = scheduler.upgrade() {
+        scheduler.tick();
+        let changed = Arc::clone(&scheduler.timer_changed);
+        let sleep_time = scheduler.time_to_next_tick();
+        drop(scheduler);
         tokio::select! {
             () = changed.notified() => {}
             () = sleep(sleep_time) => {}
--- a/crates/woodladder/src/agent/shared_drain.rs
+++ b/crates/woodladder/src/agent/shared_drain.rs
@@ -17,7 +17,7 @@
     Serving,
     /// Callers are asked to open no more requests; requests that still arrive
     /// are accepted.
-    Leaving,
+    CallersNotified,
     /// Requests that arrive are answered as not run.
     Refusing,
     /// The last request has ended.
@@ -26,12 +26,11 @@
 
 /// The drain, and the stage that follows from its last action.
 ///
-/// One lock is held while an event is created and handled and its actions are
-/// carried out. Otherwise a task could count the open requests, then another
-/// task could report a later count, and the first task would overwrite that with
-/// its older count; a stage could overwrite a later one in the same way. The agent
-/// would then wait for a request that has ended, or not publish that it has
-/// drained, and would stop only at its timeout.
+/// One lock covers creating an event, handling it and carrying out its actions,
+/// so that events and stages take effect in order. Without the lock, an old count
+/// of open requests could replace a newer one, and an old stage a newer stage.
+/// The agent would then wait for a request that has ended, or not publish that
+/// it has drained, and would stop only at its timeout.
 #[derive(Debug)]
 pub struct SharedDrain {
     drain: Mutex<Drain>,
@@ -98,7 +97,7 @@
 
 fn stage_after(action: DrainAction) -> DrainStage {
     match action {
-        DrainAction::NotifyCallers => DrainStage::Leaving,
+        DrainAction::NotifyCallers => DrainStage::CallersNotified,
         DrainAction::RefuseRequests => DrainStage::Refusing,
         DrainAction::Resume => DrainStage::Serving,
         DrainAction::Finish => DrainStage::Drained,
--- a/crates/woodladder/src/agent/socket.rs
+++ b/crates/woodladder/src/agent/socket.rs
@@ -1,7 +1,7 @@
 //! The transport's UDP socket: receives envelopes, sends datagrams with a PROXY
 //! header.
 //!
-//! The transport sees only the addresses of callers. In fact each received
+//! The transport is given only the addresses of callers. In fact each received
 //! datagram comes from a balancer or another agent, and each sent datagram goes
 //! to the fabric.
 
@@ -25,14 +25,14 @@
 use super::egress::{self, Egress};
 use super::ingress::{Ingress, IngressAction};
 
-/// Longest datagram that the socket receives, in bytes: room for a QUIC packet
-/// of 1350 bytes, the longest that the agent itself sends, and its envelope of
-/// at most [`MAXIMUM_OVERHEAD_LENGTH`] bytes.
+/// Longest datagram that the transport accepts, in bytes. The value exceeds the
+/// sum of a QUIC packet of 1350 bytes, the longest that the agent itself sends,
+/// and an envelope of at most [`MAXIMUM_OVERHEAD_LENGTH`] bytes.
 ///
 /// [`MAXIMUM_OVERHEAD_LENGTH`]: woodladder_core::packets::envelope::MAXIMUM_OVERHEAD_LENGTH
 pub(super) const MAXIMUM_DATAGRAM_LENGTH: u16 = 2048;
 
-/// The agent's UDP socket as the transport sees it.
+/// The agent's UDP socket in the form that the transport uses.
 pub(super) struct AgentSocket {
     io: UdpSocket,
     envelope_key: TagKey,
--- a/crates/woodladder/src/control/driver.rs
+++ b/crates/woodladder/src/control/driver.rs
@@ -28,9 +28,9 @@
     /// The data path has seen this sequence in an envelope.
     SequenceSeen(Sequence),
     /// A planned stop of this node has begun.
-    Leaving,
+    PlannedStop,
     /// Whether this node's target accepts new flows.
-    TakesNewFlows(bool),
+    AcceptsNewFlows(bool),
     /// Asks for the current state, which is sent through the channel.
     StatusRequest(oneshot::Sender<ControlPlaneStatus>),
 }
@@ -95,8 +95,8 @@
             }
             DriverInput::MachineList(machines) => Some(ReplicaEvent::MachineList(machines)),
             DriverInput::SequenceSeen(sequence) => Some(ReplicaEvent::SequenceSeen(sequence)),
-            DriverInput::Leaving => Some(ReplicaEvent::Leaving),
-            DriverInput::TakesNewFlows(takes) => Some(ReplicaEvent::TakesNewFlows(takes)),
+            DriverInput::PlannedStop => Some(ReplicaEvent::Leaving),
+            DriverInput::AcceptsNewFlows(accepts) => Some(ReplicaEvent::TakesNewFlows(accepts)),
             DriverInput::StatusRequest(reply) => {
                 let _ = reply.send(self.status());
                 None
--- a/crates/woodladder/src/control/machine_list.rs
+++ b/crates/woodladder/src/control/machine_list.rs
@@ -16,7 +16,7 @@
 const MINIMUM_PAUSE: Duration = Duration::from_secs(2);
 /// Approximate size of one machine's entry in the list, in bytes.
 const BYTES_PER_MACHINE: u64 = 72;
-/// Maximum of the average transfer rate of the list, in bytes per second.
+/// Limit on the average rate at which the list is read, in bytes per second.
 const MAXIMUM_BYTES_PER_SECOND: u64 = 1024;
 
 /// Reads the list repeatedly until the replica's driver has ended.
--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -64,13 +64,18 @@
 pub struct ControlPlaneStatus {
     /// Random identifier of the process, chosen anew at each start.
     pub node: NodeId,
-    /// Whether the node may serve: a roll is in force, and either enough peers
-    /// have answered, the key-value service has answered or could not be read,
-    /// and no later roll is known, or the time limit for this has passed.
+    /// Whether the node may serve. Once true, the value stays true. A roll has to
+    /// be in force, and either the time limit for joining has passed, or all of
+    /// these hold:
+    ///
+    /// - enough peers have answered;
+    /// - the key-value service has answered or could not be read;
+    /// - no later roll is known or being fetched.
     pub ready: bool,
     /// Whether the process has been suspended by the system, and no peer and no
     /// key-value service has confirmed since that its roll is still the one in
-    /// force. Ends by itself after [`ReplicaTuning::suspect_time`].
+    /// force. Even without a confirmation, the flag is cleared after
+    /// [`ReplicaTuning::suspect_timeout`].
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: Sequence,
@@ -192,12 +197,12 @@
 
     /// Announces to other nodes that a planned stop of this node has begun.
     pub fn announce_leaving(&self) {
-        let _ = self.inputs.send(DriverInput::Leaving);
+        let _ = self.inputs.send(DriverInput::PlannedStop);
     }
 
     /// Announces to other nodes whether this node's target accepts new flows.
-    pub fn announce_accepting_flows(&self, takes: bool) {
-        let _ = self.inputs.send(DriverInput::TakesNewFlows(takes));
+    pub fn announce_accepting_flows(&self, accepts: bool) {
+        let _ = self.inputs.send(DriverInput::AcceptsNewFlows(accepts));
     }
 
     /// Reports a sequence that the data path has seen in an envelope to the
--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -71,7 +71,7 @@
     pub not_ready: Option<NotReadyReason>,
     /// Whether the process has been suspended by the system, and no peer and no
     /// key-value service has confirmed since that its roll is still the one in
-    /// force. Ends by itself after some time.
+    /// force. The flag is cleared after some time even without a confirmation.
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: u64,
@@ -91,10 +91,10 @@
 impl fmt::Display for NotReadyReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::NoBundle => "no bundle is in force yet",
+            Self::NoBundle => "no roll is in force yet, or it is not confirmed",
             Self::Stopping => "a planned stop has begun",
-            Self::Failed => "a part of the node has failed",
-            Self::Leaving => "the target takes no new work",
+            Self::Failed => "the packet path has failed",
+            Self::Leaving => "the target accepts no new flows",
         })
     }
 }
