--- a/crates/woodladder/src/control/mod.rs
+++ b/crates/woodladder/src/control/mod.rs
@@ -74,8 +74,7 @@
     pub ready: bool,
     /// Whether the process has been suspended by the system, and no peer and no
     /// key-value service has confirmed since that its roll is still the one in
-    /// force. Even without a confirmation, the flag is cleared after
-    /// [`ReplicaTuning::suspect_timeout`].
+    /// force. The flag is cleared in any case after [`ReplicaTuning::suspect_timeout`].
     pub suspect: bool,
     /// Sequence of the roll in force; zero before the first.
     pub sequence: Sequence,
