--- a/crates/woodladder/src/endpoint/status.rs
+++ b/crates/woodladder/src/endpoint/status.rs
@@ -91,10 +91,10 @@
 impl fmt::Display for NotReadyReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::NoBundle => "no bundle is in force yet",
+            Self::NoBundle => "no roll is in force yet, or it is not confirmed",
             Self::Stopping => "a planned stop has begun",
-            Self::Failed => "a part of the node has failed",
-            Self::Leaving => "the target takes no new work",
+            Self::Failed => "the packet path has failed",
+            Self::Leaving => "the target accepts no new flows",
         })
     }
 }
