--- a/crates/woodladder-core/src/flow/agent/admission/opening_queue.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/opening_queue.rs
@@ -1,10 +1,10 @@
 //! Queue of openings that wait until the target can begin with their requests.
 //!
 //! A target serves its own queue in order of arrival, so that after a surge every request
-//! in that queue is late. Openings wait at the agent instead, where none of their work
-//! has run and the agent can choose among them. Openings whose requests can still be
-//! answered in time go first, and among these the ones of urgent routes; late ones get
-//! the remaining slots.
+//! in that queue is late. Openings wait at the agent instead, before the target has
+//! received anything of them, and the agent can choose among them. Openings whose
+//! requests can still be answered in time go first, and among these the ones of urgent
+//! routes; late ones get the remaining slots.
 //!
 //! Where requests on open flows are queued, too,
 //! [`crate::flow::agent::admission::serving_order`] chooses among openings and requests
--- a/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_admission.rs
@@ -93,7 +93,7 @@
             EnqueueResult::Queued => {}
             EnqueueResult::Duplicate => self.counters.duplicate_packets_dropped += 1,
             // The caller retransmits the packet.
-            EnqueueResult::Full => self.counters.packets_dropped += 1,
+            EnqueueResult::Full => self.counters.messages_and_packets_dropped += 1,
         }
         true
     }
@@ -176,8 +176,8 @@
         self.update_queued_count();
     }
 
-    /// Counts the requests that have been in service for so long that the target has more
-    /// likely dropped them than not answered them yet.
+    /// Counts the requests that have been in service for so long that the target has
+    /// probably dropped them.
     pub(crate) fn count_presumed_lost(&mut self, now: Instant) {
         if !self.mechanisms.orders_requests || !self.has_queued_work() {
             self.presumed_lost_count = 0;
--- a/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
@@ -55,8 +55,8 @@
     pub terms: RequestTerms,
     /// When the first packet of the request arrived.
     pub first_seen: Instant,
-    /// When the request was queued; for one that was given up and retransmitted, the last
-    /// time.
+    /// When the request was queued; if it was given up and retransmitted, when it was
+    /// queued again.
     pub queued_at: Instant,
     /// The packets in the order of their bytes.
     pub packets: Vec<QueuedPacket>,
@@ -71,7 +71,9 @@
     Queued,
     /// The packet is queued already.
     Duplicate,
-    /// The queue has no room for the packet.
+    /// The packet was not queued: the queue has no room, the flow's request has
+    /// [`MAXIMUM_PACKETS_PER_REQUEST`] packets already, or no request of the flow is
+    /// queued to which the packet could be added.
     Full,
 }
 
--- a/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
@@ -111,7 +111,7 @@
     }
 
     /// How long the work may still be queued if it is to be in time.
-    fn slack(&self, now: Instant) -> Duration {
+    fn slack_time(&self, now: Instant) -> Duration {
         let spent = now.since(self.first_sent) + self.expected_time;
         self.aim.saturating_sub(spent)
     }
@@ -169,14 +169,15 @@
         .iter()
         .filter(|work| work.group(now) == WorkGroup::InTimeUrgent)
         .collect();
-    urgent.sort_by_key(|work| work.slack(now));
+    urgent.sort_by_key(|work| work.slack_time(now));
     let slots = u32::from(slots.max(1));
     let mut work_ahead = other.expected_time;
     urgent.iter().all(|work| {
-        // A slot becomes free at the latest when one piece of work has ended.
+        // Estimate: a slot becomes free within the expected time of `other`. The work
+        // ahead, which includes `other` itself, is then spread over all slots.
         let begins_after = other.expected_time + work_ahead / slots;
         work_ahead += work.expected_time;
-        begins_after <= work.slack(now)
+        begins_after <= work.slack_time(now)
     })
 }
 
--- a/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/warm_up.rs
@@ -21,9 +21,10 @@
 /// Span over which requests are counted: one second, plus 50 milliseconds for differences
 /// in the delay of packets from the agent to the target.
 const COUNTING_SPAN: Duration = Duration::from_millis(1050);
-/// Longest time after a stall of the agent's process at which the agent may still read a
-/// heartbeat that was sent before the stall: a target waits one second for the answer to
-/// a heartbeat.
+/// Maximum age of a heartbeat when the agent reads it: a target waits one second for the
+/// answer to a heartbeat. For this long after a stall of the agent's process or a gap in
+/// the news of excluded zones ([`ColdReason::OutOfTouch`]), the agent may still read a
+/// heartbeat that was sent before.
 const MAXIMUM_HEARTBEAT_DELAY: Duration = Duration::from_millis(1000);
 /// Thousandths in a whole.
 const THOUSANDTHS: f64 = 1000.0;
@@ -46,7 +47,8 @@
     delivered_at: VecDeque<Instant>,
     /// When it became uncertain whether the target is cold; `None` while it is certain.
     assumed_cold_since: Option<Instant>,
-    /// From when on a heartbeat ends this uncertainty; `None` while there is none.
+    /// From when on a heartbeat ends the uncertainty; `None` while it is certain whether
+    /// the target is cold.
     heartbeats_trusted_from: Option<Instant>,
 }
 
@@ -70,8 +72,9 @@
         self.delivered_at.iter().rev().take_while(is_recent).count()
     }
 
-    /// Records a heartbeat, which states the target's remaining warm-up time.
-    pub(crate) fn record_heartbeat(&mut self, now: Instant) {
+    /// Ends the uncertainty whether the target is cold, if the heartbeat that arrived now
+    /// is recent enough to be trusted. The heartbeat states the remaining warm-up time.
+    pub(crate) fn end_uncertainty(&mut self, now: Instant) {
         if self.heartbeats_trusted_from.is_none_or(|from| now >= from) {
             self.assumed_cold_since = None;
             self.heartbeats_trusted_from = None;
--- a/crates/woodladder-core/src/flow/agent/decision.rs
+++ b/crates/woodladder-core/src/flow/agent/decision.rs
@@ -138,8 +138,11 @@
     pub requests_answered: u64,
     /// Requests that the target failed.
     pub requests_failed: u64,
-    /// Messages and packets that were dropped.
-    pub packets_dropped: u64,
+    /// Messages dropped because agents do not handle their kind, and packets of open
+    /// flows dropped because the request queue had no room. Packets counted by
+    /// `duplicate_packets_dropped` and requests counted by `requests_given_up` are not
+    /// included.
+    pub messages_and_packets_dropped: u64,
     /// Heartbeats accepted.
     pub heartbeats: u64,
     /// Heartbeats rejected because a later incarnation has replaced theirs.
--- a/crates/woodladder-core/src/flow/agent/flows.rs
+++ b/crates/woodladder-core/src/flow/agent/flows.rs
@@ -29,7 +29,7 @@
                 begins_request,
             };
         }
-        if self.knows_all_flows(now) {
+        if self.has_all_flows_in_table(now) {
             self.counters.searches_denied += 1;
             return ForwardDecision::Reply(
                 self.returned_message(ReturnReason::NotHeld),
@@ -153,7 +153,7 @@
             return TargetPacketDecision::ToCaller(None);
         }
         if self.flows.touch(&packet.key).is_none() {
-            self.learn_flow(packet, now);
+            self.add_missing_flow(packet, now);
         }
         let Some(flow) = self.flows.touch(&packet.key) else {
             return TargetPacketDecision::ToCaller(None);
@@ -190,7 +190,7 @@
 
     /// Adds a flow that the target holds and that is not in the table, because the flow
     /// was opened before the agent started.
-    fn learn_flow(&mut self, packet: &FlowPacket, now: Instant) {
+    fn add_missing_flow(&mut self, packet: &FlowPacket, now: Instant) {
         if packet.kind == PacketKind::Accept {
             return;
         }
@@ -239,11 +239,11 @@
     }
 
     /// Removes the flows of a target that was replaced, except for flows whose state
-    /// changed after its last heartbeat. Because a target takes flows before its own
-    /// first heartbeat, the remaining flows may be open at the new target; if they are
-    /// not, the new target returns their packets. Requests of the remaining flows that
-    /// were in service no longer count as load: most of them ended with the former
-    /// incarnation, and would keep slots of the new one occupied.
+    /// changed after the replaced target's last heartbeat. Because a target takes flows
+    /// before its own first heartbeat, the remaining flows may be open at the new target;
+    /// if they are not, the new target returns their packets. Requests of the remaining
+    /// flows that were in service no longer count as load: most of them ended with the
+    /// former incarnation, and would keep slots of the new one occupied.
     pub(super) fn remove_flows_of_replaced_target(
         &mut self,
         last_heartbeat: Option<Instant>,
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent: a state machine that stands beside one target, decides which packets reach
-//! it and reports the target's load to the balancers.
+//! The agent: a state machine for one target. It decides which packets reach the target
+//! and reports the target's load to the balancers.
 //!
 //! # Lifecycle
 //! An agent starts with an empty flow table and admits no new flow before the target's
@@ -113,8 +113,8 @@
     caller_next_sequence: u32,
     /// Sequence number of the first byte of the latest request.
     request_start_sequence: u32,
-    /// Whether the outcome of the latest request is still unknown. The packet with which
-    /// the target ends the flow may overtake its answer.
+    /// Whether the outcome of the latest request is still unknown. Stays set when the
+    /// target's Finish arrives before the answer, so that the answer is still counted.
     awaits_outcome: bool,
 }
 
@@ -144,8 +144,8 @@
     incarnation: Option<Incarnation>,
     /// Identifies the target by its name alone, whichever start it is.
     instance: Option<Incarnation>,
-    /// Time that the target states as the beginning of this start, in milliseconds of
-    /// Unix time.
+    /// When the incarnation began, in milliseconds of Unix time; `None` if the target
+    /// does not state it.
     started_at_ms: Option<u64>,
     replaced_starts: Vec<ReplacedStart>,
     restart_detector: RestartDetector,
@@ -285,8 +285,8 @@
 
     /// How urgently the agent needs the store's list of balancers. The agent does not
     /// need the list while hellos arrive: some balancers read the list to find balancers
-    /// that none of their peers knows ([`ListNeed::Safeguard`]), and hellos name the
-    /// balancers to add.
+    /// that are in none of their peers' lists ([`ListNeed::Safeguard`]), and hellos name
+    /// the balancers to add.
     #[must_use]
     pub fn list_need(&self, now: Instant) -> ListNeed {
         if self.balancers.hears_any(now) {
@@ -340,7 +340,7 @@
         }
     }
 
-    /// The snapshot that this node sends to a node that asks for one.
+    /// The snapshot that this node sends to a node that requests one.
     #[must_use]
     pub fn answer_snapshot(&self, request: &SnapshotRequest) -> Snapshot {
         let balancers = self.balancers.confirmed_by_hello().collect();
--- a/crates/woodladder-core/src/flow/agent/reporting/balancer_messages.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/balancer_messages.rs
@@ -19,7 +19,7 @@
 const MAXIMUM_ANNOUNCEMENT_RECEIVERS: usize = 64;
 /// Time between ticks while queued work or an unsent report waits for the next tick.
 const SHORT_TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time between ticks otherwise.
+/// Time between ticks while no work is queued and no report waits for the next tick.
 const LONG_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A pause between two ticks of at least this length counts as a stall of the process.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
@@ -45,11 +45,11 @@
                 self.send_due_reports(now, actions);
             }
             PeerMessage::ListFlows => self.send_flow_list(from, now, actions),
-            _ => self.counters.packets_dropped += 1,
+            _ => self.counters.messages_and_packets_dropped += 1,
         }
     }
 
-    /// Sends a balancer the list of flows that it has asked for.
+    /// Sends a balancer the list of flows that it has requested.
     fn send_flow_list(&mut self, to: NodeAddress, now: Instant, actions: &mut Vec<AgentAction>) {
         for part in self.flow_announcer.list_parts(now) {
             self.counters.flow_list_parts_sent += 1;
@@ -155,8 +155,8 @@
     }
 
     /// Sends the balancers, as part of a planned stop, the message that the target has
-    /// ended. Must not be called while the target lives, because its flows are then
-    /// reset.
+    /// ended. To be called only after the target has ended, because the balancers reset
+    /// the target's flows on this message.
     pub fn announce_target_end(&self, actions: &mut Vec<AgentAction>) {
         for to in self.balancers.addresses() {
             let message = PeerMessage::TargetEnded;
@@ -248,7 +248,7 @@
             previous_heartbeat_age_ms: self.target.previous_last_heartbeat_at.map_or(0, |at| {
                 u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX)
             }),
-            knows_all_flows: self.knows_all_flows(now),
+            knows_all_flows: self.has_all_flows_in_table(now),
             zone: self.options.zone,
             state: self.target.state,
             slots: self.target.slots,
--- a/crates/woodladder-core/src/flow/agent/reporting/flow_announcer.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/flow_announcer.rs
@@ -2,7 +2,7 @@
 //! were sent to each balancer.
 //!
 //! Changes are numbered. A report repeats the changes of the report before it, so that
-//! the loss of one report costs nothing. A balancer that misses more asks for the
+//! the loss of one report costs nothing. A balancer that misses more requests the
 //! complete list.
 
 use std::collections::VecDeque;
@@ -24,7 +24,8 @@
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of changes that are kept for reports.
 const MAXIMUM_CHANGES: usize = 1024;
-/// Maximum number of parts of flow lists that are sent at once, after a time without any.
+/// Maximum number of parts of flow lists that are sent at once, after a period without
+/// any.
 const LIST_BURST: u32 = 64;
 /// Parts of flow lists that may be sent per second, of at most 1,200 bytes each, to all
 /// balancers together.
@@ -83,8 +84,9 @@
             .is_none_or(|at| now.since(at) >= UPDATE_INTERVAL)
     }
 
-    /// Replaces the announced flows by those that have been open for
-    /// [`ANNOUNCED_FROM_AGE`].
+    /// Replaces the announced flows by `flows`, which the caller has limited to those
+    /// open for at least [`ANNOUNCED_FROM_AGE`]. More than [`MAXIMUM_ANNOUNCED_FLOWS`]
+    /// are not announced at all.
     pub fn update(&mut self, flows: impl Iterator<Item = FlowFingerprint>, now: Instant) {
         self.updated_at = Some(now);
         let next: FxHashSet<FlowFingerprint> = flows.take(MAXIMUM_ANNOUNCED_FLOWS + 1).collect();
@@ -203,9 +205,9 @@
         flows
     }
 
-    /// The complete list, for a balancer that has asked for it. Empty if there are too
+    /// The complete list, for a balancer that has requested it. Empty if there are too
     /// many flows, or if the parts that [`LIST_PARTS_PER_SECOND`] allows have been sent
-    /// to other balancers; the balancer then asks again.
+    /// to other balancers; the balancer then sends another request.
     pub fn list_parts(&mut self, now: Instant) -> Vec<FlowListPart> {
         let parts = self.open.len().div_ceil(MAXIMUM_FINGERPRINTS).max(1);
         self.refill_list_parts(now);
--- a/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
@@ -1,8 +1,8 @@
 //! Schedule of the reports to each balancer.
 //!
-//! Balancers ask for reports at different rates: those that choose targets themselves
-//! more often than those that relay their packets to other balancers. A balancer that has
-//! not sent a hello yet gets reports at a fixed rate.
+//! Balancers request reports at different rates: those that choose targets themselves
+//! request more than those that relay their packets to other balancers. A balancer that
+//! has not sent a hello yet gets reports at a fixed rate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,13 +18,14 @@
 /// agent's first report. With many such balancers, [`ReportSchedule::interval_factor`]
 /// lengthens the interval.
 const UNCONFIRMED_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum mean time between two reports of one agent, whatever the balancers ask for: it
-/// limits reports to a hundredth of a small machine's processor.
+/// Minimum mean time between two reports of one agent, whatever the balancers request.
+/// Reports thus take at most a hundredth of a small machine's processor, if one report
+/// takes at most a hundredth of this spacing (120 microseconds).
 const MINIMUM_MEAN_SPACING: Duration = Duration::from_millis(12);
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Interval that the balancer has asked for.
+    /// Interval that the balancer has requested.
     requested_interval: Option<Duration>,
     due_at: Instant,
     /// Whether a report has been sent.
@@ -47,7 +48,7 @@
 }
 
 impl ReportSchedule {
-    /// Sets the interval that a balancer asks for.
+    /// Sets the interval that a balancer requests.
     pub(crate) fn set_requested_interval(
         &mut self,
         balancer: NodeAddress,
@@ -71,7 +72,7 @@
         });
     }
 
-    /// Makes a report to one balancer due.
+    /// Sets the next report to one balancer to be due now.
     pub(crate) fn make_due(&mut self, balancer: NodeAddress, now: Instant) {
         self.add(balancer, now);
         if let Some(entry) = self.entries.get_mut(&balancer) {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Makes a report to every balancer due.
+    /// Sets the next report to every balancer to be due now.
     pub(crate) fn make_all_due(&mut self, now: Instant) {
         for entry in self.entries.values_mut() {
             entry.due_at = now;
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -36,7 +36,7 @@
                 begins_request,
             };
         }
-        let knows_all = self.knows_all_flows(now);
+        let knows_all = self.has_all_flows_in_table(now);
         if !knows_all && !self.is_target_known_to_run() {
             return ForwardDecision::NoReply;
         }
@@ -73,7 +73,7 @@
     ) {
         let accounts_for_recorded =
             recorded.is_some_and(|incarnation| self.accounts_for_flows_of(incarnation));
-        let knows_all = accounts_for_recorded || self.knows_all_flows(now);
+        let knows_all = accounts_for_recorded || self.has_all_flows_in_table(now);
         let mut denied = Vec::new();
         let mut undecided = Vec::new();
         for key in keys.iter().take(MAXIMUM_FLOWS_PER_QUERY) {
@@ -112,9 +112,11 @@
             || self.target.listen_state == ListenState::Listening
     }
 
-    /// Whether every open flow of the target is in the table: the agent has run since the
-    /// target started, or for longer than the longest life of a flow.
-    pub(super) fn knows_all_flows(&self, now: Instant) -> bool {
+    /// Whether every open flow of the target is in the table. This holds if the agent has
+    /// run since the target started and the table has never overflowed, or if the longest
+    /// life of a flow has passed since the table last overflowed or, if it never has,
+    /// since the agent started.
+    pub(super) fn has_all_flows_in_table(&self, now: Instant) -> bool {
         let complete_since = self.flows.overflowed_at().unwrap_or(self.started_at);
         let has_seen_all = now.since(complete_since) >= self.options.flow_lifetime;
         has_seen_all || (self.target.started_after_agent && self.flows.overflowed_at().is_none())
--- a/crates/woodladder-core/src/flow/agent/target/failure_record.rs
+++ b/crates/woodladder-core/src/flow/agent/target/failure_record.rs
@@ -95,8 +95,8 @@
         percent
     }
 
-    /// Lets the evidence decay. Returns whether the target has become or ceased to be
-    /// suspect.
+    /// Decays the weights of the outcomes. Returns whether the target has become or
+    /// ceased to be suspect.
     pub fn tick(&mut self, now: Instant) -> Option<Suspicion> {
         self.decay(now);
         let share = self.failed_percent();
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -126,7 +126,7 @@
         self.target.unanswered_since = None;
         self.target.slots = heartbeat.slots;
         self.target.warm_from = now + heartbeat.warm_up_remaining;
-        self.warm_up.record_heartbeat(now);
+        self.warm_up.end_uncertainty(now);
         let state = match (heartbeat.leaving, self.target.state) {
             (true, _) | (_, TargetState::Leaving) => TargetState::Leaving,
             _ => TargetState::Ready,
@@ -170,12 +170,12 @@
         self.target.instance = Some(heartbeat.instance);
         self.target.started_at_ms = heartbeat.started_at_ms;
         self.target.started_after_agent = previous.started_after_agent
-            || previous.was_alive_beside_agent(heartbeat)
+            || previous.is_assumed_alive_while_agent_ran(heartbeat)
             || heartbeat.sequence <= FIRST_SEQUENCE;
         self.target.replaced_starts = previous.replaced_starts;
         self.target.previous_last_heartbeat_at = previous.last_heartbeat_at;
         if previous.incarnation.is_none() && previous.instance == Some(heartbeat.incarnation) {
-            // This very start was deregistered before its first heartbeat.
+            // This start was deregistered before its first heartbeat.
             self.target.state = TargetState::Leaving;
         }
         if let Some(ended) = previous.incarnation {
@@ -256,11 +256,12 @@
             .supersedes(&known, &next, heartbeat.sequence, now)
     }
 
-    /// Whether this incarnation was alive while the agent ran, so that the incarnation
-    /// that replaces it started later than the agent. A single heartbeat does not show
-    /// that, because it may have been delayed since before the agent's start. It suffices
-    /// only if `next` states no start time, so that the start times cannot be compared.
-    fn was_alive_beside_agent(&self, next: &Heartbeat) -> bool {
+    /// Whether this incarnation is taken to have been alive while the agent ran, so that
+    /// the incarnation that replaces it started later than the agent. Heartbeats at least
+    /// [`MINIMUM_ALIVE_SPAN`] apart prove this. A single heartbeat does not, because it
+    /// may have been delayed since before the agent's start. If `next` states no start
+    /// time, the start times cannot be compared, and a single heartbeat suffices.
+    fn is_assumed_alive_while_agent_ran(&self, next: &Heartbeat) -> bool {
         let span = self.first_heartbeat_at.zip(self.last_heartbeat_at);
         let was_heard_twice =
             span.is_some_and(|(first, last)| last.since(first) >= MINIMUM_ALIVE_SPAN);
--- a/crates/woodladder-core/src/flow/agent/target/idle_flow_work.rs
+++ b/crates/woodladder-core/src/flow/agent/target/idle_flow_work.rs
@@ -115,8 +115,9 @@
     }
 }
 
-/// Slots that one flow occupies on average; `None` when no flow has been idle yet. A flow
-/// has at most one request at a time.
+/// Slots that an idle flow is expected to occupy: the ratio of work time to idle time, at
+/// most one slot because a flow has at most one request at a time. `None` when no flow
+/// has been idle yet.
 fn slots_per_flow(work_seconds: f64, idle_seconds: f64) -> Option<f64> {
     (idle_seconds > 0.0).then(|| (work_seconds / idle_seconds).min(1.0))
 }
--- a/crates/woodladder-core/src/flow/agent/target/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/target/mod.rs
@@ -1,4 +1,5 @@
-//! What the agent knows of its target: heartbeats, load, and outcomes of requests.
+//! State of the target as the agent observes it: heartbeats, load, and outcomes of
+//! requests.
 
 pub(crate) mod failure_record;
 pub(crate) mod heartbeat;
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -8,7 +8,7 @@
 use crate::flow::balancer::{Balancer, BalancerAction, FlowEntry};
 use crate::flow::flow_table::FlowTable;
 use crate::flow::identity::FlowKey;
-use crate::flow::link::LinkBudget;
+use crate::flow::link::LinkLoadControl;
 use crate::flow::link::bulk_admission::{BulkDecision, ReleasedOpening};
 use crate::flow::log_event::LogEvent;
 use crate::flow::packet::FlowPacket;
@@ -18,7 +18,7 @@
     /// Load and limits of the machine's link; `None` unless pacing of the link is
     /// active.
     #[must_use]
-    pub fn paced_link(&self) -> Option<&LinkBudget> {
+    pub fn paced_link(&self) -> Option<&LinkLoadControl> {
         self.link.as_ref().filter(|_| self.mechanisms.paces_link)
     }
 
@@ -40,14 +40,14 @@
     #[must_use]
     pub fn has_openings_waiting_for_link(&self) -> bool {
         self.paced_link()
-            .is_some_and(|link| link.openings_waiting() > 0)
+            .is_some_and(|link| link.queued_openings() > 0)
     }
 
     /// Whether the link has room for openings that wait for it.
     #[must_use]
     pub fn can_release_openings(&self) -> bool {
         self.paced_link()
-            .is_some_and(LinkBudget::can_release_waiting)
+            .is_some_and(LinkLoadControl::can_release_opening)
     }
 
     /// Defers or refuses an opening while the link is full; `None` if the packet may be
@@ -61,11 +61,11 @@
         self.paced_link()?;
         let terms = self.routes.route(packet.key.service)?.terms;
         let link = self.link.as_mut()?;
-        let waited_before = link.openings_waiting();
+        let waited_before = link.queued_openings();
         match link.admit_caller_packet(packet, bytes, terms, now) {
             BulkDecision::Admit => None,
             BulkDecision::Wait => {
-                let (under_way, waiting) = (link.active_bulk_flows(), link.openings_waiting());
+                let (under_way, waiting) = (link.active_bulk_flows(), link.queued_openings());
                 if waiting > waited_before {
                     self.counters.openings_deferred_for_link += 1;
                     self.log_events.add(LogEvent::OpeningDeferredForLink {
@@ -95,8 +95,8 @@
             return;
         };
         // Drops waiting openings whose flows were opened meanwhile by other copies.
-        link.forget_waiting(|key| is_open(&self.flows, key));
-        for opening in link.release_waiting(now) {
+        link.remove_queued_openings(|key| is_open(&self.flows, key));
+        for opening in link.release_openings(now) {
             let routing = if opening.is_admitted {
                 self.relay_or_route_packet(&opening.packet, &opening.bytes, now)
             } else {
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -25,7 +25,7 @@
 use super::excluded_zones::ExcludedZones;
 use super::flow_table::FlowTable;
 use super::identity::{FlowKey, Incarnation, NodeAddress, ServiceKey};
-use super::link::LinkBudget;
+use super::link::LinkLoadControl;
 use super::log_event::{LogEvent, LogEventBuffer};
 use super::packet::{CallerReset, FlowPacket, PacketKind, ResetReason};
 use super::peers::BalancerPeers;
@@ -117,7 +117,7 @@
     peers: BalancerPeers,
     zone_members: ZoneMembers,
     /// Load and limits of the machine's link; `None` when its rate is not known.
-    link: Option<LinkBudget>,
+    link: Option<LinkLoadControl>,
     /// Larger balancers that this one relays callers' packets to.
     relay_receivers: Vec<NodeAddress>,
     /// Smaller balancers of the zone that relay their packets to this one.
@@ -217,7 +217,7 @@
             directory: AgentDirectory::default(),
             peers: BalancerPeers::default(),
             zone_members: ZoneMembers::default(),
-            link: options.link_rate_kbps.map(LinkBudget::new),
+            link: options.link_rate_kbps.map(LinkLoadControl::new),
             relay_receivers: Vec::new(),
             relaying_members: Vec::new(),
             flows: FlowTable::new(options.flow_capacity, options.flow_retention),
--- a/crates/woodladder-core/src/flow/link/bulk_admission.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_admission.rs
@@ -2,10 +2,11 @@
 //! same time.
 //!
 //! Each sender may have up to [`super::SEND_WINDOW_BYTES`] bytes in flight, whatever the
-//! link carries. When more windows arrive together than the link can queue, packets are
-//! lost, and each loss costs a sender at least 200 milliseconds. Openings beyond the
-//! limit are queued here, where none of their work has run. Packets of open flows are
-//! never delayed.
+//! link carries. When the packets of several senders arrive at the same time and exceed
+//! what can be queued in front of the link, packets are lost, and each loss costs a
+//! sender at least 200 milliseconds. Openings beyond the limit are queued here, before
+//! the target has received anything of their flows. Packets of open flows are never
+//! delayed.
 
 use std::time::Duration;
 
@@ -29,7 +30,7 @@
     pub aim: Duration,
     /// Time after which an answer is of no use any more.
     pub timeout: Duration,
-    /// Time that the flow's bytes take on the link alone.
+    /// Time to transfer the flow's bytes if no other flow uses the link.
     pub transfer_time: Duration,
 }
 
@@ -49,8 +50,8 @@
     Admit,
     /// The opening is queued.
     Wait,
-    /// The opening is refused, because the queue is full or the opening would reach its
-    /// maximum age in the queue. None of its work has run.
+    /// The opening is refused, because the queue is full or the flows before the opening
+    /// would take too long. The target has received nothing of the flow.
     Refuse,
 }
 
@@ -230,8 +231,10 @@
         in_time.or(self.queue.len().checked_sub(1))
     }
 
-    /// Whether an opening that arrives now would be forwarded only after its maximum age,
-    /// if each flow before it takes `transfer_time` on the link.
+    /// Whether the flows before an opening that arrives now take longer on the link than
+    /// [`MAXIMUM_OPENING_AGE`] or the opening's timeout, whichever is shorter. The flows
+    /// before it are the queued ones and `limit` active ones, and each is assumed to take
+    /// the `transfer_time` of `terms`.
     fn would_be_queued_too_long(&self, terms: BulkTerms, limit: usize) -> bool {
         let ahead = u32::try_from(self.queue.len() + limit).unwrap_or(u32::MAX);
         terms.transfer_time.saturating_mul(ahead) > MAXIMUM_OPENING_AGE.min(terms.timeout)
--- a/crates/woodladder-core/src/flow/link/mod.rs
+++ b/crates/woodladder-core/src/flow/link/mod.rs
@@ -22,18 +22,18 @@
 pub const DATAGRAM_HEADER_BYTES: usize = 28;
 /// Bytes that a sender may have in flight: 16 packets of 1,200 bytes.
 pub const SEND_WINDOW_BYTES: u64 = 16 * 1200;
-/// Time for which packets may be queued in front of the link without being lost or
-/// retransmitted.
-const MAXIMUM_QUEUE_DELAY: Duration = Duration::from_millis(35);
-/// Minimum number of flows that share a link: one sends while another waits for
-/// acknowledgements.
+/// Longest time for which packets may be queued by the network in front of the link
+/// without being lost or retransmitted.
+const MAXIMUM_NETWORK_QUEUE_TIME: Duration = Duration::from_millis(35);
+/// Lower bound of the limit on active bulk flows, also on a slow link: one flow sends
+/// while another waits for acknowledgements.
 const MINIMUM_ACTIVE_BULK_FLOWS: u64 = 2;
 /// Bits in a byte.
 const BITS_PER_BYTE: u64 = 8;
 
 /// Use of a link, and admission of the flows of bulk routes that share it.
 #[derive(Clone, Debug)]
-pub struct LinkBudget {
+pub struct LinkLoadControl {
     /// Rate in each direction, in kilobits per second.
     rate_kbps: u32,
     incoming: LinkUsage,
@@ -42,8 +42,8 @@
     bulk_admission: BulkAdmission,
 }
 
-impl LinkBudget {
-    /// The budget of a link of this rate, in kilobits per second.
+impl LinkLoadControl {
+    /// The load control of an unused link of this rate, in kilobits per second.
     #[must_use]
     pub fn new(rate_kbps: u32) -> Self {
         Self {
@@ -97,12 +97,12 @@
     }
 
     /// Removes the queued openings of the flows for which `is_obsolete` holds.
-    pub fn forget_waiting(&mut self, is_obsolete: impl Fn(&FlowKey) -> bool) {
+    pub fn remove_queued_openings(&mut self, is_obsolete: impl Fn(&FlowKey) -> bool) {
         self.bulk_admission.remove_queued(is_obsolete);
     }
 
     /// Openings that leave the queue now.
-    pub fn release_waiting(&mut self, now: Instant) -> Vec<ReleasedOpening> {
+    pub fn release_openings(&mut self, now: Instant) -> Vec<ReleasedOpening> {
         if self.bulk_admission.queued() == 0 {
             return Vec::new();
         }
@@ -117,7 +117,7 @@
 
     /// Whether a queued opening may be forwarded now.
     #[must_use]
-    pub fn can_release_waiting(&self) -> bool {
+    pub fn can_release_opening(&self) -> bool {
         self.bulk_admission.has_room(self.max_active_bulk_flows())
     }
 
@@ -152,7 +152,7 @@
 
     /// Number of queued openings.
     #[must_use]
-    pub fn openings_waiting(&self) -> usize {
+    pub fn queued_openings(&self) -> usize {
         self.bulk_admission.queued()
     }
 
@@ -161,7 +161,7 @@
     #[must_use]
     pub fn max_active_bulk_flows(&self) -> usize {
         let queue_bytes =
-            u64::from(self.rate_kbps) * milliseconds(MAXIMUM_QUEUE_DELAY) / BITS_PER_BYTE;
+            u64::from(self.rate_kbps) * milliseconds(MAXIMUM_NETWORK_QUEUE_TIME) / BITS_PER_BYTE;
         usize::try_from((queue_bytes / SEND_WINDOW_BYTES).max(MINIMUM_ACTIVE_BULK_FLOWS))
             .unwrap_or(usize::MAX)
     }
--- a/crates/woodladder-core/src/flow/link/scheduler.rs
+++ b/crates/woodladder-core/src/flow/link/scheduler.rs
@@ -1,10 +1,10 @@
 //! Order and pace of the datagrams that leave over a link.
 //!
-//! A link that is sent more than it carries drops datagrams, whichever they are. The
-//! scheduler sends no more than the link's rate. Small packets that their receivers wait
-//! for go first; bulk datagrams are queued for at most [`MAXIMUM_QUEUE_TIME`], and the
-//! packets of one flow keep their order. While the link has room, every datagram is sent
-//! at once.
+//! A link that is sent more than it carries drops datagrams regardless of their class.
+//! The scheduler sends no more than the link's rate. Small packets that their receivers
+//! wait for go first; bulk datagrams are queued for at most
+//! [`MAXIMUM_SCHEDULER_QUEUE_TIME`], and the packets of one flow keep their order. While
+//! the link has room, every datagram is sent at once.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::clock::Instant;
 use crate::flow::identity::FlowKey;
 
-/// Share of the link's rate that is used, in percent. The rest leaves room for one burst
-/// of [`MAXIMUM_BURST`], 0.4 percent of a second.
+/// Share of the link's rate that is used, in percent. The unused 1 percent has room for
+/// one burst of [`MAXIMUM_BURST`] in every second, which is 0.4 percent of a second.
 const PACED_PERCENT: u64 = 99;
 /// Time by which the sent datagrams may run ahead of the link's rate, a few periods of
 /// the node's timers (1 millisecond each), so that the link is not idle between two calls
 /// of [`LinkScheduler::release`].
 const MAXIMUM_BURST: Duration = Duration::from_millis(4);
-/// Longest time for which a datagram is queued. Its sender retransmits it after 200
-/// milliseconds.
-pub const MAXIMUM_QUEUE_TIME: Duration = Duration::from_millis(150);
+/// Longest time for which a datagram is queued in the scheduler. Its sender retransmits
+/// it after 200 milliseconds.
+pub const MAXIMUM_SCHEDULER_QUEUE_TIME: Duration = Duration::from_millis(150);
 /// Nanoseconds that one bit takes at one kilobit per second.
 const NANOSECONDS_PER_BIT_AT_1_KBPS: u64 = 1_000_000;
 /// Bits in a byte.
@@ -76,9 +76,10 @@
 /// The datagrams that are queued in front of one link.
 #[derive(Clone, Debug)]
 pub struct LinkScheduler<T> {
-    /// Time that a byte takes on the link, in nanoseconds.
+    /// Time that a byte takes at [`PACED_PERCENT`] of the link's rate, in nanoseconds.
     nanoseconds_per_byte: u64,
-    /// When the link will have sent all datagrams passed to it.
+    /// When the link, used at [`PACED_PERCENT`] of its rate, will have sent all datagrams
+    /// passed to it.
     busy_until: Instant,
     priority_queue: VecDeque<QueuedDatagram<T>>,
     bulk_queue: VecDeque<QueuedDatagram<T>>,
@@ -97,7 +98,7 @@
         let nanoseconds_per_byte =
             BITS_PER_BYTE * NANOSECONDS_PER_BIT_AT_1_KBPS / paced_kbps.max(1);
         let max_queued_bytes =
-            MAXIMUM_QUEUE_TIME.as_nanos() / u128::from(nanoseconds_per_byte.max(1));
+            MAXIMUM_SCHEDULER_QUEUE_TIME.as_nanos() / u128::from(nanoseconds_per_byte.max(1));
         Self {
             nanoseconds_per_byte,
             busy_until: Instant::ORIGIN,
@@ -212,8 +213,9 @@
     }
 
     fn drop_late(&mut self, now: Instant) {
-        let is_late =
-            |queued: &QueuedDatagram<T>| now.since(queued.queued_at) >= MAXIMUM_QUEUE_TIME;
+        let is_late = |queued: &QueuedDatagram<T>| {
+            now.since(queued.queued_at) >= MAXIMUM_SCHEDULER_QUEUE_TIME
+        };
         while self.priority_queue.front().is_some_and(is_late) {
             if let Some(late) = self.priority_queue.pop_front() {
                 self.queued_bytes -= late.info.length_bytes;
--- a/crates/woodladder-core/tests/flow_bulk_admission.rs
+++ b/crates/woodladder-core/tests/flow_bulk_admission.rs
@@ -8,7 +8,7 @@
 use woodladder_core::clock::Instant;
 use woodladder_core::flow::configuration::RouteTerms;
 use woodladder_core::flow::identity::FlowKey;
-use woodladder_core::flow::link::LinkBudget;
+use woodladder_core::flow::link::LinkLoadControl;
 use woodladder_core::flow::link::bulk_admission::{BulkDecision, ReleasedOpening};
 use woodladder_core::flow::link::scheduler::TrafficClass;
 use woodladder_core::flow::packet::{FlowPacket, PacketKind};
@@ -37,16 +37,16 @@
     )
 }
 
-fn admit(link: &mut LinkBudget, packet: &FlowPacket, now: Instant) -> BulkDecision {
+fn admit(link: &mut LinkLoadControl, packet: &FlowPacket, now: Instant) -> BulkDecision {
     link.admit_caller_packet(packet, b"packet", TERMS, now)
 }
 
-fn open(link: &mut LinkBudget, port: u16, now: Instant) -> BulkDecision {
+fn open(link: &mut LinkLoadControl, port: u16, now: Instant) -> BulkDecision {
     admit(link, &opening(flow(port), 0), now)
 }
 
 /// Sends all data of a flow at once; the last packet is short.
-fn send_request(link: &mut LinkBudget, port: u16, now: Instant) {
+fn send_request(link: &mut LinkLoadControl, port: u16, now: Instant) {
     for number in 0..FULL_PACKETS_PER_REQUEST {
         admit(link, &upload(flow(port), number, FULL_PAYLOAD), now);
     }
@@ -58,8 +58,8 @@
 }
 
 /// A link that has observed 40 kilobytes per flow on its route.
-fn link() -> LinkBudget {
-    let mut link = LinkBudget::new(RATE_KBPS);
+fn link() -> LinkLoadControl {
+    let mut link = LinkLoadControl::new(RATE_KBPS);
     for port in 1..4 {
         open(&mut link, port, at(0));
         send_request(&mut link, port, at(1));
@@ -75,7 +75,7 @@
 }
 
 /// A link that is shared by as many flows as it admits, and their number.
-fn shared_link() -> (LinkBudget, u16) {
+fn shared_link() -> (LinkLoadControl, u16) {
     let mut link = link();
     let limit = u16::try_from(link.max_active_bulk_flows()).expect("few");
     for port in 100..100 + limit {
@@ -94,7 +94,7 @@
 
 #[test]
 fn no_opening_is_queued_before_anything_is_known_of_its_route() {
-    let mut link = LinkBudget::new(RATE_KBPS);
+    let mut link = LinkLoadControl::new(RATE_KBPS);
     for port in 1..200 {
         assert_eq!(open(&mut link, port, at(0)), BulkDecision::Admit);
     }
@@ -102,7 +102,7 @@
 
 #[test]
 fn flows_that_send_little_at_a_time_are_never_queued_however_many_share_the_link() {
-    let mut link = LinkBudget::new(RATE_KBPS);
+    let mut link = LinkLoadControl::new(RATE_KBPS);
     for port in 1..500_u16 {
         let now = at(u64::from(port) * 10);
         assert_eq!(open(&mut link, port, now), BulkDecision::Admit);
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_long_flow_that_sends_many_bytes_in_small_parts_is_no_bulk_flow() {
-    let mut link = LinkBudget::new(RATE_KBPS);
+    let mut link = LinkLoadControl::new(RATE_KBPS);
     for port in 1..10 {
         open(&mut link, port, at(0));
     }
@@ -136,7 +136,7 @@
     for port in 200..210 {
         assert_eq!(open(&mut link, port, at(2101)), BulkDecision::Wait);
     }
-    assert!(link.release_waiting(at(2102)).is_empty());
+    assert!(link.release_openings(at(2102)).is_empty());
     assert_eq!(link.active_bulk_flows(), usize::from(limit));
     let mut admitted = Vec::new();
     // Every 33 milliseconds, one flow of 40 kilobytes ends.
@@ -147,7 +147,7 @@
         for port in &sending {
             admit(&mut link, &upload(flow(*port), 1, FULL_PAYLOAD), now);
         }
-        let released = link.release_waiting(now);
+        let released = link.release_openings(now);
         assert!(released.iter().all(|opening| opening.is_admitted));
         assert!(link.active_bulk_flows() <= usize::from(limit));
         sending.extend(ports(&released));
@@ -169,8 +169,8 @@
 fn a_flow_that_stops_midway_frees_its_place() {
     let (mut link, limit) = shared_link();
     assert_eq!(open(&mut link, 200, at(2110)), BulkDecision::Wait);
-    assert!(link.release_waiting(at(2150)).is_empty());
-    let released = link.release_waiting(at(2170));
+    assert!(link.release_openings(at(2150)).is_empty());
+    let released = link.release_openings(at(2170));
     assert_eq!(ports(&released), vec![200]);
     assert!(link.active_bulk_flows() <= usize::from(limit));
 }
@@ -186,7 +186,7 @@
         }
         open(&mut link, 400 + u16::try_from(step).expect("few"), now);
         assert!(
-            link.release_waiting(now)
+            link.release_openings(now)
                 .iter()
                 .all(|opening| !opening.is_admitted)
         );
@@ -203,12 +203,12 @@
         for port in 100..100 + limit {
             admit(&mut link, &upload(flow(port), 1, FULL_PAYLOAD), at(now));
         }
-        link.release_waiting(at(now));
+        link.release_openings(at(now));
     }
     open(&mut link, 202, at(2650));
     open(&mut link, 203, at(2651));
     send_request(&mut link, 100, at(2655));
-    assert_eq!(ports(&link.release_waiting(at(2655))), vec![202]);
+    assert_eq!(ports(&link.release_openings(at(2655))), vec![202]);
 }
 
 #[test]
@@ -217,8 +217,8 @@
     open(&mut link, 200, at(2101));
     let copy = opening(flow(200), 1);
     assert_eq!(admit(&mut link, &copy, at(2151)), BulkDecision::Wait);
-    assert_eq!(link.openings_waiting(), 1);
-    let released = link.release_waiting(at(2300));
+    assert_eq!(link.queued_openings(), 1);
+    let released = link.release_openings(at(2300));
     assert_eq!(released[0].packet, copy);
 
     open(&mut link, 201, at(2301));
@@ -227,7 +227,7 @@
         &packet(flow(201), PacketKind::Reset, 1001, 0, 0),
         at(2302),
     );
-    assert_eq!(link.openings_waiting(), 0);
+    assert_eq!(link.queued_openings(), 0);
 }
 
 #[test]
@@ -242,8 +242,8 @@
         }
     }
     // 40 kilobytes take 32 milliseconds: 37 of them fill 1.2 seconds.
-    assert!((30..40).contains(&link.openings_waiting()));
-    assert_eq!(refused + link.openings_waiting(), 100);
+    assert!((30..40).contains(&link.queued_openings()));
+    assert_eq!(refused + link.queued_openings(), 100);
     let mut idle = self::link();
     assert_eq!(open(&mut idle, 200, at(2101)), BulkDecision::Admit);
 }
@@ -267,7 +267,7 @@
         for port in 100..100 + limit {
             admit(&mut link, &upload(flow(port), 1, FULL_PAYLOAD), at(now));
         }
-        ended.extend(link.release_waiting(at(now)));
+        ended.extend(link.release_openings(at(now)));
     }
     assert_eq!(ended.len(), 1);
     assert!(!ended[0].is_admitted);
@@ -280,14 +280,14 @@
     for port in 200..203 {
         open(&mut link, port, at(2101));
     }
-    let released = link.release_waiting(at(2901));
+    let released = link.release_openings(at(2901));
     assert_eq!(released.len(), usize::from(limit.min(3)));
     assert!(released.iter().all(|opening| opening.is_admitted));
 }
 
 #[test]
 fn link_use_is_measured_in_both_directions_over_one_second() {
-    let mut link = LinkBudget::new(RATE_KBPS);
+    let mut link = LinkLoadControl::new(RATE_KBPS);
     for millisecond in 0..1000 {
         link.record_received(597, at(millisecond));
         link.record_sent(97, at(millisecond));
@@ -309,13 +309,13 @@
     admit(&mut link, &upload(flow(200), 0, FULL_PAYLOAD), at(2110));
     let acknowledgement = packet(flow(201), PacketKind::Data, 1001, 5001, 0);
     admit(&mut link, &acknowledgement, at(2110));
-    assert_eq!(link.openings_waiting(), 0);
-    assert!(link.release_waiting(at(2400)).is_empty());
+    assert_eq!(link.queued_openings(), 0);
+    assert!(link.release_openings(at(2400)).is_empty());
 }
 
 /// Keeps a link's flows active; returns the openings that left the queue and when.
 fn released_until(
-    link: &mut LinkBudget,
+    link: &mut LinkLoadControl,
     limit: u16,
     times: std::ops::Range<u64>,
 ) -> Vec<(u64, ReleasedOpening)> {
@@ -324,7 +324,7 @@
         for port in 100..100 + limit {
             admit(link, &upload(flow(port), 1, FULL_PAYLOAD), at(now));
         }
-        let released = link.release_waiting(at(now));
+        let released = link.release_openings(at(now));
         ended.extend(released.into_iter().map(|opening| (now, opening)));
     }
     ended
@@ -369,7 +369,7 @@
     open(&mut link, 200, at(2101));
     link.admit_caller_packet(&opening(flow(201), 0), b"packet", terms, at(2102));
     // Its bytes alone take 32 milliseconds.
-    let released = link.release_waiting(at(2102 + 390));
+    let released = link.release_openings(at(2102 + 390));
     let outcomes: Vec<(u16, bool)> = released
         .iter()
         .map(|opening| (opening.packet.key.caller.port(), opening.is_admitted))
--- a/crates/woodladder-core/tests/flow_link_scheduler.rs
+++ b/crates/woodladder-core/tests/flow_link_scheduler.rs
@@ -11,7 +11,7 @@
 use woodladder_core::flow::identity::FlowKey;
 use woodladder_core::flow::link::DATAGRAM_HEADER_BYTES;
 use woodladder_core::flow::link::scheduler::{
-    DatagramInfo, LinkScheduler, MAXIMUM_QUEUE_TIME, TrafficClass,
+    DatagramInfo, LinkScheduler, MAXIMUM_SCHEDULER_QUEUE_TIME, TrafficClass,
 };
 
 /// Rate of a small machine's link, in kilobits per second.
@@ -92,7 +92,7 @@
         scheduler.offer(number, bulk(1), at(0));
     }
     let bound = link_time(LARGEST_DATAGRAM, RATE_KBPS).as_nanos();
-    let limit = MAXIMUM_QUEUE_TIME.as_nanos() / bound * 11 / 10;
+    let limit = MAXIMUM_SCHEDULER_QUEUE_TIME.as_nanos() / bound * 11 / 10;
     assert!(scheduler.queued_bytes() as u128 <= limit * LARGEST_DATAGRAM as u128);
     let dropped = scheduler.totals().dropped_full;
     assert!(dropped > 1700, "{dropped}");
@@ -104,7 +104,7 @@
 fn after_a_pause_datagrams_queued_for_too_long_are_not_sent() {
     let mut scheduler = LinkScheduler::new(RATE_KBPS);
     fill(&mut scheduler, 1, at(0));
-    let late = at(0) + MAXIMUM_QUEUE_TIME;
+    let late = at(0) + MAXIMUM_SCHEDULER_QUEUE_TIME;
     assert_eq!(scheduler.release(late), None);
     assert_eq!(scheduler.totals().dropped_late, 1);
     assert_eq!(scheduler.queued_bytes(), 0);
@@ -204,7 +204,7 @@
                 prop_assert!(before < datagram.number, "a flow's packets changed places");
             }
             let waited = datagram.sent_at.since(datagram.offered_at);
-            prop_assert!(waited < MAXIMUM_QUEUE_TIME);
+            prop_assert!(waited < MAXIMUM_SCHEDULER_QUEUE_TIME);
         }
         let second = Duration::from_secs(1);
         for (index, first) in sent.iter().enumerate() {
--- a/crates/woodladder-node/src/balancer/metrics.rs
+++ b/crates/woodladder-node/src/balancer/metrics.rs
@@ -310,7 +310,7 @@
             text.add_gauge(
                 "link_openings_waiting",
                 "Openings that wait for the link.",
-                count_as_f64(link.openings_waiting()),
+                count_as_f64(link.queued_openings()),
             );
         }
         if let Some(queue) = &self.outgoing_queue {
