--- a/crates/woodladder/src/agent/counters.rs
+++ b/crates/woodladder/src/agent/counters.rs
@@ -198,8 +198,8 @@
     pub declined: u64,
     /// First datagrams of flows that were refused.
     pub refused: u64,
-    /// First datagrams of flows that this agent did not decide on, and sent on to
-    /// the next target on the envelope's list.
+    /// First datagrams of flows that were sent on to the next target on the
+    /// envelope's list.
     pub handed_on: u64,
     /// Datagrams of established flows that were sent on to the agent of the
     /// target in their token.
