--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -2,8 +2,9 @@
 //!
 //! # Lifecycle
 //! [`AgentNode::new`] opens the sockets. [`AgentNode::run`] starts the tasks and
-//! returns after a graceful shutdown, which is short because the target has ended
-//! before its agent is stopped.
+//! returns after a graceful shutdown. The shutdown is short, because the target has normally
+//! ended before its agent is stopped. At the end of the shutdown, a listen probe checks
+//! whether the target accepts connections; if not, the agent announces the target's end.
 
 mod metrics;
 
@@ -72,7 +73,8 @@
     pub flow_retention: Duration,
     /// Maximum lifetime of a flow.
     pub flow_lifetime: Duration,
-    /// Limits on the openings handed to a cold target; `None` for no limit.
+    /// Limits on the requests per second delivered to a target that may still be warming up;
+    /// `None` for no limit.
     pub warm_up: Option<WarmUpBounds>,
 }
 
@@ -143,6 +145,7 @@
             node.core.borrow().answer_snapshot(request)
         }));
         let now = self.clock.now();
+        // The core treats seeds like balancers in a list from the store.
         self.core
             .borrow_mut()
             .add_listed_balancers(&self.config.seeds, now);
@@ -151,13 +154,18 @@
         spawn_local(Rc::clone(&self).log_counters());
         spawn_local(Rc::clone(&self).run_listen_probes());
         let node = Rc::clone(&self);
-        let need_node = Rc::clone(&self);
+        let discovering_node = Rc::clone(&self);
         spawn_local(store::discover_balancers(
             store(),
             BalancerDiscovery::with_initial_delay(random(), now),
             self.clock,
             Rc::clone(&self.store_stats),
-            move || need_node.core.borrow().list_need(need_node.clock.now()),
+            move || {
+                discovering_node
+                    .core
+                    .borrow()
+                    .list_need(discovering_node.clock.now())
+            },
             move |balancers| {
                 node.core
                     .borrow_mut()
--- a/crates/woodladder-node/src/agent/metrics.rs
+++ b/crates/woodladder-node/src/agent/metrics.rs
@@ -118,7 +118,7 @@
             ),
             (
                 "heartbeats_unproven_total",
-                "Heartbeats of target starts that may be older than the known one.",
+                "Heartbeats of target starts that may be older than the recorded one.",
                 counters.heartbeats_unproven,
             ),
             (
@@ -200,12 +200,12 @@
         );
         text.add_gauge(
             "balancers",
-            "Balancers known.",
+            "Balancers in the agent's table.",
             count_as_f64(core.balancers().len()),
         );
         text.add_gauge(
             "configuration_version",
-            "Latest configuration version that the agent knows.",
+            "Latest configuration version that the agent has received.",
             u64_as_f64(core.configuration_version()),
         );
         let is_ready = core.target_state() == TargetState::Ready;
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -43,8 +43,9 @@
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Capacity of the flow table.
 const FLOW_CAPACITY: usize = 400_000;
-/// Minimum time for which a balancer that shuts down keeps forwarding, so that routers
-/// notice that the balancer is no longer ready.
+/// Minimum time for which a balancer that shuts down keeps forwarding. In this time the
+/// platform's routers, which distribute callers' packets among the ready balancers, notice
+/// that the balancer is no longer ready.
 const MINIMUM_DRAIN: Duration = Duration::from_millis(1300);
 /// Time without packets from callers after which a balancer that shuts down may exit.
 const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(700);
@@ -147,11 +148,10 @@
         spawn_local(Rc::clone(&self).log_counters());
         spawn_local(Rc::clone(&self).send_queued());
         let record_wakeup = self.start_flow_record(store());
-        let registration = self.start_store_sessions(store);
-        let registration_shutdown = Rc::clone(&registration.1);
+        let (registration, registration_shutdown) = self.start_store_sessions(store);
         stop.notified().await;
         info!(self.logger, "balancer: graceful shutdown started"; "event" => "stopping");
-        registration.0.borrow_mut().leave(self.clock.now());
+        registration.borrow_mut().leave(self.clock.now());
         registration_shutdown.notify_one();
         self.run_core(|core, now, actions| core.leave(now, actions));
         record_wakeup.notify_one();
@@ -187,6 +187,9 @@
         record_wakeup
     }
 
+    /// Starts the tasks that watch the configuration, maintain the balancer's entry and look
+    /// for other balancers. Returns the registration, and the handle whose notification ends
+    /// the current pause of the task that maintains the entry.
     fn start_store_sessions<S: Store + 'static>(
         self: &Rc<Self>,
         store: impl Fn() -> S,
@@ -232,13 +235,19 @@
             },
         ));
         let node = Rc::clone(self);
-        let need_node = Rc::clone(self);
+        let discovering_node = Rc::clone(self);
+        let may_be_stale = true;
         spawn_local(store::discover_balancers(
             store(),
-            BalancerDiscovery::new(random(), true, now),
+            BalancerDiscovery::new(random(), may_be_stale, now),
             self.clock,
             Rc::clone(&self.store_stats),
-            move || need_node.core.borrow().list_need(need_node.clock.now()),
+            move || {
+                discovering_node
+                    .core
+                    .borrow()
+                    .list_need(discovering_node.clock.now())
+            },
             move |balancers| {
                 node.run_core(|core, now, actions| {
                     core.add_listed_balancers(balancers, now, actions)
@@ -263,7 +272,7 @@
         }
     }
 
-    /// Checks whether routers should send callers' packets to this balancer.
+    /// Checks whether the platform's routers should send callers' packets to this balancer.
     ///
     /// # Errors
     /// Returns [`NotReadyReason`] when they should not.
@@ -363,6 +372,7 @@
         }
     }
 
+    /// Logs the core's events, and whether the store became reachable or unreachable.
     fn write_log_events(&self) {
         let (events, dropped) = self.core.borrow_mut().take_log_events();
         let now = self.clock.now();
--- a/crates/woodladder-node/src/balancer/metrics.rs
+++ b/crates/woodladder-node/src/balancer/metrics.rs
@@ -107,12 +107,12 @@
             ),
             (
                 "relayed_packets_total",
-                "Packets relayed to larger balancers.",
+                "Packets relayed to balancers with at least four times the usable CPU of this balancer.",
                 counters.relayed_packets,
             ),
             (
                 "taken_over_packets_total",
-                "Relayed packets received from smaller balancers.",
+                "Relayed packets received from other balancers.",
                 counters.relayed_packets_received,
             ),
             (
@@ -147,12 +147,12 @@
             ),
             (
                 "agent_probes_total",
-                "Probes of agents that had left something unanswered.",
+                "Probes sent to agents that have not answered a packet or a query, or that the flow record read at startup names.",
                 counters.agent_probes,
             ),
             (
                 "search_packets_total",
-                "Packets sent to agents that could not say without one whether their target holds the flow.",
+                "Packets of searched flows sent to agents that need a packet to determine whether their target holds the flow, or to the agent that holds the flow.",
                 counters.search_packets,
             ),
             (
@@ -187,7 +187,7 @@
             ),
             (
                 "store_failures_total",
-                "Calls to the store that got no answer.",
+                "Calls to the store that got no usable response.",
                 failures,
             ),
         ] {
@@ -209,7 +209,7 @@
         if let Some(age) = core.confirmation_age(now) {
             text.add_gauge(
                 "configuration_confirmed_seconds",
-                "Time since the store last confirmed the configuration, to this balancer or to another that it has heard from.",
+                "Time since the store last confirmed the configuration, to this balancer or to another from which this balancer has received a message.",
                 age.as_secs_f64(),
             );
         }
@@ -253,12 +253,12 @@
         );
         text.add_gauge(
             "agents_live",
-            "Agents in the directory that were heard recently.",
+            "Agents in the directory from which a message has arrived recently.",
             count_as_f64(core.directory().live_count(now)),
         );
         text.add_gauge(
             "balancers",
-            "Other balancers known.",
+            "Other balancers in the table of this balancer.",
             count_as_f64(core.peers().len()),
         );
         text.add_gauge(
--- a/crates/woodladder-node/src/lib.rs
+++ b/crates/woodladder-node/src/lib.rs
@@ -1,4 +1,5 @@
-//! Balancer and agent processes for platforms whose packets carry no routing token.
+//! Balancer and agent processes for platforms whose packets carry no routing token, that is,
+//! no field that names the target of a flow.
 //!
 //! `woodladder_core::flow` makes the decisions; this crate supplies the sockets, the
 //! clock, the store sessions, the logs and the metrics. Two traits cover what differs
--- a/crates/woodladder-node/src/metrics.rs
+++ b/crates/woodladder-node/src/metrics.rs
@@ -136,13 +136,15 @@
     }
 }
 
-/// Converts a count to f64, the type of metric values. Counts above `u32::MAX` become
-/// infinity, because u32 is the widest integer that std converts to f64 without loss.
+/// Converts a count to f64, the type of metric values. Counts up to `u32::MAX` are converted
+/// exactly, through u32, the widest integer for which std has a lossless conversion to f64.
+/// Higher counts become infinity.
 pub(crate) fn count_as_f64(value: usize) -> f64 {
     u32::try_from(value).map_or(f64::INFINITY, f64::from)
 }
 
-/// Converts a number to f64, the type of metric values; exact up to 2^53.
+/// Converts a number to f64, the type of metric values. Numbers up to 2^53 are converted
+/// exactly, higher ones are rounded.
 #[allow(clippy::cast_precision_loss)]
 pub(crate) fn u64_as_f64(value: u64) -> f64 {
     value as f64
--- a/crates/woodladder-node/src/store.rs
+++ b/crates/woodladder-node/src/store.rs
@@ -137,6 +137,8 @@
 #[derive(Debug, Default)]
 pub struct StoreCallStats {
     replies: std::cell::Cell<ReplyStats>,
+    /// Whether the store became reachable (`true`) or unreachable (`false`); `None` when the
+    /// last change has been taken.
     reachability_change: std::cell::Cell<Option<bool>>,
     calls: std::cell::Cell<[u64; CALL_KINDS.len()]>,
 }
@@ -144,6 +146,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplyStats {
     answers: u64,
+    /// Calls without a usable response.
     failures: u64,
     refusals: u64,
     is_reachable: Option<bool>,
@@ -209,7 +212,8 @@
         self.reachability_change.take()
     }
 
-    /// Returns the numbers of calls that were answered, refused and left without an answer.
+    /// Returns three numbers of calls, in this order: calls that were answered, calls that the
+    /// store refused, and calls without a usable response.
     #[must_use]
     pub fn totals(&self) -> (u64, u64, u64) {
         let replies = self.replies.get();
