--- a/crates/woodladder-core/src/configuration/bundle_source/check.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/check.rs
@@ -16,9 +16,12 @@
 const RULE_ADDRESS_ONCE: &str = "an address belongs to one service or one target";
 const RULE_TARGET_ONCE: &str = "a target identifier is used once, in one service";
 
-/// First place of each value, to report any further use of the value.
+/// Checks that each value is used once. A repeated value is reported with the place
+/// of its first use.
 struct UniqueValues<'a> {
+    /// Place of the first use of each value.
     places: BTreeMap<String, &'a KeyPlace>,
+    /// The rule that a repeated value breaks, as stated in the finding.
     rule: &'static str,
 }
 
--- a/crates/woodladder-core/src/configuration/snapshot.rs
+++ b/crates/woodladder-core/src/configuration/snapshot.rs
@@ -15,8 +15,8 @@
 use crate::identifier::{ServiceId, TargetId};
 use crate::signature::{OperatorSignature, SignatureError, TrustedKeys};
 
-/// Default time for which a removed target stays in snapshots: longer than a flow
-/// that lasts a week.
+/// Default time for which a removed target stays in snapshots: eight days, so that
+/// packets of a flow that lasts a week can still be routed.
 pub const DEFAULT_LINGER: Duration = Duration::from_secs(8 * 24 * 3600);
 
 const RULE_TARGET_SERVICE: &str = "a target identifier belongs to one service for good";
--- a/crates/woodladder-core/src/packets/quic_header.rs
+++ b/crates/woodladder-core/src/packets/quic_header.rs
@@ -1,7 +1,11 @@
-//! Parser of the QUIC header fields that do not depend on the version.
+//! Parser of the QUIC header fields that routing needs: the destination connection
+//! identifier, which is at the same place in all versions (RFC 8999), and whether
+//! the packet may open a flow, which depends on the version, the packet type and
+//! two lengths.
 //!
-//! The rest of the crate knows only flows, first packets and packets with a
-//! routing token, so support for another transport needs changes only here.
+//! Routing and admission use only the resulting [`Packet`], so for another
+//! transport the parsing of headers changes only here. Tokens depend on QUIC as
+//! well: their length is that of the longest QUIC connection identifier.
 //!
 //! Source: RFC 8999 (invariants), RFC 9000 sections 14.1 and 17.2, RFC 9369
 //! section 3.2 (packet types of version 2).
--- a/crates/woodladder-core/src/packets/routing_table.rs
+++ b/crates/woodladder-core/src/packets/routing_table.rs
@@ -56,8 +56,8 @@
     InBundle(TargetState),
     /// Removed by an earlier roll; accepts no new work.
     Retired,
-    /// In the bundle with this state, but marked as accepting no new flows at
-    /// the moment.
+    /// In the bundle with this state, but marked as unavailable for new flows at
+    /// the moment (see [`RoutingTable::with_unavailable`]).
     Unavailable(TargetState),
 }
 
@@ -92,7 +92,8 @@
 
     /// A copy of the table in which some targets are marked as unavailable. The
     /// marks are not applied to a service that they would leave without a candidate.
-    /// The status of the node's own target, `own`, does not change.
+    /// Marked targets are removed from the candidates of their service. That includes
+    /// the node's own target, `own`, but its status does not change.
     #[must_use]
     pub fn with_unavailable(
         &self,
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -69,12 +69,20 @@
         }
     }
 
-    /// Route for a repeated packet of a flow that was handed on to `to` before.
-    /// `None` when the choice must be made again, because the packet would go
-    /// back to a target that was asked meanwhile, or because this target was
-    /// ordered to accept or refuse the flow and `to` is on the list or the list
-    /// is full. Exception: when `must_decide` is set and this target has no such
-    /// order, the packet does go back to a target that stated its load.
+    /// Route for a repeated packet of a flow that this target handed on to `to`
+    /// before; `None` when the choice must be made again. `must_decide` tells
+    /// whether the flow was handed on with the order to accept or refuse it. The
+    /// cases also depend on whether this target has such an order itself (see
+    /// [`Self::must_decide_here`]):
+    ///
+    /// - `to` is not on the list: the route to `to` beyond the list, but `None` when
+    ///   this target has the order and the list is full.
+    /// - `to` is on the list, and this target has the order: `None`.
+    /// - `to` is on the list and was not asked: the route to `to` as the next target
+    ///   on the list.
+    /// - `to` is on the list and was asked: `None`, because the packet would go back
+    ///   to a target that was asked meanwhile. When `must_decide` is set and `to`
+    ///   stated its load, going back is intended: the route back to `to`.
     pub(super) fn repeat(&self, to: &Hop, must_decide: bool) -> Option<NewFlowRoute> {
         let hops = &self.route.hops;
         let listed = hops.iter().position(|hop| hop.target == to.target);
@@ -119,8 +127,9 @@
         }
     }
 
-    /// No target on the list can accept the flow: it goes to another target of
-    /// the service.
+    /// Hands the flow on to a target of the service that is not on the list;
+    /// declines the flow with `reason` when there is none. For a flow that no target
+    /// on the list can accept.
     fn hand_on_beyond_list(&self, reason: FlowRefusalReason) -> Choice {
         let entry = self.routing_table.service(self.envelope.service);
         let candidates = entry.map_or(&[][..], |entry| &entry.candidates);
--- a/crates/woodladder-core/src/target/admission/decision_cache.rs
+++ b/crates/woodladder-core/src/target/admission/decision_cache.rs
@@ -1,9 +1,9 @@
 //! Cache of decisions on new flows, kept while callers may repeat the first
 //! packets.
 //!
-//! Callers determine the flow hashes, so the number of entries is bounded, and
-//! the entries are in an ordered map, which chosen keys cannot slow down like a
-//! hash map.
+//! Callers can choose the flow hashes. Therefore the number of entries is bounded,
+//! and the entries are in an ordered map: chosen keys that collide would slow down
+//! a hash map.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/woodladder-core/src/target/admission/fence.rs
+++ b/crates/woodladder-core/src/target/admission/fence.rs
@@ -27,8 +27,9 @@
 /// When this agent adopted which sequence, as far back as needed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fence {
-    /// In order of time. Each call of [`Fence::adopt`] drops the adoptions before
-    /// the latest one that is older than the grace.
+    /// In order of time. Each call of [`Fence::adopt`] keeps the latest adoption that
+    /// is older than the grace and all later ones, up to [`MAXIMUM_ADOPTIONS`], and
+    /// drops those before.
     adoptions: VecDeque<Adoption>,
 }
 
--- a/crates/woodladder-core/src/target/admission/pending_flows.rs
+++ b/crates/woodladder-core/src/target/admission/pending_flows.rs
@@ -73,8 +73,9 @@
         u32::try_from(self.flows.len()).unwrap_or(u32::MAX)
     }
 
-    /// Flows admitted within the window whose connection the usage does not count
-    /// yet.
+    /// Flows whose connection has not been opened, so that the usage does not count
+    /// it yet. Flows admitted before the window are left out as of the last call of
+    /// [`Self::count`], which removes them.
     pub(super) fn unopened_connections(&self) -> u32 {
         self.unopened_connections
     }
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Whether one more flow is within the allowance; counts that flow if so.
+    /// Counts one more declined flow if fewer than `allowance` flows were counted
+    /// within the window. Returns whether the flow was counted.
     pub(super) fn try_take(&mut self, allowance: u32, now: Instant) -> bool {
         let window = self.window;
         while self
@@ -113,10 +115,10 @@
         {
             self.declined_at.pop_front();
         }
-        let left = self.declined_at.len() < usize::try_from(allowance).unwrap_or(usize::MAX);
-        if left {
+        let is_allowed = self.declined_at.len() < usize::try_from(allowance).unwrap_or(usize::MAX);
+        if is_allowed {
             self.declined_at.push_back(now);
         }
-        left
+        is_allowed
     }
 }
--- a/crates/woodladder-core/src/target/drain.rs
+++ b/crates/woodladder-core/src/target/drain.rs
@@ -42,7 +42,7 @@
         /// When the target began to leave.
         since: Instant,
     },
-    /// No request is accepted, and no request and no stream is left.
+    /// New requests are refused, and all accepted ones, streams included, have ended.
     Drained,
 }
 
--- a/crates/woodladder-core/src/target/load.rs
+++ b/crates/woodladder-core/src/target/load.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// The quotient; zero for a zero numerator, otherwise [`u64::MAX`] when the
-/// denominator is zero.
+/// `numerator / denominator`. Division by zero gives zero for a zero numerator and
+/// [`u64::MAX`] for any other.
 fn ratio(numerator: u64, denominator: u32) -> u64 {
     if numerator == 0 {
         return 0;
--- a/crates/woodladder-core/src/target/request/event.rs
+++ b/crates/woodladder-core/src/target/request/event.rs
@@ -101,7 +101,7 @@
     ResetCaller {
         /// The request.
         id: RequestId,
-        /// Why the answer broke off.
+        /// Why the answer broke off, and thus why the outcome is unknown.
         reason: UnknownReason,
     },
     /// Final: end the caller's stream; the answer is complete.
--- a/crates/woodladder-core/src/target/request/outcome.rs
+++ b/crates/woodladder-core/src/target/request/outcome.rs
@@ -37,7 +37,9 @@
     BackEndRefused,
 }
 
-/// Why it is unknown whether a request ran.
+/// Why the outcome of a request is unknown: the request was sent to the back end,
+/// but either no answer began, so that the request may or may not have run, or the
+/// answer broke off.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum UnknownReason {
     /// The back-end connection was lost before the answer was complete.
--- a/crates/woodladder-core/src/target/request/service_time_estimate.rs
+++ b/crates/woodladder-core/src/target/request/service_time_estimate.rs
@@ -40,8 +40,8 @@
         self.service_time
     }
 
-    /// Estimated time until `slots` busy slots have been released `releases` times;
-    /// [`Duration::MAX`] when there are no slots.
+    /// Estimated time until `releases` releases of a slot have happened in total,
+    /// while all of `slots` slots are busy; [`Duration::MAX`] when there are no slots.
     pub(super) fn queue_wait(&self, releases: usize, slots: u32) -> Duration {
         let releases = u32::try_from(releases).unwrap_or(u32::MAX);
         let work = self.service_time.saturating_mul(releases);
