--- a/crates/woodladder-core/src/control/availability/own.rs
+++ b/crates/woodladder-core/src/control/availability/own.rs
@@ -69,10 +69,10 @@
         true
     }
 
-    /// Compares a received report about the own target with the own report. A
-    /// report with a greater run but the agent's own address is from an earlier
-    /// run of the agent, started before the machine's clock was set back; the
-    /// agent refutes it.
+    /// Compares a received report about this agent's target with the agent's
+    /// own report. A report with a greater run but the agent's own address is
+    /// from an earlier run of the agent, started before the machine's clock was
+    /// set back; the agent refutes it.
     pub fn compare(&mut self, received: &AvailabilityReport) -> OwnReportOutcome {
         if self.report.is_same_as(received) {
             return OwnReportOutcome::Repeated;
--- a/crates/woodladder-core/src/control/availability/pending_probes.rs
+++ b/crates/woodladder-core/src/control/availability/pending_probes.rs
@@ -120,9 +120,13 @@
 }
 
 impl PendingProbe {
+    /// Moves the probe to its next stage and returns what is to be done. After
+    /// the last stage, the agent counts as unreachable if any node has answered
+    /// this node since that stage began. Otherwise, and after any stage whose
+    /// deadline was checked too late, the probing goes back to its first stage.
     fn next_step(&mut self, last_answer: Option<Instant>, now: Instant) -> ProbeStep {
         let is_delayed = now.since(self.deadline) > MAXIMUM_TIMER_DELAY;
-        let can_conclude =
+        let proves_unreachable =
             last_answer.is_some_and(|answered_at| answered_at >= self.stage_began) && !is_delayed;
         match self.stage {
             Stage::First if !is_delayed => {
@@ -133,7 +137,7 @@
                 self.advance(Stage::RepeatedIndirectly, now);
                 ProbeStep::RepeatIndirectly(self.control_address)
             }
-            Stage::RepeatedIndirectly if can_conclude => ProbeStep::Unreachable(self.target),
+            Stage::RepeatedIndirectly if proves_unreachable => ProbeStep::Unreachable(self.target),
             Stage::First | Stage::Repeated | Stage::RepeatedIndirectly => {
                 self.advance(Stage::First, now);
                 ProbeStep::Repeat(self.control_address)
--- a/crates/woodladder-core/src/control/availability/report.rs
+++ b/crates/woodladder-core/src/control/availability/report.rs
@@ -92,9 +92,9 @@
         self.rank() == other.rank()
     }
 
-    /// Hash of the report, or zero if the target is available. The exclusive or
-    /// over all targets is equal at two nodes that consider the same targets
-    /// unavailable.
+    /// Hash of the whole report, or zero if the target is available. The
+    /// exclusive or over all targets is equal at two nodes that hold the same
+    /// reports about unavailable targets.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         match self.availability {
--- a/crates/woodladder-core/src/control/availability/report_queue.rs
+++ b/crates/woodladder-core/src/control/availability/report_queue.rs
@@ -7,8 +7,11 @@
 use crate::control::availability::{MAXIMUM_KNOWN_TARGETS, TargetSchedule};
 use crate::identifier::TargetId;
 
-/// Largest number of queued targets. Reports about further targets spread only
-/// when nodes compare their sets of unavailable targets.
+/// Largest number of targets in the queue. The queue can be full although the
+/// table has the same capacity: the queue also holds the node's own target, and
+/// targets that the table has removed since they were queued. Reports about
+/// further targets are not queued; they reach other nodes only in digest
+/// messages, and in answers to digest messages or to outdated reports.
 pub const MAXIMUM_QUEUED_REPORTS: usize = MAXIMUM_KNOWN_TARGETS;
 
 /// Queue of targets whose reports are still to be sent.
--- a/crates/woodladder-core/src/control/control_message.rs
+++ b/crates/woodladder-core/src/control/control_message.rs
@@ -93,7 +93,7 @@
     /// The sender's report about its own target; `None` when the sender is not
     /// an agent.
     pub own_report: Option<AvailabilityReport>,
-    /// Fingerprint of the set of targets that the sender considers unavailable.
+    /// Fingerprint of the sender's reports about unavailable targets.
     pub unavailable_fingerprint: u64,
     /// Nodes that the sender heard from recently, at most
     /// [`MAXIMUM_PEER_SAMPLE`].
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -83,7 +83,8 @@
         wakeups.into_iter().flatten().min()
     }
 
-    /// Fingerprint of the set of unavailable targets, the own target included.
+    /// Fingerprint of the reports about unavailable targets, including the
+    /// report about this node's target.
     pub(super) fn fingerprint(&self) -> u64 {
         let own = self.own.as_ref();
         self.table.fingerprint() ^ own.map_or(0, |own| own.report().fingerprint())
@@ -111,7 +112,8 @@
 }
 
 impl Replica {
-    /// Number of targets known to accept no new flows, the own target included.
+    /// Number of targets known to accept no new flows, including this node's
+    /// target.
     #[must_use]
     pub fn unavailable_target_count(&self) -> usize {
         self.availability.unavailable_targets().count()
@@ -125,7 +127,7 @@
             .any(|unavailable| unavailable == target)
     }
 
-    /// Changes the availability of the own target and announces it to other
+    /// Changes the availability of this node's target and announces it to other
     /// nodes.
     pub(super) fn announce(&mut self, availability: Availability, now: Instant) {
         let Some(own) = &mut self.availability.own else {
@@ -156,9 +158,10 @@
         self.send_reports(from, newer, now);
     }
 
-    /// Handles the report about the sender's target and the fingerprint in a
-    /// digest message. Answers with newer reports, and with some reports about
-    /// unavailable targets if the fingerprints differ.
+    /// Merges the report that a digest message contains about its sender's
+    /// target, and compares the message's fingerprint with this node's. Answers
+    /// with this node's report about that target if it is newer, and with some
+    /// reports about unavailable targets if the fingerprints differ.
     pub(super) fn compare_unavailable_targets(
         &mut self,
         from: SocketAddr,
--- a/crates/woodladder-core/src/control/replica/catch_up.rs
+++ b/crates/woodladder-core/src/control/replica/catch_up.rs
@@ -106,7 +106,7 @@
         self.fetch = Some(fetch);
     }
 
-    /// Makes the node ready if it has received enough.
+    /// Makes the node ready if the conditions in `Joining::update` are met.
     pub(super) fn update_joining(&mut self, now: Instant) {
         let progress = JoinProgress {
             installed: self.installed.as_ref().map(|known| known.sequence()),
--- a/crates/woodladder-core/src/control/replica/counters.rs
+++ b/crates/woodladder-core/src/control/replica/counters.rs
@@ -24,7 +24,7 @@
     pub report_bytes_sent: u64,
     /// Agents that this node reported as unreachable.
     pub agents_declared_unreachable: u64,
-    /// Wrong reports about the own target that this agent refuted.
+    /// Wrong reports about this agent's target that the agent refuted.
     pub own_reports_refuted: u64,
     /// Pauses of the process that were detected.
     pub pauses_detected: u64,
--- a/crates/woodladder-core/src/control/replica/delta_history.rs
+++ b/crates/woodladder-core/src/control/replica/delta_history.rs
@@ -37,7 +37,8 @@
         self.deltas.push_back(delta);
     }
 
-    /// Records the first snapshot in force.
+    /// Empties the history, and sets `result`, the first snapshot in force, as
+    /// the snapshot from which the next delta starts.
     pub(super) fn reset(&mut self, result: Digest) {
         self.deltas.clear();
         self.result = result;
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -20,11 +20,14 @@
 
 /// Largest number of nodes that a fetch alternates between.
 const MAXIMUM_SOURCES: usize = 8;
+/// Time to wait for the complete answer to a request before the next source is
+/// tried.
 const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(400);
 /// A fetch that has received no new chunk for this long counts as stuck.
 const PROGRESS_TIME_LIMIT: Duration = Duration::from_secs(2);
 /// Pause after the first refusal; each further refusal doubles the pause.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(25);
+/// Longest pause after refusals while the fetch is not stuck.
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Longest pause after refusals while the fetch is stuck.
 const LONGEST_STUCK_RETRY_PAUSE: Duration = Duration::from_secs(2);
@@ -50,9 +53,10 @@
 /// A request that the first source has not answered yet.
 #[derive(Clone, Copy, Debug)]
 enum Outstanding {
-    /// A record request, to be offered a delta.
+    /// A request for the record, whose answer may offer a delta.
     Delta,
-    /// This many of the requested chunks have not arrived yet.
+    /// A request for chunks, with the number of chunks that have not arrived
+    /// yet.
     Chunks(usize),
 }
 
--- a/crates/woodladder-core/src/control/replica/gossip.rs
+++ b/crates/woodladder-core/src/control/replica/gossip.rs
@@ -53,7 +53,8 @@
         self.next_round
     }
 
-    /// Number of the probes of the next round.
+    /// Number that identifies the probes of the next round, and the probes that
+    /// are sent outside the rounds until then.
     pub(super) fn next_probe(&self) -> ProbeNumber {
         self.probe
     }
--- a/crates/woodladder-core/src/control/replica/joining.rs
+++ b/crates/woodladder-core/src/control/replica/joining.rs
@@ -1,8 +1,11 @@
 //! Decides when a node that has started becomes ready to serve.
 //!
 //! The first roll that a node receives may be outdated. Before the node becomes
-//! ready, it waits for answers of several other nodes and of the key-value
-//! service, or for a bounded time after its first roll was put in force.
+//! ready, it waits until several other nodes (all known nodes, if these are
+//! fewer) have answered and one read of the key-value service has succeeded or
+//! failed. It also waits until no newer roll is known or being fetched. The node
+//! becomes ready without these conditions when a bounded time has passed since
+//! its first roll was put in force.
 
 use std::time::Duration;
 
@@ -63,8 +66,9 @@
         self.store_answered_or_failed = true;
     }
 
-    /// Makes the node ready if it has enough answers or the time limit has
-    /// passed.
+    /// Makes the node ready if it has enough answers, has the greatest known
+    /// sequence in force and is fetching nothing, or if the time limit has
+    /// passed. A node without a roll in force stays not ready.
     pub(super) fn update(&mut self, progress: JoinProgress, now: Instant) {
         let Some(installed) = progress.installed else {
             return;
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -31,7 +31,9 @@
     expires_at: Instant,
 }
 
-/// Probes that have not been answered yet.
+/// This node's unanswered probes of agents, its unanswered probes on behalf of
+/// other nodes, and the targets whose agents it reported as unreachable less
+/// than [`REPEATED_REPORT_INTERVAL`] ago.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probing {
     pending_probes: PendingProbes,
@@ -134,8 +136,11 @@
         }
     }
 
+    /// Removes the targets that may be reported as unreachable again, and takes
+    /// the next step for each agent that has not answered in time.
     pub(super) fn run_probing(&mut self, now: Instant) {
         let probing = &mut self.availability.probing;
+        // Each call removes one target whose interval has ended.
         while probing.recently_reported.take_due(now).is_some() {}
         for step in probing.pending_probes.take_due(now) {
             match step {
@@ -149,9 +154,10 @@
         }
     }
 
-    /// Asks other nodes to probe a node, and probes these helpers too: unless
-    /// one of them answers, the silence may be this node's own fault and proves
-    /// nothing.
+    /// Asks other nodes to probe a node that does not answer, and probes these
+    /// helpers too. The silent node is reported as unreachable only if any other
+    /// node answers this node in the meantime: without such an answer, this node
+    /// itself may be cut off, and the silence proves nothing.
     fn request_indirect_probes(&mut self, control_address: SocketAddr, now: Instant) {
         let picked = self.members.pick(INDIRECT_PROBERS + 1, &mut self.random);
         let helpers = picked
--- a/crates/woodladder-core/src/control/replica/settings.rs
+++ b/crates/woodladder-core/src/control/replica/settings.rs
@@ -48,8 +48,9 @@
     /// same rate also limits the copies and, separately, the offers that the
     /// node sends.
     pub copy_bytes_per_second: u32,
-    /// Mean rate in bytes per second of the messages about the availability of
-    /// targets that the node sends.
+    /// Mean rate in bytes per second at which the node sends messages about the
+    /// availability of targets and, together with these, probes outside the
+    /// gossip rounds.
     pub report_bytes_per_second: u32,
     /// Reads of the key-value service per second by all nodes together.
     pub store_reads_per_second: u32,
@@ -59,8 +60,9 @@
     /// Longest time that a node waits for answers after its first roll before
     /// it becomes ready.
     pub join_timeout: Duration,
-    /// Number of nodes that must answer, in addition to the key-value service,
-    /// for a node to become ready.
+    /// Number of nodes (all known nodes, if these are fewer) that must answer
+    /// before a node becomes ready. In addition, one read of the key-value
+    /// service must have succeeded or failed.
     pub join_answers: usize,
     /// Longest time that a node stays suspect after a pause.
     pub suspect_timeout: Duration,
--- a/crates/woodladder-core/src/control/replica/store_access.rs
+++ b/crates/woodladder-core/src/control/replica/store_access.rs
@@ -83,9 +83,9 @@
             .push(ReplicaAction::Store { request, operation });
     }
 
-    /// Handles a value as one of the current entry. A value that was not
-    /// expected may be a late answer with a snapshot, so it is not counted as
-    /// malformed when it cannot be decoded.
+    /// Handles a value that is taken to be that of the current entry. A value
+    /// that was not expected may be a late answer with a snapshot, so it is not
+    /// counted as malformed when it cannot be decoded.
     fn handle_current_entry(
         &mut self,
         request: StoreRequestId,
--- a/crates/woodladder-core/src/control/replica/store_reader.rs
+++ b/crates/woodladder-core/src/control/replica/store_reader.rs
@@ -23,8 +23,13 @@
 const READ_TIME_LIMIT: Duration = Duration::from_secs(5);
 /// Time to wait for the answer to a watch.
 const WATCH_TIME_LIMIT: Duration = Duration::from_secs(90);
+/// Mean time without requests after the first failed or rate-limited request;
+/// each further failure in a row doubles it.
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
+/// Longest mean time without requests after failures. The time itself is at most
+/// twice this, even if the key-value service asks for a longer one.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
+/// Largest number of times that [`FIRST_BACKOFF`] is doubled.
 const MAXIMUM_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// A request that has not been answered yet.
--- a/crates/woodladder-core/src/control/roll_command/machine.rs
+++ b/crates/woodladder-core/src/control/roll_command/machine.rs
@@ -208,6 +208,9 @@
         }
     }
 
+    /// When the command stops sending requests to the key-value service and
+    /// fails: `store_timeout` after its start or, once it confirms a swap,
+    /// `confirm_timeout` after that began or after the process was last paused.
     fn time_limit(&self) -> Instant {
         let tuning = &self.request.tuning;
         match self.confirming_since {
