--- a/crates/woodladder-core/src/flow/activation.rs
+++ b/crates/woodladder-core/src/flow/activation.rs
@@ -8,9 +8,9 @@
 use super::configuration::{Configuration, RouteTerms};
 use super::identity::ServiceKey;
 
-/// Time from the first sending of an unacknowledged packet to the last retransmission
-/// that its caller sends before the attempt is likely to be over, in milliseconds. A
-/// timeout of at most this length leaves a caller at most one retransmission after an
+/// Time, in milliseconds, from the first transmission of an unacknowledged packet to its
+/// last useful retransmission. The caller's request is likely to be over before a later one.
+/// A timeout of at most this length leaves a caller at most one retransmission after an
 /// outage.
 const LAST_USEFUL_RETRANSMISSION_MS: u32 = 3000;
 /// Throughput that a balancer reaches with one whole core, in kilobits per second.
--- a/crates/woodladder-core/src/flow/agent_record.rs
+++ b/crates/woodladder-core/src/flow/agent_record.rs
@@ -9,18 +9,24 @@
 use super::target_restart::{RestartDetector, TargetStart};
 use crate::clock::Instant;
 
-/// Report intervals without a report after which an agent counts as silent.
+/// Silence, in report intervals, after which an agent gets no new flow, if that is longer
+/// than [`SILENT_AFTER`].
 const SILENT_AFTER_INTERVALS: f64 = 3.0;
-/// Shortest silence after which an agent gets no new flow.
+/// Silence after which an agent gets no new flow, if that is longer than
+/// [`SILENT_AFTER_INTERVALS`] report intervals.
 const SILENT_AFTER: Duration = Duration::from_millis(350);
-/// Report intervals without a report after which the flows of an agent count as lost.
+/// Silence, in report intervals, after which the flows of an agent count as lost, if that
+/// is longer than [`LOST_AFTER`].
 const LOST_AFTER_INTERVALS: f64 = 5.0;
-/// Shortest silence after which the flows of an agent count as lost.
+/// Silence after which the flows of an agent count as lost, if that is longer than
+/// [`LOST_AFTER_INTERVALS`] report intervals.
 const LOST_AFTER: Duration = Duration::from_millis(650);
-/// Shortest silence after which an agent is forgotten.
+/// Silence after which an agent is forgotten, if that is longer than
+/// `FORGET_AFTER_INTERVALS` report intervals.
 pub const FORGET_AFTER: Duration = Duration::from_secs(20);
-/// Report intervals without a report after which an agent is forgotten. Greater than
-/// [`LOST_AFTER_INTERVALS`], so that its flows count as lost first.
+/// Silence, in report intervals, after which an agent is forgotten, if that is longer than
+/// [`FORGET_AFTER`]. Greater than [`LOST_AFTER_INTERVALS`], so that its flows count as lost
+/// first.
 const FORGET_AFTER_INTERVALS: f64 = 6.0;
 /// Time since the first unanswered probe after which an agent gets no new flow.
 const SILENT_WHEN_UNANSWERED_FOR: Duration = Duration::from_millis(400);
@@ -30,7 +36,7 @@
 /// Time since the first unanswered probe after which a search no longer waits for an
 /// agent that had no target: three probes and as many searches are unanswered by then.
 const GONE_WITHOUT_TARGET_AFTER: Duration = Duration::from_millis(400);
-/// Unanswered openings after which an agent counts as silent.
+/// Unanswered openings after which an agent gets no new flow.
 const SILENT_AFTER_UNANSWERED_OPENINGS: u32 = 2;
 
 /// One agent and its target.
--- a/crates/woodladder-core/src/flow/configuration.rs
+++ b/crates/woodladder-core/src/flow/configuration.rs
@@ -202,13 +202,15 @@
     }
 }
 
+/// For each service, the greatest priority number among its routes. Zero is the highest
+/// priority, so this number is the service's lowest priority.
 fn lowest_priorities(configuration: &Configuration) -> FxHashMap<ServiceKey, u8> {
-    let mut lowest_priority = FxHashMap::default();
+    let mut greatest_numbers = FxHashMap::default();
     for route in &configuration.routes {
         for part in &route.parts {
-            let known = lowest_priority.entry(part.service).or_insert(0);
-            *known = route.terms.priority.max(*known);
+            let greatest = greatest_numbers.entry(part.service).or_insert(0);
+            *greatest = route.terms.priority.max(*greatest);
         }
     }
-    lowest_priority
+    greatest_numbers
 }
--- a/crates/woodladder-core/src/flow/flow_record/record.rs
+++ b/crates/woodladder-core/src/flow/flow_record/record.rs
@@ -16,9 +16,11 @@
 pub const MAXIMUM_BYTES: usize = 256 * 1024;
 /// Version of the encoding.
 const ENCODING_VERSION: u8 = 1;
-/// Low bits of a sequence number whose changes do not make a record worth writing again.
-/// The sequence number of a reset may differ by up to 76,800 bytes from the
-/// caller's.
+/// Low bits of the caller's acknowledgement number that the fingerprint ignores: for the
+/// same flows, it changes only if the number of some flow has crossed a multiple of 16 KiB.
+/// This step is far smaller than the 76,800 bytes by which the sequence number of a reset,
+/// which is derived from the recorded acknowledgement number, may differ from the one that
+/// the caller expects.
 const INSIGNIFICANT_BITS: u32 = 14;
 
 /// One flow that a target held.
@@ -137,7 +139,8 @@
     }
 
     /// A hash that changes if the record is worth writing again: if flows or holders
-    /// differ, or sequence numbers have advanced far.
+    /// differ, or if a caller's acknowledgement number has crossed a multiple of 16 KiB.
+    /// Differences in `caller_next` alone do not change the hash.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let mut bytes = Vec::new();
--- a/crates/woodladder-core/src/flow/flow_record/restorer.rs
+++ b/crates/woodladder-core/src/flow/flow_record/restorer.rs
@@ -3,11 +3,11 @@
 //!
 //! Each agent that is heard is queried for its recorded flows, a bounded number at a time.
 //! It is queried again if an answer is lost, and once more when it starts to know all flows
-//! of its target. Its denial proves that a flow is gone: only the target that the caller
-//! has chosen holds a flow, and the record names that target. If the agent answers that
-//! the target holds or may hold a flow, the flow is added to the balancer's flow table
-//! with this agent. Flows without any answer within [`QUERY_DURATION`] are dropped without
-//! further effect.
+//! of its target. Its denial proves that a flow is gone: only the target whose acceptance
+//! the caller has acknowledged holds a flow, and the record names that target. If the agent
+//! answers that the target holds or may hold a flow, the flow is added to the balancer's
+//! flow table with this agent. Flows without any answer within [`QUERY_DURATION`] are
+//! dropped without further effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,16 +18,18 @@
 use crate::clock::Instant;
 use crate::flow::identity::{FlowKey, Incarnation, NodeAddress};
 
-/// Time after reading a record in which its flows are queried; machines and targets that
-/// restart do so within it.
+/// Time after reading a record in which its flows are queried. Machines and targets
+/// that restart are up again within it.
 pub const QUERY_DURATION: Duration = Duration::from_secs(12);
 /// Time between two queries for a flow without an answer.
 const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two probes of an agent that was not heard yet.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after reading a record in which its agents are probed. Machines return within
-/// this time after a common outage; agents that return later are heard by their reports.
+/// Time after reading a record in which its agents are probed. After a common outage,
+/// machines usually answer again within this time. Agents of machines that return later need no
+/// probe: they are heard by their reports, and their flows are queried until
+/// [`QUERY_DURATION`] is over.
 const PROBE_DURATION: Duration = Duration::from_secs(2);
 
 /// Most bytes that a target can have sent on a flow since it was recorded. The sequence
--- a/crates/woodladder-core/src/flow/identity.rs
+++ b/crates/woodladder-core/src/flow/identity.rs
@@ -98,8 +98,8 @@
     xxh3_64(&address_bytes(address))
 }
 
-/// A hash of a pair of nodes; the same at every node. Rendezvous hashing: of several
-/// second nodes, the one with the highest hash is assigned to the first node.
+/// A hash of a pair of nodes; the same at every node. For rendezvous hashing: of several
+/// candidates for `second`, the one with the highest hash is assigned to `first`.
 #[must_use]
 pub fn pair_hash(first: NodeAddress, second: NodeAddress) -> u64 {
     xxh3_64_with_seed(&address_bytes(second), address_hash(first))
--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -73,7 +73,9 @@
         agent: NodeAddress,
         /// Time since the search began.
         waited: Duration,
-        /// Whether the agent had announced the flow before it was queried.
+        /// Whether the agent was one of those to which the packet was copied when the
+        /// search began. While agents announce flows, these are the agents that had
+        /// announced this flow.
         was_named: bool,
     },
     /// A search takes long.
@@ -182,7 +184,8 @@
     FlowRecording {
         /// What the record is needed for now.
         need: RecordNeed,
-        /// Balancers that decide about flows.
+        /// Number of balancers, including this one, that route flows themselves instead of
+        /// relaying them.
         balancers: usize,
     },
     /// The flow record from before the start was read.
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -243,7 +243,8 @@
     /// Agent to balancer: the target has accepted an opening.
     Accepted {
         key: FlowKey,
-        /// Sequence number that the caller acknowledges if it chooses this target.
+        /// Sequence number of the target's acceptance. The caller acknowledges it if it
+        /// takes this acceptance rather than that of another target.
         sequence: u32,
         /// Incarnation of the target.
         incarnation: Option<Incarnation>,
--- a/crates/woodladder-core/src/flow/packet.rs
+++ b/crates/woodladder-core/src/flow/packet.rs
@@ -6,8 +6,8 @@
 use super::identity::FlowKey;
 use crate::clock::Instant;
 
-/// Time from the first sending of an opening to each of its sendings: the first one and
-/// two retransmissions, at the intervals that callers use.
+/// Times at which a caller sends an opening, counted from the first one: at once, and then
+/// two retransmissions at the intervals that callers use.
 const OPENING_SEND_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
@@ -46,8 +46,9 @@
 }
 
 impl FlowPacket {
-    /// When the caller first sent this opening, which arrives now: computed from the
-    /// number of earlier sendings, which an opening has in `acknowledgement`.
+    /// Estimates when the caller first sent this opening, given that it arrives at `now`.
+    /// The estimate uses the number of times that the caller sent the opening before; for
+    /// openings, `acknowledgement` holds this number.
     #[must_use]
     pub fn first_sent(&self, now: Instant) -> Instant {
         let index = usize::try_from(self.acknowledgement).unwrap_or(usize::MAX);
--- a/crates/woodladder-core/src/flow/peers.rs
+++ b/crates/woodladder-core/src/flow/peers.rs
@@ -1,4 +1,5 @@
-//! The other balancers that a node knows from hellos, lists and snapshots.
+//! The other balancers that a node knows from hellos, from snapshots and from the
+//! lists of balancers in the store and the settings.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,14 +11,14 @@
 
 /// Shortest silence after which a balancer that has sent a hello is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Hello intervals of the balancer for which the same silence must last: the longer of
-/// both limits applies.
+/// The same silence, in hello intervals of the balancer; the longer of both limits
+/// applies.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
 /// Shortest silence after which a balancer no longer counts as live, for instance where
 /// balancers take turns at the store.
 const LIVE_FOR: Duration = Duration::from_secs(12);
-/// Hello intervals of the balancer for which the same silence must last: the longer of
-/// both limits applies.
+/// The same silence, in hello intervals of the balancer; the longer of both limits
+/// applies.
 const LIVE_FOR_PERIODS: f64 = 2.0;
 /// Time after which a balancer that only others have named is forgotten if it has sent no
 /// hello.
--- a/crates/woodladder-core/src/flow/promises.rs
+++ b/crates/woodladder-core/src/flow/promises.rs
@@ -67,8 +67,8 @@
 pub struct PromiseWatch {
     broken: BrokenPromises,
     resets: VecDeque<(FlowKey, Instant)>,
-    /// A target that shuts down and whose heartbeat was rejected, with the time of its
-    /// first rejected heartbeat.
+    /// The target that shuts down and whose heartbeats have been rejected so far, with the
+    /// time of the first rejected heartbeat.
     unacknowledged: Option<(Incarnation, Instant)>,
 }
 
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -215,8 +215,10 @@
     }
 }
 
-/// The median work per idle flow, in slots, if a fifth or more of the targets need much
-/// more work per idle flow than the median.
+/// The median work per idle flow, in slots, if the targets differ much in it: the value
+/// at the 80th percentile is [`UNEVEN_MINIMUM_RATIO`] to [`UNEVEN_MAXIMUM_RATIO`] times the
+/// median. `None` otherwise, and also if fewer than [`MINIMUM_COMPARED_TARGETS`] targets or
+/// less than half of them have a known value.
 fn uneven_work_per_idle_flow(records: &[&AgentRecord]) -> Option<f64> {
     let mut known: Vec<f64> = records
         .iter()
--- a/crates/woodladder-core/src/flow/store_session/discovery.rs
+++ b/crates/woodladder-core/src/flow/store_session/discovery.rs
@@ -11,8 +11,8 @@
 const SAFEGUARD_INTERVAL: Duration = Duration::from_secs(60);
 /// Time between lists while no balancer is heard.
 const URGENT_INTERVAL: Duration = Duration::from_millis(600);
-/// Longest time after its start for which a node waits for hellos before it reads a list:
-/// enough for several reports to the balancers that the settings name.
+/// Longest time after its start for which an agent waits for hellos before it reads a list:
+/// enough for the agent to send several reports to the balancers that the settings name.
 const HELLO_AWAITED_FOR: Duration = Duration::from_millis(600);
 /// Consecutive lists that may be stale before a fresh one is read.
 const MAXIMUM_STALE_LISTS: u32 = 2;
@@ -79,7 +79,7 @@
         }
         let is_delayed = now < self.due_at;
         if was_urgent && !is_urgent && (self.has_listed || is_delayed) {
-            // The balancers known so far have led to a live one.
+            // A balancer is heard now, so the next list is only a safeguard.
             self.due_at = now + self.backoff.randomize(SAFEGUARD_INTERVAL);
         }
         self.need = need;
--- a/crates/woodladder-core/src/flow/store_session/watch.rs
+++ b/crates/woodladder-core/src/flow/store_session/watch.rs
@@ -75,7 +75,8 @@
             return NextCall::At(self.due_at);
         }
         let Some(wait) = wait else {
-            // Changes in the meantime are not seen here, so the next call is a read.
+            // While the node does not watch, it misses changes. Without a revision, the
+            // next call reads the whole state.
             self.revision = None;
             let is_starting = now.since(self.started_at) < START_PHASE;
             let pause = if is_starting {
@@ -131,8 +132,8 @@
                 None
             }
             _ => {
-                // Changes in the meantime may have been missed: read again before the
-                // next wait.
+                // The call failed, so changes may have been missed. Without a revision, the
+                // next call reads the whole state before the node waits for changes again.
                 self.revision = None;
                 self.due_at = now + self.backoff.next_pause();
                 None
--- a/crates/woodladder-core/src/flow/zone_members.rs
+++ b/crates/woodladder-core/src/flow/zone_members.rs
@@ -24,18 +24,16 @@
 /// only after two hellos in a row were lost, which costs searches for its flows but no
 /// request.
 const RELAY_SILENT_AFTER: Duration = Duration::from_millis(450);
-/// Hello intervals of the balancer for which the same silence must last: the longer of
-/// both limits applies.
+/// The same silence, in hello intervals of the balancer; the longer of both limits
+/// applies.
 const RELAY_SILENT_AFTER_PERIODS: f64 = 3.0;
 /// Shortest silence after which a member no longer counts as serving.
 const SILENT_AFTER: Duration = Duration::from_millis(900);
-/// Hello intervals of the member for which the same silence must last: the longer of both
-/// limits applies.
+/// The same silence, in hello intervals of the member; the longer of both limits applies.
 const SILENT_AFTER_PERIODS: f64 = 1.8;
 /// Shortest silence after which a member no longer belongs to the zone.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Hello intervals of the member for which the same silence must last: the longer of both
-/// limits applies.
+/// The same silence, in hello intervals of the member; the longer of both limits applies.
 const FORGET_AFTER_PERIODS: f64 = 4.0;
 
 /// Capacity and readiness that a balancer announces to the others of its zone.
