--- a/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
@@ -15,7 +15,8 @@
 /// Number of heartbeats that a target must send after a flow was opened before the flow
 /// is recorded. The first heartbeat can arrive late: an incarnation that had already
 /// ended when the flow was opened may have sent it. A target sends its second heartbeat
-/// only when the first has been answered or given up.
+/// only when the first, which arrived after the opening, has been answered or has timed
+/// out at the target.
 const CONFIRMING_HEARTBEATS: u64 = 2;
 /// Age, by wall-clock time, from which on a record is ignored because its flows have
 /// ended: longer than a restart takes, and not longer than a flow lasts.
@@ -75,11 +76,13 @@
         }
     }
 
+    /// Logs a new need to read or write the record when writing begins or stops, and
+    /// when there was no need before. A change of the write period alone is not logged.
     fn log_record_need(&mut self, need: RecordNeed, now: Instant) {
         let former = std::mem::replace(&mut self.flow_records.logged_need, need);
-        let kind = |need: RecordNeed| matches!(need, RecordNeed::Write(_));
-        let is_new = kind(former) != kind(need) || former == RecordNeed::Nothing;
-        if is_new && former != need {
+        let is_write = |need: RecordNeed| matches!(need, RecordNeed::Write(_));
+        let is_relevant = is_write(former) != is_write(need) || former == RecordNeed::Nothing;
+        if is_relevant && former != need {
             self.log_events.add(LogEvent::FlowRecording {
                 need,
                 balancers: self.deciding_balancers(now),
--- a/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/restoring.rs
@@ -263,7 +263,8 @@
         self.flows.insert(key, entry, now);
     }
 
-    /// Drops what is recorded of a flow whose key the caller uses for a new one.
+    /// Removes the flow with this key, if any, from the flows restored from the record:
+    /// the caller opens a new flow with the same key.
     pub(crate) fn drop_recorded_flow(&mut self, key: &FlowKey) {
         self.flow_records.restorer.mark_superseded(key);
     }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -74,6 +74,8 @@
                         waiting,
                     });
                 }
+                // The link's queue holds a copy of the opening, which is routed or refused
+                // later: nothing is sent now.
                 Some(Routing::Drop(DropReason::LinkShared))
             }
             // This is a late copy of an opening whose flow is open. Refusing the copy
@@ -107,6 +109,8 @@
         }
     }
 
+    /// Counts an opening that is refused after it has waited for the link too long and
+    /// was never sent to a target.
     fn record_untried_end(&mut self, opening: &ReleasedOpening, now: Instant) {
         self.promises.record_held_untried();
         if let Some(route) = self.routes.route(opening.packet.key.service) {
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -263,10 +263,11 @@
         self.push_actions(routing, bytes, actions);
     }
 
-    /// Handles an opening that was returned because its agent has a newer
-    /// configuration. If that version has arrived here meanwhile, the flow is opened
-    /// under that version; otherwise the version is being fetched and the opening is
-    /// dropped.
+    /// Handles an opening that was returned because the agent that received it has a
+    /// newer configuration. While any known agent has a newer version than this
+    /// balancer, that version is being fetched and the opening is dropped. Otherwise, as
+    /// when the newer version has arrived here meanwhile, the opening is routed again
+    /// under the version in force here.
     fn reopen_under_new_version(
         &mut self,
         packet: &FlowPacket,
--- a/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
@@ -15,8 +15,8 @@
 
 /// Minimum time between reports, over all agents, to a balancer with less than
 /// [`LARGE_BALANCER_MILLICORES`] of CPU. This time limits the cost of reports to about
-/// 1.25 thousandths of a core: a hundredth of the CPU of a balancer with an eighth of a
-/// core.
+/// 1.25 thousandths of a core, which is 15 microseconds of CPU time a report: a
+/// hundredth of the CPU of a balancer with an eighth of a core.
 const REPORT_SPACING: Duration = Duration::from_millis(12);
 /// Minimum time between reports, over all agents, to a balancer with at least
 /// [`LARGE_BALANCER_MILLICORES`] of CPU.
@@ -49,8 +49,9 @@
 /// The relaying balancer must notice the end of this one quickly.
 const MINIMUM_RELAYING_HELLO_INTERVAL: Duration = Duration::from_millis(150);
 /// Minimum time between hellos, over all balancers that relay their packets to this
-/// one. This time limits the cost of these hellos to about 5 thousandths of a core: a
-/// hundredth of the CPU of a balancer with half a core.
+/// one. This time limits the cost of these hellos to about 5 thousandths of a core, which
+/// is 12.5 microseconds of CPU time a hello: a hundredth of the CPU of a balancer with
+/// half a core.
 const RELAYING_HELLO_SPACING: Duration = Duration::from_micros(2500);
 
 impl Balancer {
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -15,10 +15,11 @@
 /// hears no agent, because the agents themselves may then be gone. After this time the
 /// balancer counts as cut off all the same: both balancers may be cut off together.
 const CUT_OFF_WITH_OTHERS_AFTER: Duration = Duration::from_millis(900);
-/// Time after the last message of an agent in which the balancer's hellos state that
-/// the balancer hears agents. When all agents fall silent, the other balancers receive
-/// a hello that states the opposite soon after they count as cut off themselves, and
-/// long before a second check of a router has failed at them.
+/// Silence of all agents after which this balancer's hellos state that it hears no
+/// agent. If the agents fall silent for all balancers, another balancer counts as cut
+/// off after [`CUT_OFF_AFTER`]. It receives such a hello soon after that time and then
+/// counts as ready again, long before a router has checked its readiness a second time
+/// without success.
 const HEARS_AGENTS_WITHIN: Duration = Duration::from_millis(100);
 /// Time in which another balancer's statement that it hears no agent stays valid.
 const SHARED_SILENCE_VALID_FOR: Duration = Duration::from_millis(600);
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -45,9 +45,9 @@
 pub use search::{MAXIMUM_SEARCHES_PER_ROUND, SEARCH_FANOUT};
 pub use store_duty::{REGISTERED_BALANCERS, STORE_WATCHERS};
 
-/// Largest number of agents at which every agent is queried about an unknown flow. With
-/// more agents, the queries and their answers take longer than copying the packet to
-/// the first targets, which the queries replace.
+/// Largest number of agents at which queries to all agents replace copying the packet of
+/// an unknown flow to the first targets. With more agents, the queries and their answers
+/// take longer than copying the packet.
 const MAXIMUM_QUERIED_AGENTS: usize = 160;
 /// Time between two ticks from which on the process counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
@@ -163,10 +163,13 @@
     peer_hellos_sent_at: Instant,
     /// When the balancers that relay to this one were last sent a hello.
     relaying_member_hellos_sent_at: Instant,
+    /// The node that was asked for a snapshot and has not answered yet, and when it was
+    /// asked.
     pending_snapshot: Option<(NodeAddress, Instant)>,
     last_agent_heard_at: Option<Instant>,
     /// When a hello last stated that its sender, another balancer, hears no agent.
     peer_without_agents_at: Option<Instant>,
+    /// When an agent was last heard for the first time, or again after it was lost.
     last_agent_found_at: Instant,
     /// Since when the balancer has received messages without interruption: its start,
     /// or the end of the last stall or loss of contact.
--- a/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
@@ -78,8 +78,9 @@
             .is_some_and(|known| known.has_too_many || known.complete_to.is_some())
     }
 
-    /// Applies the flow announcement of an agent's report. `epoch` identifies the
-    /// agent's start.
+    /// Applies the flow announcement in an agent's report. `epoch` identifies the
+    /// agent's run: it changes when the agent restarts, and the flows known from the
+    /// earlier run are then removed.
     pub fn apply_statement(
         &mut self,
         agent: NodeAddress,
@@ -108,6 +109,9 @@
         }
     }
 
+    /// Applies an announcement that contains only changes since an earlier one. If
+    /// changes in between were missed, the flows known of the agent no longer count as
+    /// complete.
     fn changed(&mut self, agent: NodeAddress, announcement: &FlowAnnouncement) {
         let Some(known) = self.agents.get_mut(&agent) else {
             return;
--- a/crates/woodladder-core/src/flow/balancer/search/outcome.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/outcome.rs
@@ -37,7 +37,8 @@
     }
 
     /// Handles a packet that an agent returned because its target does not hold the
-    /// flow; the packet goes on to the others.
+    /// flow. This counts as a denial. If the table lists that agent as the holder, a
+    /// search begins with the packet; otherwise the packet is not sent on.
     pub(crate) fn handle_packet_not_held(
         &mut self,
         from: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/search/rounds.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/rounds.rs
@@ -20,12 +20,13 @@
 const MAXIMUM_FLOWS_PER_ROUND: usize = 4096;
 
 impl Balancer {
-    /// Runs a round of queries: for the new searches only, or for all of them when that
-    /// is due.
+    /// Runs a round of queries: for the new searches only if there are any and the last
+    /// full round began less than [`FULL_ROUND_INTERVAL`] ago, otherwise for all
+    /// searches.
     pub(crate) fn run_query_round(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         let new_searches = std::mem::take(&mut self.unqueried_flows);
         if !new_searches.is_empty() && !self.is_full_round_due(now) {
-            // A round for the new searches, between two rounds for all of them.
+            // A round for the new searches, between two full rounds.
             return self.query_flows(&new_searches, now, actions);
         }
         self.last_full_round_at = now;
--- a/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
@@ -35,7 +35,7 @@
 }
 
 impl WorkBudget {
-    /// A budget of queries for a CPU, given in thousandths of a core.
+    /// Budget, in queries, for a CPU with the given capacity in thousandths of a core.
     #[must_use]
     pub fn for_queries(cpu_millicores: u32, now: Instant) -> Self {
         let cpu_us_per_second =
@@ -43,15 +43,16 @@
         Self::with_rate(cpu_us_per_second / QUERY_CPU_US, now)
     }
 
-    /// A budget of bytes of flow lists for a link, given in kilobits a second.
+    /// Budget, in bytes, for flow lists on a link with the given rate in kilobits a
+    /// second.
     #[must_use]
     pub fn for_list_bytes(link_rate_kbps: Option<u32>, now: Instant) -> Self {
         let rate = f64::from(link_rate_kbps.unwrap_or(ASSUMED_LINK_RATE_KBPS));
         Self::with_rate(rate * BYTES_PER_KILOBIT * LIST_LINK_SHARE, now)
     }
 
-    /// A budget of bytes of callers' packets, sent in searches, for a link, given in
-    /// kilobits a second.
+    /// Budget, in bytes, for callers' packets that are sent in searches, on a link with
+    /// the given rate in kilobits a second.
     #[must_use]
     pub fn for_packet_bytes(link_rate_kbps: Option<u32>, now: Instant) -> Self {
         let rate = f64::from(link_rate_kbps.unwrap_or(ASSUMED_LINK_RATE_KBPS));
--- a/crates/woodladder-core/src/flow/balancer/store_duty.rs
+++ b/crates/woodladder-core/src/flow/balancer/store_duty.rs
@@ -34,13 +34,13 @@
 /// change has 5 s to take effect in deployments that are large enough to have balancers
 /// other than watchers.
 const TAKE_OVER_AGE: Duration = Duration::from_millis(3000);
-/// Time in which hellos spread an answer of the store to all balancers. The balancers
-/// that do not watch take over in waves this far apart, each wave as large as the
-/// watchers and all earlier waves together. The last of 304 balancers therefore calls
-/// the store 4.2 s after the first, and the last of 4,000 after 7.2 s. An answer to a
-/// balancer of one wave makes the calls of all later waves unnecessary. If one more
-/// balancer called the store every 0.1 s, the last one would call it 30 s after the
-/// first among 304 balancers, and 400 s after the first among 4,000.
+/// Time in which hellos spread an answer of the store to all balancers. It is the
+/// additional delay for each doubling of the number of balancers that may call the
+/// store, beginning with the watchers. The last of 304 balancers therefore calls the
+/// store 4.2 s after the first, and the last of 4,000 after 7.2 s. An answer to one
+/// balancer makes the calls unnecessary that are due more than this time later. With a
+/// constant 0.1 s from one balancer to the next, the last one would call the store 30 s
+/// after the first among 304 balancers, and 400 s after the first among 4,000.
 const TAKE_OVER_WAVE_INTERVAL: Duration = Duration::from_millis(800);
 /// Maximum duration of one watch while every balancer watches. A watch can hang without
 /// an error. The node then receives a change from the other balancers, or from its own
@@ -88,8 +88,8 @@
 
     /// Applies the confirmation that was heard for the version that has just been
     /// adopted. Without this, a balancer that has just started would read the store
-    /// although a hello has already confirmed its version. At a start of the whole
-    /// fleet, 109 of 304 balancers did so.
+    /// although a hello has already confirmed its version: 109 of 304 balancers did
+    /// so when the whole fleet started at once.
     pub(super) fn apply_confirmation_of_adopted(&mut self) {
         if let Some((version, confirmed_at)) = self.newer_version_confirmation
             && version <= self.routes.version()
