--- a/crates/woodladder/src/command/status_report.rs
+++ b/crates/woodladder/src/command/status_report.rs
@@ -66,7 +66,8 @@
     known_nodes: u32,
     /// Number of nodes in the member table that were heard from recently.
     heard_nodes: u32,
-    /// Number of frames, records, deltas and copies rejected since the node started.
+    /// Number of control frames, roll records, snapshot deltas and snapshot copies
+    /// that the node has rejected since it started.
     rejections: u64,
 }
 
--- a/crates/woodladder/src/daemon/agent.rs
+++ b/crates/woodladder/src/daemon/agent.rs
@@ -156,7 +156,8 @@
 /// than those of earlier runs for the same target: the Unix time in milliseconds at
 /// the start. If the clock was set back, a report of an earlier run may have a
 /// greater number. When the agent receives such a report with its own control
-/// address, it adopts that number and sends a report with the next version.
+/// address, it takes over that run number and sends a report whose version, which
+/// orders the reports of one run, is one higher than the version received.
 fn run_number() -> RunNumber {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let milliseconds = since_epoch.unwrap_or_default().as_millis();
--- a/crates/woodladder/src/explain/mod.rs
+++ b/crates/woodladder/src/explain/mod.rs
@@ -55,9 +55,9 @@
     pub flows: Vec<String>,
     /// Log lines of these flows, sorted by time.
     pub lines: Vec<LogLine>,
-    /// State changes around the time of these lines, sorted by time: those about an
-    /// agent that the lines name, and those that name no agent, from nodes that
-    /// wrote the lines.
+    /// State changes around the time of these lines, sorted by time. A change that
+    /// names an agent is included when one of the lines names the same agent. A change
+    /// that names no agent is included when its node wrote one of the lines.
     pub surroundings: Vec<LogLine>,
     /// Outcome of the request or flow.
     pub verdict: Verdict,
@@ -91,8 +91,9 @@
     }
     flow_lines.sort_by_key(|line| line.at_ms);
     let surroundings = state_changes_around(&flow_lines, lines);
-    // A request's identifier is logged only after the request has reached a target,
-    // so a match of the key means delivery.
+    // Of all events, only `request_delivered` has the field `request`. An agent logs
+    // this event when it hands the request to its target, not when it queues the
+    // request, so a line whose `request` is the key shows that the request was delivered.
     let is_delivered = flow_lines
         .iter()
         .any(|line| line.text("request") == Some(key));
--- a/crates/woodladder/src/explain/verdict.rs
+++ b/crates/woodladder/src/explain/verdict.rs
@@ -6,14 +6,16 @@
 
 use super::LogLine;
 
-/// Longest time in milliseconds from an agent's decision about a queued request to
-/// the agent's log line about the decision.
+/// Assumed longest time in milliseconds from an agent's decision about a queued request
+/// to the agent's log line about the decision.
 const LOG_DELAY_MS: i64 = 100;
 /// Event of the line that an agent logs when it queues a request.
 const QUEUED_EVENT: &str = "request_queued";
 /// Event of the line that an agent logs when it releases a queued request to the target.
 const RELEASED_EVENT: &str = "queued_work_released";
-/// Event of the line that an agent logs when it drops a request from the queue.
+/// Event of the line that an agent logs when it drops a request from the queue because
+/// the timeout of the request's route has passed: an answer would be useless to the
+/// caller.
 const GIVEN_UP_EVENT: &str = "request_given_up";
 
 /// The outcome of a request or flow.
@@ -41,19 +43,19 @@
         /// How the target was lost around that time; `None` when no node logged a loss.
         cause: Option<String>,
     },
-    /// The agent queued the request until its timeout and dropped it without
-    /// running it.
+    /// The agent queued the request until the timeout of its route had passed, and then
+    /// dropped the request without delivering it to the target.
     GivenUp {
         /// Agent that serves the target.
         node: String,
-        /// Work that was ahead of the request when it was queued.
+        /// Description of the work that the request was queued behind.
         behind: String,
     },
     /// The agent queued the request, and nothing later is logged.
     Waiting {
         /// Agent that serves the target.
         node: String,
-        /// Work that was ahead of the request when it was queued.
+        /// Description of the work that the request was queued behind.
         behind: String,
     },
     /// The flow waited for a target, and none accepted it.
--- a/crates/woodladder/src/fleet_report.rs
+++ b/crates/woodladder/src/fleet_report.rs
@@ -67,7 +67,8 @@
     pub last_ms: i64,
 }
 
-/// Messages or calls of one kind, and their bytes.
+/// Number of messages or calls of one kind, and their size in bytes. In a log line
+/// both are running totals since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 struct Amount {
     count: u64,
--- a/crates/woodladder/src/settings/agent.rs
+++ b/crates/woodladder/src/settings/agent.rs
@@ -16,9 +16,10 @@
 use crate::agent::{self, CertificateError, Limits};
 
 const DEFAULT_WORKER_THREADS: usize = 2;
-/// Default of `drain_timeout`. It equals the default time for which a removed target
-/// stays in snapshots, because a stream may last a week and a planned stop must not
-/// close a stream that is still open.
+/// Default of `drain_timeout`: 8 days, the default time for which a removed target
+/// stays in snapshots. A stream may last a week: for that long, nodes must be able to
+/// route its flow to a removed target, and a planned stop must not close it while it
+/// is still open.
 const DEFAULT_DRAIN_TIMEOUT: Duration = DEFAULT_LINGER;
 
 const RULE_DRAIN_GRACE: &str = "a leaving target accepts requests for at most 4 seconds";
--- a/crates/woodladder/src/settings/node.rs
+++ b/crates/woodladder/src/settings/node.rs
@@ -15,7 +15,9 @@
 /// Addresses of the platform's services and of other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformSettings {
-    /// Addresses of the key-value service, in the order in which they are tried.
+    /// Addresses of the key-value service. The first request tries them in this order.
+    /// A later request starts with the address that was reached last, or with the
+    /// address after it if that one gave no complete response.
     pub stores: Vec<SocketAddr>,
     /// Address of the machine list.
     pub machine_list: Option<SocketAddr>,
--- a/crates/woodladder/src/settings/operator.rs
+++ b/crates/woodladder/src/settings/operator.rs
@@ -26,7 +26,8 @@
     pub trusted_keys: TrustedKeys,
     /// Key that all nodes share.
     pub cluster_key: TagKey,
-    /// File with the operator's secret key.
+    /// Path of the file with the operator's secret key, which signs rolls; absent when
+    /// none is set. `roll` requires it.
     pub signing_key: Option<PathBuf>,
     /// Name of the operator, shown to other operators who roll at the same time.
     pub operator: String,
--- a/crates/woodladder/src/settings/reader.rs
+++ b/crates/woodladder/src/settings/reader.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// The problem of a finding about an invalid value, without the value of a
-/// secret.
+/// Describes an invalid value for a finding. The description contains the value's
+/// text, except for a secret setting.
 fn describe_invalid(key: &str, text: &str) -> String {
     if SECRET_KEYS.contains(&key) {
         return "the value is not accepted".to_owned();
--- a/crates/woodladder/src/store/consul.rs
+++ b/crates/woodladder/src/store/consul.rs
@@ -161,8 +161,8 @@
 }
 
 /// The answer for a failed request, by whether the request may have had an effect.
-/// A request that the service rejected had none, so its answer is
-/// [`StoreAnswer::Unreachable`], too.
+/// [`StoreAnswer::Unreachable`] also stands for a request that the service rejected,
+/// because that request had no effect either.
 fn answer_for_error(error: &ServiceError) -> StoreAnswer {
     match error {
         ServiceError::Unreachable(_) => StoreAnswer::Unreachable,
