--- a/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
@@ -19,8 +19,9 @@
 
 use crate::clock::Instant;
 
-/// Less urgent work gets one in this many slots while it is queued beside urgent work of
-/// the same lateness (both in time, or both late).
+/// Less urgent work gets one in this many slots, at the earliest, while it is queued beside
+/// urgent work of the same lateness (both in time, or both late). The slot is put off
+/// while [`has_slack_for`] does not hold.
 const SHARE_PERIOD_SLOTS: u32 = 8;
 
 /// Margin between the expected end of the work and its deadline, as a multiple of the
--- a/crates/woodladder-core/src/flow/agent_record.rs
+++ b/crates/woodladder-core/src/flow/agent_record.rs
@@ -82,7 +82,8 @@
     pub(super) sequence: u64,
     pub(super) interval: Duration,
     pub(super) is_marked_lost: bool,
-    /// When the next hello to the agent is due, as stated in the last hello to it.
+    /// When the next hello to the agent is due: at the latest at the time stated in the
+    /// last hello to it.
     pub(super) next_hello_at: Instant,
     /// When the first probe that is still unanswered was sent.
     pub(super) unanswered_since: Option<Instant>,
--- a/crates/woodladder-core/src/flow/balancer/membership/agent_discovery.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/agent_discovery.rs
@@ -34,10 +34,14 @@
 const NAMED_HELLO_INTERVAL: Duration = Duration::from_millis(200);
 /// CPU, in thousandths of a core, that the balancer must have for each hello sent to an
 /// agent between two ticks. A hello and its answer together take some 30 microseconds
-/// of CPU. The limit applies separately to hellos to named agents and to hellos to
-/// agents that have reported. With ticks 25 ms apart, hellos of one kind up to the
-/// limit take 15 % of the balancer's CPU; with ticks 4 ms apart, they take 94 %. The
-/// rest remains for callers' packets.
+/// of CPU. The aim of the limit is that three quarters of the machine's CPU share remain
+/// for callers' packets. The limit applies separately to hellos to named agents and to
+/// hellos to agents that have reported. With ticks 25 ms apart (40 a second), hellos of
+/// one kind up to the limit take 40 * 30 us / 8 thousandths of a core = 15 % of the
+/// balancer's CPU, and 85 % remain; both kinds together take 30 %, and 70 % remain. With
+/// ticks 4 ms apart (250 a second), which occur only while new queries are collected,
+/// hellos of one kind up to the limit would take 94 %, so the limit does not ensure the
+/// aim there.
 const MILLICORES_PER_HELLO: u32 = 8;
 /// Minimum number of agents that may be sent a hello between two ticks.
 const MINIMUM_HELLOS_PER_TICK: u32 = 4;
--- a/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hello_periods.rs
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Time in which each agent is sent one hello.
+    /// Hello interval of agents: the time in which each agent is sent one hello.
     pub(crate) fn agent_hello_period(&self) -> Duration {
         self.report_interval().saturating_mul(REPORTS_PER_HELLO)
     }
 
     /// Time until an agent is sent the next hello: between half and the whole of the
-    /// period stated to the agent, by a hash of its address. Agents that are sent a
-    /// hello at the same time after a start are therefore sent later ones at different
+    /// hello interval stated to the agent, by a hash of its address. Agents that are sent
+    /// a hello at the same time after a start are therefore sent later ones at different
     /// times.
     pub(crate) fn next_hello_delay(&self, agent: NodeAddress) -> Duration {
         let part = u32::try_from(address_hash(agent) % 1000).unwrap_or(0);
@@ -100,13 +100,14 @@
             .clamp(MINIMUM_MEMBERS_PER_ROUND, MAXIMUM_MEMBERS_PER_ROUND)
     }
 
-    /// Time between two hellos to each balancer that relays its packets to this one.
+    /// Hello interval of each balancer that relays its packets to this one.
     pub(crate) fn relaying_hello_period(&self) -> Duration {
         let relaying = u32::try_from(self.relaying_members.len()).unwrap_or(u32::MAX);
         MINIMUM_RELAYING_HELLO_INTERVAL.max(RELAYING_HELLO_SPACING.saturating_mul(relaying))
     }
 
-    /// Time within which a node is sent the next regular hello.
+    /// Hello interval of a node: the time within which the node is sent the next hello
+    /// that does not depend on other events. Hellos sent because of a change do not count.
     pub(crate) fn hello_period(&self, to: NodeAddress) -> Duration {
         if !self.peers.knows(to) {
             return self.agent_hello_period();
--- a/crates/woodladder-core/src/flow/directory.rs
+++ b/crates/woodladder-core/src/flow/directory.rs
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Records when the next hello to an agent is due, as stated in the last hello to it.
+    /// Records when the next hello to an agent is due: at the latest at the time stated in
+    /// the last hello to it.
     pub fn set_next_hello(&mut self, address: NodeAddress, next_hello_at: Instant) {
         if let Some(record) = self.agents.get_mut(&address) {
             record.next_hello_at = next_hello_at;
--- a/crates/woodladder-core/src/flow/flow_record/restorer.rs
+++ b/crates/woodladder-core/src/flow/flow_record/restorer.rs
@@ -245,7 +245,8 @@
     }
 
     /// Handles an agent's denial. Returns the flow if the denial proves that it is gone:
-    /// a denial counts only if this process of the balancer has asked for the flow.
+    /// a denial counts only if this process of the balancer has sent a query for the flow
+    /// since the agent's reported knowledge last changed.
     pub fn handle_denial(&mut self, agent: NodeAddress, key: &FlowKey) -> Option<RestoredFlow> {
         let flow = self.held_by(agent, key)?;
         flow.queried_at?;
--- a/crates/woodladder-core/src/flow/message_timing.rs
+++ b/crates/woodladder-core/src/flow/message_timing.rs
@@ -10,7 +10,8 @@
 use std::time::Duration;
 
 /// Silence after which a sender no longer counts as live: a number of its `period`s, but
-/// at least `minimum`.
+/// at least `minimum`. Also used for the silence after which the flows of an agent count
+/// as lost, and after which a node is forgotten.
 #[must_use]
 pub fn liveness_timeout(period: Duration, periods: f64, minimum: Duration) -> Duration {
     minimum.max(period.mul_f64(periods))
--- a/crates/woodladder-core/src/target/admission/mod.rs
+++ b/crates/woodladder-core/src/target/admission/mod.rs
@@ -7,8 +7,8 @@
 //! datagram for another service or target never reaches the transport.
 //!
 //! Source: Mitzenmacher, "The power of two choices in randomized load
-//! balancing", 2001. Here each target states its current load, and the stated
-//! loads travel with the flow.
+//! balancing", 2001. Here each target states its current load, not one from an
+//! earlier report, and the stated loads travel with the flow.
 
 mod choice;
 mod decision_cache;
--- a/crates/woodladder-core/tests/flow_configuration.rs
+++ b/crates/woodladder-core/tests/flow_configuration.rs
@@ -43,7 +43,7 @@
 #[test]
 fn a_balancer_that_starts_without_the_store_gets_a_snapshot_from_a_peer() {
     let mut known = balancer(&[2]);
-    let hello = peer_greeting();
+    let hello = peer_hello();
     let mut starting = empty_balancer();
     let mut actions = Vec::new();
     starting.handle_message(
@@ -85,7 +85,7 @@
 fn hello(has_agent_contact: bool) -> PeerMessage {
     PeerMessage::Hello(BalancerHello {
         has_agent_contact,
-        ..peer_greeting()
+        ..peer_hello()
     })
 }
 
@@ -165,7 +165,7 @@
     let empty_hello = PeerMessage::Hello(BalancerHello {
         version: 0,
         has_agent_contact: false,
-        ..peer_greeting()
+        ..peer_hello()
     });
     deliver_message(&mut balancer, 5, empty_hello.clone(), at(10));
     let again = deliver_message(&mut balancer, 5, empty_hello.clone(), at(11));
--- a/crates/woodladder-core/tests/flow_dissemination.rs
+++ b/crates/woodladder-core/tests/flow_dissemination.rs
@@ -20,7 +20,7 @@
     BalancerHello {
         zone: ZoneKey::named(zone),
         version,
-        ..peer_greeting()
+        ..peer_hello()
     }
 }
 
--- a/crates/woodladder-core/tests/flow_drain.rs
+++ b/crates/woodladder-core/tests/flow_drain.rs
@@ -200,7 +200,7 @@
     let hello = BalancerHello {
         version: 7,
         balancers: vec![node(3)],
-        ..peer_greeting()
+        ..peer_hello()
     };
     let mut actions = Vec::new();
     agent.handle_message(node(2), &PeerMessage::Hello(hello), at(10), &mut actions);
--- a/crates/woodladder-core/tests/flow_excluded_zones.rs
+++ b/crates/woodladder-core/tests/flow_excluded_zones.rs
@@ -47,7 +47,7 @@
 fn hello(zones: ExcludedZones) -> BalancerHello {
     BalancerHello {
         excluded_zones: zones,
-        ..peer_greeting()
+        ..peer_hello()
     }
 }
 
@@ -209,7 +209,7 @@
     deliver_message(
         &mut balancer,
         20,
-        PeerMessage::Hello(peer_greeting()),
+        PeerMessage::Hello(peer_hello()),
         at(10_000),
     );
     let mut actions = Vec::new();
--- a/crates/woodladder-core/tests/flow_fleet_size.rs
+++ b/crates/woodladder-core/tests/flow_fleet_size.rs
@@ -215,7 +215,7 @@
                     cpu_millicores: capacity_of(index),
                     link_rate_kbps: None,
                     next_hello_within_ms: u32::try_from(next_hello_within).expect("time"),
-                    ..peer_greeting()
+                    ..peer_hello()
                 };
                 (PeerMessage::Hello(hello), next_hello_within)
             }
@@ -307,7 +307,7 @@
                 .filter(|own| {
                     let mut balancer = balancer_at(*own);
                     for other in (0..balancers).filter(|other| other != own) {
-                        let message = PeerMessage::Hello(peer_greeting());
+                        let message = PeerMessage::Hello(peer_hello());
                         let from = balancer_node(other);
                         let mut actions = Vec::new();
                         balancer.handle_message(from, message, None, at(10_000), &mut actions);
@@ -354,7 +354,7 @@
         let hello = BalancerHello {
             report_interval_ms: 30_000,
             requests_report,
-            ..peer_greeting()
+            ..peer_hello()
         };
         let mut actions = Vec::new();
         agent.handle_message(node(1), &PeerMessage::Hello(hello), at(now), &mut actions);
@@ -399,7 +399,7 @@
             let hello = BalancerHello {
                 report_interval_ms: interval,
                 next_hello_within_ms: interval * 4,
-                ..peer_greeting()
+                ..peer_hello()
             };
             let from = balancer_node(usize::try_from(index).expect("index"));
             agent.handle_message(from, &PeerMessage::Hello(hello), at(10), &mut Vec::new());
--- a/crates/woodladder-core/tests/flow_gone.rs
+++ b/crates/woodladder-core/tests/flow_gone.rs
@@ -268,7 +268,7 @@
     let mut balancer = empty_balancer();
     balancer.adopt_store_configuration(configuration(1));
     for peer in 20..24 {
-        let hello = PeerMessage::Hello(peer_greeting());
+        let hello = PeerMessage::Hello(peer_hello());
         deliver_message(&mut balancer, peer, hello, at(10));
     }
     let mut asked = Vec::new();
--- a/crates/woodladder-core/tests/flow_link_share.rs
+++ b/crates/woodladder-core/tests/flow_link_share.rs
@@ -106,7 +106,7 @@
     let larger = BalancerHello {
         cpu_millicores: 500,
         link_rate_kbps: Some(200_000),
-        ..peer_greeting()
+        ..peer_hello()
     };
     deliver_message(&mut balancer, 2, PeerMessage::Hello(larger), at(11_190));
     let mut actions = Vec::new();
--- a/crates/woodladder-core/tests/flow_opened_elsewhere.rs
+++ b/crates/woodladder-core/tests/flow_opened_elsewhere.rs
@@ -11,7 +11,7 @@
 use woodladder_core::flow::packet::PacketKind;
 
 /// An agent that has restarted lets its target decide, so its denial comes without the
-/// packet. The balancer believed the flow to be there because it had sent the first
+/// packet. The balancer presumed the flow to be there because it had sent the first
 /// opening there, while a copy sent through another balancer opened the flow elsewhere.
 #[test]
 fn a_flow_that_its_presumed_holder_denies_is_searched_for() {
--- a/crates/woodladder-core/tests/flow_rebirth.rs
+++ b/crates/woodladder-core/tests/flow_rebirth.rs
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_restarted_agent_that_keeps_reporting_a_start_whose_clock_went_back_is_believed() {
+fn a_restarted_agent_that_keeps_reporting_a_start_whose_clock_went_back_is_presumed_restarted() {
     let mut balancer = balancer_with_flow(0);
     let mut reset = 0;
     for sequence in 1..=30 {
--- a/crates/woodladder-core/tests/flow_small_balancers.rs
+++ b/crates/woodladder-core/tests/flow_small_balancers.rs
@@ -21,7 +21,7 @@
         zone: ZoneKey::named(zone),
         cpu_millicores,
         link_rate_kbps: None,
-        ..peer_greeting()
+        ..peer_hello()
     }
 }
 
--- a/crates/woodladder-core/tests/flow_store_duty.rs
+++ b/crates/woodladder-core/tests/flow_store_duty.rs
@@ -31,7 +31,7 @@
     BalancerHello {
         version,
         confirmed_ago_ms,
-        ..peer_greeting()
+        ..peer_hello()
     }
 }
 
--- a/crates/woodladder-core/tests/flow_support/mod.rs
+++ b/crates/woodladder-core/tests/flow_support/mod.rs
@@ -330,7 +330,7 @@
 }
 
 /// A hello of another balancer of the same zone and size, which uses version 1.
-pub fn peer_greeting() -> BalancerHello {
+pub fn peer_hello() -> BalancerHello {
     BalancerHello {
         version: 1,
         report_interval_ms: 100,
--- a/crates/woodladder-core/tests/flow_unequal_links.rs
+++ b/crates/woodladder-core/tests/flow_unequal_links.rs
@@ -25,7 +25,7 @@
         zone: ZoneKey::named(zone),
         cpu_millicores: CPU_MILLICORES,
         link_rate_kbps: Some(link_rate_kbps),
-        ..peer_greeting()
+        ..peer_hello()
     }
 }
 
--- a/crates/woodladder-core/tests/flow_warm_up.rs
+++ b/crates/woodladder-core/tests/flow_warm_up.rs
@@ -86,7 +86,7 @@
             revision,
             zones: names.iter().map(|name| ZoneKey::named(name)).collect(),
         },
-        ..peer_greeting()
+        ..peer_hello()
     };
     agent.handle_message(node(1), &PeerMessage::Hello(hello), now, &mut Vec::new());
 }
--- a/crates/woodladder-node/src/agent.rs
+++ b/crates/woodladder-node/src/agent.rs
@@ -2,8 +2,8 @@
 //!
 //! # Lifecycle
 //! [`AgentNode::new`] opens the sockets. [`AgentNode::run`] starts the tasks and
-//! returns after a graceful shutdown. The shutdown is short, because the target has normally
-//! ended before its agent is stopped. At the end of the shutdown, a listen probe checks
+//! returns after a planned stop. The stop is short, because the target has normally
+//! ended before its agent is stopped. At the end of the stop, a listen probe checks
 //! whether the target accepts connections; if not, the agent announces the target's end.
 
 mod metrics;
@@ -129,7 +129,7 @@
         }))
     }
 
-    /// Runs the agent until a graceful shutdown, requested through `stop`, has
+    /// Runs the agent until a planned stop, requested through `stop`, has
     /// finished. `store` opens a session with the store.
     ///
     /// # Errors
@@ -173,7 +173,7 @@
             },
         ));
         stop.notified().await;
-        info!(self.logger, "agent: graceful shutdown started"; "event" => "stopping");
+        info!(self.logger, "agent: planned stop started"; "event" => "stopping");
         self.core.borrow_mut().begin_shutdown();
         self.run_core(|core, now, actions| core.tick(now, actions));
         sleep(SHUTDOWN_DRAIN).await;
@@ -298,7 +298,7 @@
         self.run_core(|core, now, actions| core.dispatch_queued(now, actions));
     }
 
-    /// Logs a request that was handed to the target.
+    /// Logs a request that was delivered to the target.
     fn log_request(&self, key: &FlowKey, bytes: &[u8]) {
         if let Some(id) = self.codec.request_id(bytes) {
             let busy = self.core.borrow().load().busy;
--- a/crates/woodladder-node/src/balancer.rs
+++ b/crates/woodladder-node/src/balancer.rs
@@ -2,7 +2,7 @@
 //!
 //! # Lifecycle
 //! [`BalancerNode::new`] opens the sockets. [`BalancerNode::run`] starts the tasks and
-//! returns after a graceful shutdown. During the shutdown the balancer keeps forwarding
+//! returns after a planned stop. During the stop the balancer keeps forwarding
 //! until callers have sent nothing for a while and no opening waits for the link.
 
 mod metrics;
@@ -72,7 +72,7 @@
     pub seeds: Vec<NodeAddress>,
     /// Minimum time for which an idle flow stays in the table.
     pub flow_retention: Duration,
-    /// Maximum duration of a graceful shutdown.
+    /// Maximum duration of a planned stop.
     pub stop_timeout: Duration,
 }
 
@@ -125,7 +125,7 @@
         }))
     }
 
-    /// Runs the balancer until a graceful shutdown, requested through `stop`, has
+    /// Runs the balancer until a planned stop, requested through `stop`, has
     /// finished. `store` opens a session with the store.
     ///
     /// # Errors
@@ -150,7 +150,7 @@
         let record_wakeup = self.start_flow_record(store());
         let (registration, registration_shutdown) = self.start_store_sessions(store);
         stop.notified().await;
-        info!(self.logger, "balancer: graceful shutdown started"; "event" => "stopping");
+        info!(self.logger, "balancer: planned stop started"; "event" => "stopping");
         registration.borrow_mut().leave(self.clock.now());
         registration_shutdown.notify_one();
         self.run_core(|core, now, actions| core.leave(now, actions));
--- a/crates/woodladder-node/src/decision_log.rs
+++ b/crates/woodladder-node/src/decision_log.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Logs a request that was handed to the target.
+    /// Logs a request that was delivered to the target.
     pub fn log_delivered_request(&mut self, flow: &str, request_id: &str, busy: u16, now: Instant) {
         let event_name = "request_delivered";
         if let Some(left_out) = self
--- a/crates/woodladder/src/agent/address_book.rs
+++ b/crates/woodladder/src/agent/address_book.rs
@@ -1,7 +1,7 @@
 //! Encodes service addresses as local IP addresses for the transport.
 //!
 //! The transport keeps one local IP address for each connection: the
-//! destination of a flow's first datagram, which it gives back as the source of
+//! destination of a flow's first datagram, which it returns as the source of
 //! each datagram that it sends. A service may have several addresses that
 //! differ only in their port, so an IP address alone does not identify a
 //! service address. The agent therefore numbers the service addresses and
