--- a/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/opening_admission.rs
@@ -25,8 +25,9 @@
 const VERSION_GRACE: Duration = Duration::from_millis(1000);
 /// One hundred percent.
 const PERCENT: u32 = 100;
-/// Maximum number of requests and openings at the target, in percent of its slots. Above
-/// 100, because the request follows its opening only after a round trip.
+/// Maximum number of requests and openings at the target, in percent of its slots. The
+/// limit is above 100 because an opening takes no slot until its request arrives, a round
+/// trip later.
 const MAXIMUM_LOAD_PERCENT: u32 = 120;
 /// Time from the target's acceptance of an opening within which the caller's request is
 /// expected; after it, the opening no longer counts as load.
--- a/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/request_queue.rs
@@ -31,7 +31,8 @@
 pub struct RequestTerms {
     /// Desired time from the request to its answer.
     pub aim: Duration,
-    /// Time after which an answer is of no use any more.
+    /// Time from the arrival of the request's first packet after which an answer is of no
+    /// use any more.
     pub timeout: Duration,
     /// Whether the route has a higher priority than another route of the same service.
     pub is_urgent: bool,
@@ -82,7 +83,8 @@
 struct GivenUpRequest {
     /// When the first packet of the request arrived.
     first_seen: Instant,
-    /// When the request was given up. Its caller has been silent since then.
+    /// When the request was given up. The record is removed when the request is queued
+    /// again, a request of the flow is delivered or the flow ends.
     given_up_at: Instant,
 }
 
@@ -244,7 +246,8 @@
         given_up
     }
 
-    /// Forgets given-up requests whose callers have been silent for this long.
+    /// Forgets the requests that were given up at least `after` ago and have not been
+    /// queued again.
     pub fn forget_silent_callers(&mut self, after: Duration, now: Instant) {
         self.given_up
             .retain(|_, request| now.since(request.given_up_at) < after);
--- a/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/serving_order.rs
@@ -3,10 +3,10 @@
 //! Work that can still be answered within its aim (the desired response time) goes first,
 //! and among it the work of urgent routes, those with a higher priority than another
 //! route of the service. Late work gets the remaining slots, because a slot given to it
-//! is taken from work that would have been in time. So that less urgent work does not
-//! starve, it gets one slot in [`SHARE_PERIOD_SLOTS`] while it is queued beside urgent
-//! work of the same lateness (both in time, or both late). Such a slot is granted only if
-//! all urgent work that can be in time still is afterwards.
+//! is taken from work that would have been in time. While less urgent work is queued
+//! beside urgent work of the same lateness (both in time, or both late), the less urgent
+//! work gets one slot in [`SHARE_PERIOD_SLOTS`], so that it does not starve. This slot is
+//! delayed while granting it would make late any urgent work that can still be in time.
 //!
 //! Within a group, the work that would meet its deadline even if it took twice as long as
 //! expected goes first, by earliest deadline; the other work follows, the newest first.
--- a/crates/woodladder-core/src/flow/agent/admission/work_selection.rs
+++ b/crates/woodladder-core/src/flow/agent/admission/work_selection.rs
@@ -16,11 +16,12 @@
 pub struct QueuedCounts {
     /// Openings of routes with a higher priority than another route of the service.
     pub urgent_openings: usize,
-    /// Other openings.
+    /// Openings of all other routes.
     pub openings: usize,
-    /// Requests on open flows of such routes.
+    /// Requests on open flows of routes with a higher priority than another route of the
+    /// service.
     pub urgent_requests: usize,
-    /// Other requests on open flows.
+    /// Requests on open flows of all other routes.
     pub requests: usize,
 }
 
--- a/crates/woodladder-core/src/flow/agent/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/mod.rs
@@ -118,8 +118,8 @@
     awaits_outcome: bool,
 }
 
-/// Whether anything listens at the target's address, as probed until there is a first
-/// sign of the target.
+/// Whether anything listens at the target's address, as the last probe has shown; see
+/// [`Agent::needs_listen_probe`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListenState {
     /// Not probed yet, or the probe gave no result.
@@ -308,7 +308,7 @@
         &self.counters
     }
 
-    /// How often the agent has broken each promise.
+    /// Violations of each service guarantee (promise) that the agent has counted.
     #[must_use]
     pub fn broken_promises(&self) -> &BrokenPromises {
         self.promises.broken()
@@ -319,7 +319,8 @@
         self.log_events.take()
     }
 
-    /// Adopts what another node sent in answer to a request for a snapshot.
+    /// Adopts the configuration, the excluded zones and the balancers of a snapshot that
+    /// another node sent on request.
     pub fn apply_snapshot(&mut self, from: NodeAddress, snapshot: Snapshot, now: Instant) {
         if self.pending_fetch.is_some_and(|(asked, _)| asked == from) {
             self.pending_fetch = None;
--- a/crates/woodladder-core/src/flow/agent/reporting/mod.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/mod.rs
@@ -1,4 +1,4 @@
-//! Messages from the agent to balancers, and what it learns from theirs.
+//! Messages from the agent to balancers, and the handling of messages from balancers.
 
 pub(crate) mod balancer_messages;
 pub mod flow_announcer;
--- a/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
+++ b/crates/woodladder-core/src/flow/agent/reporting/report_schedule.rs
@@ -12,15 +12,15 @@
 
 /// Minimum time between two reports to one balancer.
 const MINIMUM_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reports to a balancer that has not sent a hello yet. Short, because
-/// no balancer can find the target's flows before it has received a report, and when a
-/// whole fleet starts, the few balancers that the settings name may start after the
-/// agent's first report. With many such balancers, [`ReportSchedule::interval_factor`]
-/// lengthens the interval.
+/// Time between two reports to a balancer that has not sent a hello yet. The interval is
+/// short because a balancer cannot find the target's flows before it has received a
+/// report, and when a whole fleet starts, the few balancers that the settings name may
+/// start after the agent's first report. With many such balancers,
+/// [`ReportSchedule::interval_factor`] lengthens the interval.
 const UNCONFIRMED_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum mean time between two reports of one agent, whatever the balancers request.
-/// Reports thus take at most a hundredth of a small machine's processor, if one report
-/// takes at most a hundredth of this spacing (120 microseconds).
+/// As long as a small machine needs at most 120 microseconds for one report (a hundredth
+/// of this spacing), reports take at most a hundredth of its processor time.
 const MINIMUM_MEAN_SPACING: Duration = Duration::from_millis(12);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/woodladder-core/src/flow/agent/search.rs
+++ b/crates/woodladder-core/src/flow/agent/search.rs
@@ -122,12 +122,12 @@
         has_seen_all || (self.target.started_after_agent && self.flows.overflowed_at().is_none())
     }
 
-    /// Whether each flow of the queried `incarnation` is in the table or has ended,
-    /// because the agent has received a heartbeat of another incarnation, the present
-    /// one. If the present incarnation started later than the queried one, the flows of
-    /// the queried one have ended. If the present incarnation started earlier, it was
-    /// alive after the agent started, so the queried one started later than the agent,
-    /// whose table has each of its flows.
+    /// Whether each flow of the queried `incarnation` is known to be in the table or to
+    /// have ended. This holds if the table has never overflowed and the agent has received
+    /// a heartbeat of another incarnation, the present one. If the present incarnation
+    /// started later than the queried one, the flows of the queried one have ended. If the
+    /// present incarnation started earlier, it was alive after the agent started, so the
+    /// queried one started later than the agent, whose table has each of its flows.
     pub(super) fn accounts_for_flows_of(&self, incarnation: Incarnation) -> bool {
         let has_heard = self.target.last_heartbeat_at.is_some();
         let is_another = self.target.incarnation.is_some_and(|it| it != incarnation);
--- a/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
+++ b/crates/woodladder-core/src/flow/agent/target/heartbeat.rs
@@ -136,10 +136,12 @@
     }
 
     /// Handles a deregistration: the target takes no new flow, but may still serve its
-    /// open flows. `incarnation` may identify the target by its name alone. If a start
-    /// under that name was replaced here and the present start has not announced that it
-    /// leaves, the deregistration may be a late one of the former start, and nothing
-    /// changes.
+    /// open flows. `incarnation` identifies one start of the target, or the target by its
+    /// name alone. Once a heartbeat has shown which start is present, a deregistration
+    /// that concerns neither this start nor its name is ignored. A deregistration by name
+    /// is also ignored if an earlier start under this name was replaced here and the
+    /// present start has not announced that it leaves: the message may be a late one of
+    /// the earlier start.
     pub fn handle_deregistration(&mut self, incarnation: Incarnation) {
         let target = &mut self.target;
         let names_start = target.incarnation == Some(incarnation);
@@ -196,8 +198,8 @@
         self.is_report_to_all_due = true;
     }
 
-    /// Whether the target's address should be probed: until there is a first sign of the
-    /// target.
+    /// Whether the target's address should be probed. It is probed until the target has
+    /// sent a heartbeat, a deregistration or a packet, or listens at the address.
     #[must_use]
     pub fn needs_listen_probe(&self) -> bool {
         let was_heard =
--- a/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
+++ b/crates/woodladder-core/src/flow/agent/target/request_outcome.rs
@@ -45,8 +45,9 @@
         self.counters.requests_failed += u64::from(!succeeded);
     }
 
-    /// Counts a request that its caller has abandoned. If the caller has waited for far
-    /// longer than requests take, the target has failed the request.
+    /// Counts an abandoned request as a failure of the target if its caller has waited for
+    /// far longer than requests take: for [`ABANDONED_AFTER_SERVICE_TIMES`] mean service
+    /// times, and for at least [`MINIMUM_ABANDONED_AGE`].
     pub(crate) fn count_abandoned(&mut self, key: &FlowKey, now: Instant) {
         let mean_service_time = Duration::from_micros(self.load.service_time_us.into());
         let min_age =
--- a/crates/woodladder-core/src/flow/link/bulk_admission.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_admission.rs
@@ -18,7 +18,8 @@
 
 /// Time without data after which a flow no longer counts as active.
 const IDLE_AFTER: Duration = Duration::from_millis(60);
-/// Age at which an opening is refused: the caller's attempt ends at 1.4 seconds.
+/// Upper bound of the age from which an opening is refused, because the caller's attempt
+/// ends 1.4 seconds after its start.
 const MAXIMUM_OPENING_AGE: Duration = Duration::from_millis(1200);
 /// Maximum number of queued openings.
 const MAXIMUM_QUEUED_OPENINGS: usize = 256;
@@ -28,7 +29,8 @@
 pub struct BulkTerms {
     /// Desired time from the opening to the answer to its request.
     pub aim: Duration,
-    /// Time after which an answer is of no use any more.
+    /// Time from the caller's first sending of the opening after which an answer is of no
+    /// use any more.
     pub timeout: Duration,
     /// Time to transfer the flow's bytes if no other flow uses the link.
     pub transfer_time: Duration,
@@ -106,8 +108,9 @@
 }
 
 impl BulkAdmission {
-    /// Decides about an opening of a bulk route, of which at most `limit` flows are to be
-    /// active.
+    /// Decides about an opening of a bulk route. At most `limit` flows of bulk routes are
+    /// to be active, but a retransmitted opening that is not queued is admitted beyond the
+    /// limit, too.
     pub fn admit_opening(
         &mut self,
         packet: &FlowPacket,
@@ -150,9 +153,9 @@
         BulkDecision::Wait
     }
 
-    /// Handles any other packet of a bulk route's flow. The flow's caller no longer waits
-    /// for its opening to be forwarded, because a copy of the opening may have gone
-    /// through another balancer.
+    /// Handles a packet of a bulk route's flow that is not an opening. Such a packet shows
+    /// that the caller no longer waits for the flow's queued opening, so that the opening
+    /// is removed: a copy may have reached the target through another balancer.
     pub fn handle_packet(&mut self, packet: &FlowPacket, now: Instant) {
         self.remove_queued(|key| *key == packet.key);
         match packet.kind {
@@ -224,8 +227,9 @@
         self.queue.len()
     }
 
-    /// Index of the opening that is forwarded next: the oldest of those that can still be
-    /// answered in time, or the newest if none can. None of them has expired.
+    /// Index of the opening that is forwarded next: of those that can still be answered in
+    /// time, the one that was queued first, or, if none can, the one that was queued last.
+    /// Expired openings must have been removed before.
     fn next_index(&self, now: Instant) -> Option<usize> {
         let in_time = self.queue.iter().position(|queued| queued.is_in_time(now));
         in_time.or(self.queue.len().checked_sub(1))
--- a/crates/woodladder-core/src/flow/link/bulk_routes.rs
+++ b/crates/woodladder-core/src/flow/link/bulk_routes.rs
@@ -16,7 +16,8 @@
 const OBSERVATION_TIME: Duration = Duration::from_millis(1000);
 /// Maximum number of flows that are observed at the same time.
 const MAXIMUM_OBSERVED_FLOWS: usize = 512;
-/// Weight of the mean of all earlier flows, relative to one new flow.
+/// Weight of the mean over all earlier flows when the bytes of a new flow, which has a
+/// weight of 1, are averaged in.
 const EARLIER_FLOWS_WEIGHT: u64 = 7;
 /// Mean number of bytes from which a route counts as bulk: as much as a sender may have
 /// in flight.
--- a/crates/woodladder-core/src/flow/link/mod.rs
+++ b/crates/woodladder-core/src/flow/link/mod.rs
@@ -156,8 +156,9 @@
         self.bulk_admission.queued()
     }
 
-    /// Maximum number of flows of bulk routes that are to be active at the same time: as
-    /// many as have windows that fit into the queue in front of the link.
+    /// Maximum number of flows of bulk routes that are to be active at the same time: the
+    /// number of send windows of [`SEND_WINDOW_BYTES`] that fit into the network's queue
+    /// in front of the link, but at least [`MINIMUM_ACTIVE_BULK_FLOWS`].
     #[must_use]
     pub fn max_active_bulk_flows(&self) -> usize {
         let queue_bytes =
--- a/crates/woodladder-core/src/flow/link/scheduler.rs
+++ b/crates/woodladder-core/src/flow/link/scheduler.rs
@@ -1,8 +1,8 @@
 //! Order and pace of the datagrams that leave over a link.
 //!
-//! A link that is sent more than it carries drops datagrams regardless of their class.
-//! The scheduler sends no more than the link's rate. Small packets that their receivers
-//! wait for go first; bulk datagrams are queued for at most
+//! When a link is sent more than its rate, it drops datagrams regardless of their class.
+//! The scheduler sends no more than this rate. Small packets that their receivers wait
+//! for go first; bulk datagrams are queued for at most
 //! [`MAXIMUM_SCHEDULER_QUEUE_TIME`], and the packets of one flow keep their order. While
 //! the link has room, every datagram is sent at once.
 
@@ -237,8 +237,8 @@
     }
 
     /// Drops the newest bulk datagram to make room for a priority one, and returns
-    /// whether there was one. The newest is chosen because what follows a gap in a flow
-    /// is sent again anyway.
+    /// whether there was one. The newest is chosen because a sender also
+    /// retransmits the datagrams that follow a dropped one in its flow.
     fn drop_newest_bulk(&mut self) -> bool {
         let Some(dropped) = self.bulk_queue.pop_back() else {
             return false;
