--- a/crates/woodladder-core/src/flow/balancer/decision.rs
+++ b/crates/woodladder-core/src/flow/balancer/decision.rs
@@ -26,8 +26,8 @@
 }
 
 impl BalancerOptions {
-    /// CPU that the balancer can use for forwarding, in thousandths of a core. A slow
-    /// link lowers it.
+    /// CPU that the balancer can use for forwarding, in thousandths of a core: at most
+    /// the CPU that it takes to forward at the rate of the link.
     #[must_use]
     pub fn usable_cpu_millicores(&self) -> u32 {
         usable_capacity(self.cpu_millicores, self.link_rate_kbps)
--- a/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/recording.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Handles the reply to a call for the flow record.
+    /// Handles the store's reply to a call that [`Self::next_record_call`] returned. A
+    /// record that was read is restored.
     pub fn handle_record_reply(
         &mut self,
         reply: StoreReply,
@@ -90,10 +91,10 @@
         }
     }
 
-    /// The call that writes the record. If the session needs no write now,
-    /// `NextCall::At(now)`: the session has then set the time of its next step, or
-    /// ended, and the next call of [`Self::next_record_call`] returns the time to wait
-    /// for.
+    /// Returns the call that writes the record, or `NextCall::At(now)` if the session
+    /// needs no write now. In the latter case the session has set the time of its next
+    /// step, or has ended, and the next call of [`Self::next_record_call`] returns the
+    /// time to wait for.
     fn next_write_call(&mut self, time_of_day: u64, now: Instant) -> NextCall {
         let record = self.flow_record(time_of_day);
         let fingerprint = record.fingerprint();
--- a/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/established.rs
@@ -9,7 +9,7 @@
 use crate::flow::message::{ForwardHeader, ForwardPurpose};
 use crate::flow::packet::{FlowPacket, PacketKind, ResetReason};
 
-/// Time after its opening in which a caller acknowledges an acceptance.
+/// Time after a flow's opening in which the caller acknowledges an acceptance.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum number of bytes that a target can have sent by the time a balancer sees the
 /// caller's first acknowledgement.
@@ -63,9 +63,9 @@
 
     /// Resets the flows of a target that has ended, and returns the number of flows.
     /// `ended` is the incarnation that has ended and the time when the incarnation was
-    /// last heard: only flows that this balancer had recorded as held by the
-    /// incarnation at that time are reset. `None` means that the agent itself is gone:
-    /// all its flows are reset.
+    /// last heard: a flow is reset only if this balancer knew by that time that the
+    /// incarnation holds the flow. `None` means that the agent itself is gone: all
+    /// flows of its target are reset.
     pub(crate) fn reset_flows_of(
         &mut self,
         agent: NodeAddress,
--- a/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/link_share.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether openings wait for the link.
+    /// Whether openings are queued until the link has room for their flows.
     #[must_use]
     pub fn has_openings_waiting_for_link(&self) -> bool {
         self.paced_link()
@@ -78,8 +78,8 @@
                 // later: nothing is sent now.
                 Some(Routing::Drop(DropReason::LinkShared))
             }
-            // This is a late copy of an opening whose flow is open. Refusing the copy
-            // would end the flow.
+            // This is a late copy of an opening whose flow is open or being opened.
+            // Refusing the copy would end the flow.
             BulkDecision::Refuse if is_open(&self.flows, &packet.key) => {
                 Some(Routing::Drop(DropReason::LinkShared))
             }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -285,7 +285,8 @@
         self.route_first_opening(packet, bytes, now)
     }
 
-    /// Refuses an opening. Nothing of the flow has been executed.
+    /// Refuses an opening. No target may have executed anything of the flow: the refusal
+    /// of an opening that a target has accepted is counted as a broken promise.
     pub(crate) fn refuse_opening(&mut self, packet: &FlowPacket) -> Routing {
         if let Some(entry) = self.flows.remove(&packet.key) {
             let was_accepted = match &entry.stage {
--- a/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/relay.rs
@@ -41,8 +41,8 @@
         usable_cpu_millicores <= self.options.usable_cpu_millicores() / RELAY_SIZE_RATIO
     }
 
-    /// Updates the balancers of the zone that relay their packets to this one and must
-    /// notice its end quickly.
+    /// Updates the list of the balancers of the zone that relay their packets to this
+    /// one. They must notice quickly when this balancer ends.
     pub(crate) fn update_relaying_members(&mut self) {
         self.relaying_members = self
             .zone_members
--- a/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/routing.rs
@@ -37,7 +37,8 @@
     HolderUnknown,
     /// The limit of new searches between two full rounds of queries is reached.
     TooManySearches,
-    /// Enough flows share the link; the opening waits for one of them to end.
+    /// Enough flows share the link. The opening waits in the link's queue, or is a late
+    /// copy of an opening whose flow is open or being opened.
     LinkShared,
     /// The flow has ended or been reset already.
     Ended,
--- a/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/dissemination.rs
@@ -22,7 +22,7 @@
 pub const OTHER_ZONE_FETCH_DELAY: Duration = Duration::from_millis(400);
 
 impl Balancer {
-    /// Handles the news that a node of `zone` has the given configuration version. A
+    /// Handles a message that a node of `zone` has the given configuration version. A
     /// version newer than the one in force here is fetched.
     pub(crate) fn handle_version(
         &mut self,
--- a/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/hellos.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Sends a hello to the balancers that relay to this one, which must notice its end
-    /// quickly.
+    /// Sends a hello, when one is due, to the balancers of the zone that relay their
+    /// packets to this one. They must notice quickly when this balancer ends.
     fn send_due_relaying_member_hellos(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         if now.since(self.relaying_member_hellos_sent_at) < self.relaying_hello_period() {
             return;
--- a/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
+++ b/crates/woodladder-core/src/flow/balancer/membership/readiness.rs
@@ -16,10 +16,10 @@
 /// balancer counts as cut off all the same: both balancers may be cut off together.
 const CUT_OFF_WITH_OTHERS_AFTER: Duration = Duration::from_millis(900);
 /// Silence of all agents after which this balancer's hellos state that it hears no
-/// agent. If the agents fall silent for all balancers, another balancer counts as cut
-/// off after [`CUT_OFF_AFTER`]. It receives such a hello soon after that time and then
-/// counts as ready again, long before a router has checked its readiness a second time
-/// without success.
+/// agent. If the agents fall silent for all balancers, each balancer counts as cut off
+/// after [`CUT_OFF_AFTER`]. Soon after that time, a hello with this statement arrives
+/// from another balancer, and the receiver counts as ready again. This happens long
+/// before a router has checked the receiver's readiness a second time without success.
 const HEARS_AGENTS_WITHIN: Duration = Duration::from_millis(100);
 /// Time in which another balancer's statement that it hears no agent stays valid.
 const SHARED_SILENCE_VALID_FOR: Duration = Duration::from_millis(600);
--- a/crates/woodladder-core/src/flow/balancer/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/mod.rs
@@ -196,7 +196,7 @@
     unqueried_flows: Vec<FlowKey>,
     /// Number of searches begun since the last full round of queries.
     searches_begun_this_round: u32,
-    /// When all searches were last gone through in one round.
+    /// When the last full round of queries began: one that covers all searches.
     last_full_round_at: Instant,
     /// Number of packets sent since the last full round to agents that need a packet to
     /// answer a query.
--- a/crates/woodladder-core/src/flow/balancer/search/announced_holders.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/announced_holders.rs
@@ -63,8 +63,8 @@
 }
 
 impl Balancer {
-    /// Agents that announce the flow and whose service is one that the flow may have
-    /// been opened with.
+    /// Agents that announce the flow and belong to a service with which the flow may
+    /// have been opened, without the agents in `denied` and those marked as lost.
     pub(crate) fn announced_holders(
         &self,
         key: FlowKey,
--- a/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/flow_index.rs
@@ -70,7 +70,9 @@
         self.entries == 0
     }
 
-    /// Whether everything that an agent can announce is known here.
+    /// Whether everything that an agent announces has been received: the list of its
+    /// flows with all changes since, or that the agent holds too many flows to announce
+    /// them.
     #[must_use]
     pub fn is_complete(&self, agent: NodeAddress) -> bool {
         self.agents
--- a/crates/woodladder-core/src/flow/balancer/search/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/mod.rs
@@ -266,8 +266,8 @@
         Routing::Several(receivers)
     }
 
-    /// Services that the flow may have been opened with: the present ones of its route
-    /// and those that the route had before.
+    /// Services that the flow may have been opened with: the current services of its
+    /// route and the services that the route had before.
     pub(crate) fn possible_services(&self, key: FlowKey) -> Vec<ServiceKey> {
         let route = self.routes.route(key.service);
         let parts = route.map_or(&[][..], |route| route.parts.as_slice());
--- a/crates/woodladder-core/src/flow/balancer/search/rounds.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/rounds.rs
@@ -20,9 +20,10 @@
 const MAXIMUM_FLOWS_PER_ROUND: usize = 4096;
 
 impl Balancer {
-    /// Runs a round of queries: for the new searches only if there are any and the last
-    /// full round began less than [`FULL_ROUND_INTERVAL`] ago, otherwise for all
-    /// searches.
+    /// Runs a round of queries. If there are new searches and the last full round began
+    /// less than [`FULL_ROUND_INTERVAL`] ago, the round covers only the new searches.
+    /// Otherwise it is a full round, which covers all searches or, if there are more, as
+    /// many as [`MAXIMUM_FLOWS_PER_ROUND`].
     pub(crate) fn run_query_round(&mut self, now: Instant, actions: &mut Vec<BalancerAction>) {
         let new_searches = std::mem::take(&mut self.unqueried_flows);
         if !new_searches.is_empty() && !self.is_full_round_due(now) {
--- a/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/work_budget.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 
-/// CPU time that one query and its answer take, in microseconds: two datagrams.
+/// CPU time, in microseconds, that the two datagrams of one query and its answer take.
 const QUERY_CPU_US: f64 = 30.0;
 /// Share of the CPU that queries may take. Queries are numerous only when almost no
 /// flow is in the table, after the loss of all state. The rest of the CPU is left for
