--- a/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/flow_records/mod.rs
@@ -28,7 +28,7 @@
     session: RecordSession,
     restorer: RecordRestorer,
     counters: FlowRecordCounters,
-    /// Need for the flow record that was last written to the log.
+    /// Need to read or write the flow record, as last logged.
     logged_need: RecordNeed,
     queried_this_tick: usize,
 }
--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -12,7 +12,8 @@
 use crate::flow::packet::{FlowPacket, ResetReason};
 use crate::flow::selection::{SelectedTarget, TargetSelector};
 
-/// Maximum number of targets that one opening is offered to before it waits here.
+/// Maximum number of targets that one opening is offered to before it waits at
+/// this balancer.
 const MAXIMUM_TRIES: usize = 4;
 /// Number of agents that may return one opening because their targets hold more flows
 /// than this balancer's records show.
--- a/crates/woodladder-core/src/flow/balancer/search/mod.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/mod.rs
@@ -32,7 +32,7 @@
 pub const SEARCH_FANOUT: usize = 24;
 /// Age from which on a search counts as over, and the next packet begins a new one. It
 /// is longer than the pauses between a caller's retransmissions, so that denials still
-/// count when the next one arrives.
+/// count when the next retransmission arrives.
 const SEARCH_LIFETIME: Duration = Duration::from_millis(5000);
 /// Time after which an agent that needs a packet to decide is sent the packet again.
 const PACKET_RESEND_INTERVAL: Duration = Duration::from_millis(400);
@@ -93,8 +93,8 @@
             && self.first_targets.iter().any(is_open)
     }
 
-    /// The packet, if it is time to send it to an agent that needs a packet to decide.
-    /// The packet counts as sent.
+    /// Returns the caller's latest packet if it is due to be sent to an agent that needs
+    /// a packet to decide, and records it as sent to the agent now.
     pub(crate) fn take_packet_for(&mut self, agent: NodeAddress, now: Instant) -> Option<Vec<u8>> {
         let sent_at = self.packet_sent_at.get(&agent);
         let is_due = sent_at.is_none_or(|at| now.since(*at) >= PACKET_RESEND_INTERVAL);
@@ -128,8 +128,8 @@
         }
         self.searches_begun_this_round += 1;
         if packet.kind == PacketKind::Reset {
-            // The holder, if any, must get the reset, but the caller waits for no
-            // answer, so no search is begun.
+            // The target that holds the flow, if any, must receive the caller's reset.
+            // The caller waits for no answer, so no search is begun.
             let nobody = BTreeSet::new();
             let announced = self.announced_holder_headers(packet.key, &nobody);
             if !announced.is_empty() {
--- a/crates/woodladder-core/src/flow/balancer/search/outcome.rs
+++ b/crates/woodladder-core/src/flow/balancer/search/outcome.rs
@@ -3,10 +3,10 @@
 //!
 //! Once the first targets have denied the flow, or have had time to answer, every agent
 //! whose target may hold it is queried. Queries are batched and need no further packet
-//! of the caller. An agent that has restarted beside a running target has no complete
-//! list of the target's flows. Such an agent is sent the packet, which the target
-//! returns if it does not hold the flow. The flow is reset only when each of these
-//! agents has denied the flow and the balancer has a record of every agent
+//! of the caller. An agent that has restarted while its target kept running has no
+//! complete list of the target's flows. Such an agent is sent the packet, which the
+//! target returns if it does not hold the flow. The flow is reset only when each of
+//! these agents has denied the flow and the balancer has a record of every agent
 //! ([`crate::flow::balancer::membership::agent_discovery`]).
 
 use std::time::Duration;
