--- a/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
+++ b/crates/woodladder-core/src/flow/balancer/forwarding/opening.rs
@@ -12,7 +12,8 @@
 use crate::flow::packet::{FlowPacket, ResetReason};
 use crate::flow::selection::{SelectedTarget, TargetSelector};
 
-/// Maximum number of targets that one opening is offered to before it waits here.
+/// Maximum number of targets that one opening is offered to before it waits at
+/// this balancer.
 const MAXIMUM_TRIES: usize = 4;
 /// Number of agents that may return one opening because their targets hold more flows
 /// than this balancer's records show.
@@ -285,7 +286,8 @@
         self.route_first_opening(packet, bytes, now)
     }
 
-    /// Refuses an opening. Nothing of the flow has been executed.
+    /// Refuses an opening. No target may have executed anything of the flow: the refusal
+    /// of an opening that a target has accepted is counted as a broken promise.
     pub(crate) fn refuse_opening(&mut self, packet: &FlowPacket) -> Routing {
         if let Some(entry) = self.flows.remove(&packet.key) {
             let was_accepted = match &entry.stage {
