--- a/crates/woodladder-core/src/configuration/bundle.rs
+++ b/crates/woodladder-core/src/configuration/bundle.rs
@@ -42,7 +42,7 @@
 pub struct Service {
     /// Identifier of the service, never reused for another one.
     pub id: ServiceId,
-    /// Name that people see.
+    /// Name of the service for operators; envelopes carry `id` instead.
     pub name: String,
     /// Addresses that callers send to, sorted.
     pub addresses: Vec<SocketAddr>,
--- a/crates/woodladder-core/src/configuration/bundle_source/render.rs
+++ b/crates/woodladder-core/src/configuration/bundle_source/render.rs
@@ -68,7 +68,7 @@
 /// A bundle as TOML, accepted by [`super::parse`].
 ///
 /// # Errors
-/// When a number does not fit TOML's signed 64-bit integers.
+/// Returns an error when a number does not fit TOML's signed 64-bit integers.
 pub fn render(bundle: &Bundle) -> Result<String, toml::ser::Error> {
     let zones = bundle.zones.iter().map(|zone| ZoneText {
         name: &zone.name,
--- a/crates/woodladder-core/src/packets/envelope.rs
+++ b/crates/woodladder-core/src/packets/envelope.rs
@@ -22,8 +22,11 @@
 /// Most bytes that an envelope adds to a datagram.
 pub const MAXIMUM_OVERHEAD_LENGTH: usize = PREFIX_LENGTH + MAXIMUM_HEADER_LENGTH;
 
+/// Position in bytes of the header length in an envelope.
 const LENGTH_START: usize = 1;
+/// Position in bytes of the tag in an envelope.
 const TAG_START: usize = 3;
+/// Length in bytes of the part of an envelope before the header.
 const PREFIX_LENGTH: usize = TAG_START + TAG_LENGTH;
 
 /// Header of an envelope.
@@ -31,7 +34,7 @@
 pub struct Envelope {
     /// Service that the caller sent to.
     pub service: ServiceId,
-    /// Sequence of the balancer's configuration.
+    /// Sequence of the roll that the balancer's routing table was built from.
     pub sequence: Sequence,
     /// Address of the caller.
     pub caller: SocketAddr,
--- a/crates/woodladder-core/src/packets/hop_list.rs
+++ b/crates/woodladder-core/src/packets/hop_list.rs
@@ -46,9 +46,10 @@
 pub struct Hop {
     /// The target.
     pub target: TargetId,
-    /// Data address of its agent.
+    /// Data address of the target's agent.
     pub address: SocketAddr,
-    /// Load that its agent stated when it handed the flow on.
+    /// Load that the target's agent stated when it handed the flow on; `None` when
+    /// the target was not asked or cannot accept the flow.
     pub load: Option<Load>,
 }
 
@@ -57,7 +58,7 @@
 pub struct Candidate {
     /// The target.
     pub target: TargetId,
-    /// Data address of its agent.
+    /// Data address of the target's agent.
     pub address: SocketAddr,
     /// Weight relative to the other candidates: the number of slots.
     pub weight: f64,
@@ -119,10 +120,12 @@
         .min_by_key(|candidate| weighting.rank(candidate, flow_hash))
 }
 
-/// A candidate with its rank; the candidate with the lowest rank is asked first.
+/// Rank and position of a candidate; the candidate with the lowest rank is asked
+/// first.
 #[derive(Clone, Copy)]
 struct Ranked {
     rank: u64,
+    /// Position of the candidate in the list that candidates are chosen from.
     index: usize,
 }
 
--- a/crates/woodladder-core/src/packets/quic_header.rs
+++ b/crates/woodladder-core/src/packets/quic_header.rs
@@ -94,8 +94,8 @@
     })
 }
 
-/// Whether a long header of this version and first byte may open a flow. One of
-/// an unknown version may, because the agent must receive it to answer with the
+/// Whether a long header of this version and first byte may open a flow. A header
+/// of an unknown version may, because the agent must receive it to answer with the
 /// versions that it supports. Version zero is a Version Negotiation packet, which
 /// only servers send.
 fn may_open_flow_by_type(version: u32, first_byte: u8) -> bool {
--- a/crates/woodladder-core/src/packets/routing_table.rs
+++ b/crates/woodladder-core/src/packets/routing_table.rs
@@ -32,7 +32,7 @@
 pub struct TargetEntry {
     /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Data address of its agent.
+    /// Data address of the target's agent.
     pub address: SocketAddr,
     /// Whether the target accepts new work.
     pub status: TargetStatus,
--- a/crates/woodladder-core/src/packets/token.rs
+++ b/crates/woodladder-core/src/packets/token.rs
@@ -26,8 +26,11 @@
 
 /// Layout version 1 in the high four bits of the first byte.
 const LAYOUT_VERSION_BITS: u8 = 1 << 4;
+/// Position in bytes of the target identifier in a token.
 const TARGET_START: usize = 1;
+/// Position in bytes of the nonce in a token.
 const NONCE_START: usize = 5;
+/// Position in bytes of the tag in a token.
 const TAG_START: usize = 12;
 
 /// A key for tokens, with the number by which tokens refer to it.
--- a/crates/woodladder-core/src/signature.rs
+++ b/crates/woodladder-core/src/signature.rs
@@ -16,7 +16,7 @@
 pub enum Purpose {
     /// An operator approves a bundle.
     SignOff,
-    /// An operator rolls an approved bundle.
+    /// An operator puts an approved bundle in force on all nodes.
     Roll,
 }
 
--- a/crates/woodladder-core/src/target/admission/choice.rs
+++ b/crates/woodladder-core/src/target/admission/choice.rs
@@ -111,11 +111,11 @@
         self.route.must_decide && !none_asked_yet
     }
 
-    /// No further target on the list may be asked. The flow goes back to the earlier
-    /// target that stated the least load when this target cannot accept the flow or
-    /// this target's load is greater by more than the return margin. When there is
-    /// no such earlier target, the flow stays here, or goes beyond the list when
-    /// this target cannot accept the flow.
+    /// Makes the choice when no further target on the list may be asked. The flow
+    /// goes back to the earlier target that stated the least load when this target
+    /// cannot accept the flow or this target's load is greater by more than the
+    /// return margin. When no earlier target may get the flow back, the flow stays
+    /// here, or goes beyond the list when this target cannot accept it.
     fn choose_least_loaded(&self, options: &AdmissionOptions) -> Choice {
         match (self.least_loaded_asked(), self.refusal_reason) {
             (None, None) => Choice::Accept,
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Hands the flow on to a target of the service that is not on the list;
-    /// declines the flow with `reason` when there is none. For a flow that no target
-    /// on the list can accept.
+    /// Handles a flow that no target on the list can accept: hands the flow on to a
+    /// target of the service that is not on the list, or declines the flow with
+    /// `reason` when there is no such target.
     fn hand_on_beyond_list(&self, reason: FlowRefusalReason) -> Choice {
         let entry = self.routing_table.service(self.envelope.service);
         let candidates = entry.map_or(&[][..], |entry| &entry.candidates);
@@ -168,11 +168,14 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether the flow may go to the target of `hop`: a target other than this
-    /// agent's own that accepts new flows by this agent's routing table. When the
-    /// balancer's table is later, the status in this agent's table is ignored. A
-    /// target of another service by this agent's table never gets the flow; one
-    /// that the table does not list may get it unless this agent's table is later.
+    /// Whether the flow may go to the target of `hop`. This agent's own target never
+    /// gets the flow. For any other target, this agent's routing table decides:
+    ///
+    /// - The table lists the target under another service: no.
+    /// - The table lists the target under the flow's service: yes if the target's
+    ///   status allows new flows, or if the balancer's table is later.
+    /// - The table does not list the target: yes unless this agent's table is later
+    ///   than the balancer's.
     fn may_hand_on_to(&self, hop: &Hop) -> bool {
         if self.route.hops[self.index].target == hop.target {
             return false;
--- a/crates/woodladder-core/src/target/admission/decision_cache.rs
+++ b/crates/woodladder-core/src/target/admission/decision_cache.rs
@@ -43,6 +43,7 @@
     pub(super) fn new(retention: Duration, maximum_entries: usize) -> Self {
         Self {
             retention,
+            // With a limit of zero, `insert` would evict without end.
             maximum_entries: maximum_entries.max(1),
             entries: BTreeMap::new(),
             expiries: VecDeque::new(),
--- a/crates/woodladder-core/src/target/admission/fence.rs
+++ b/crates/woodladder-core/src/target/admission/fence.rs
@@ -2,7 +2,7 @@
 //! balancer used a configuration that was replaced too long ago.
 //!
 //! A roll is in force on every node within [`FENCE_GRACE`], so a balancer that
-//! still uses an earlier one was frozen or cut off from the others.
+//! still uses an earlier one was paused or cut off from the others.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::identifier::Sequence;
 
 /// Time after this agent adopted a roll within which every node that is neither
-/// frozen nor cut off is expected to have adopted the roll as well.
+/// paused nor cut off is expected to have adopted the roll as well.
 pub const FENCE_GRACE: Duration = Duration::from_secs(11);
 
 /// Most adoptions that are kept. Beyond that the second oldest is dropped: the
@@ -24,12 +24,14 @@
     adopted_at: Instant,
 }
 
-/// When this agent adopted which sequence, as far back as needed.
+/// Sequences that this agent adopted with the times of adoption, as far back as
+/// [`Fence::is_stale`] needs them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fence {
-    /// In order of time. Each call of [`Fence::adopt`] keeps the latest adoption that
-    /// is older than the grace and all later ones, up to [`MAXIMUM_ADOPTIONS`], and
-    /// drops those before.
+    /// Adoptions, earliest first. [`Fence::adopt`] removes all adoptions before the
+    /// latest one that is older than [`FENCE_GRACE`], because the sequence of that
+    /// one is enough to detect balancers that use an earlier one. The list has at
+    /// most [`MAXIMUM_ADOPTIONS`] entries.
     adoptions: VecDeque<Adoption>,
 }
 
--- a/crates/woodladder-core/src/target/admission/options.rs
+++ b/crates/woodladder-core/src/target/admission/options.rs
@@ -15,13 +15,14 @@
     /// How much less load an earlier target must have stated for the flow to go
     /// back to it; allows for the age of the stated load.
     pub return_margin: Load,
-    /// Load above which no new flow is accepted. When `None`, only requests are
-    /// refused, once too many are queued.
+    /// Load above which no new flow is accepted. When `None`, no flow is refused
+    /// because of load; requests are refused once too many are queued.
     pub refuse_above: Option<Load>,
-    /// Load of a target whose connections are all in use and whose slots are all
-    /// free, in thousandths.
+    /// Weight of open connections in the load of a target: the load, in
+    /// thousandths, when all connections are in use and all slots are free.
     pub connection_weight: u32,
-    /// How long an accepted flow counts as load until its first request arrives.
+    /// Longest time for which an accepted flow counts as load before its first
+    /// request arrives.
     pub pending_window: Duration,
     /// How long the decision on a flow is kept for repeated first packets.
     pub decision_retention: Duration,
--- a/crates/woodladder-core/src/target/admission/pending_flows.rs
+++ b/crates/woodladder-core/src/target/admission/pending_flows.rs
@@ -1,4 +1,5 @@
-//! Accepted flows that the target's usage does not count yet.
+//! Accepted flows whose first request has not arrived yet. The target's usage
+//! counts such a flow's connection once it is open, but no request of the flow.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,7 +9,7 @@
 /// Accepted flows whose first request has not arrived yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingFlows {
-    /// How long after its admission a flow is counted.
+    /// Longest time after its admission for which a flow is counted.
     window: Duration,
     /// Flows by flow hash.
     flows: BTreeMap<u64, PendingFlow>,
@@ -88,8 +89,8 @@
     }
 }
 
-/// Limits how many flows are accepted only to be declined, within a sliding
-/// window.
+/// Limits how many flows are accepted only so that their requests can be answered
+/// with a refusal, within a sliding window.
 #[derive(Clone, Debug)]
 pub(super) struct DeclineLimiter {
     window: Duration,
--- a/crates/woodladder-core/src/target/admission/verdict.rs
+++ b/crates/woodladder-core/src/target/admission/verdict.rs
@@ -5,7 +5,8 @@
 use crate::identifier::Sequence;
 use crate::packets::router::Forward;
 
-/// The verdict on one datagram, and whether the balancer or the agent is behind.
+/// The verdict on one datagram, and whether the balancer or the agent has an
+/// outdated configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Decision {
     /// What happens to the datagram.
@@ -50,13 +51,16 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum AdmissionDropReason {
-    /// The datagram is meant for another service.
+    /// The envelope names another service than the agent's, or the routing table
+    /// assigns the service address or the relay target to another service.
     WrongService,
     /// The envelope is meant for another target.
     WrongTarget,
-    /// The token names another target.
+    /// The token names another target than the agent's own or, in a relayed
+    /// datagram, another one than the envelope.
     ForeignToken,
-    /// The datagram carries no valid token and cannot open a flow.
+    /// The datagram carries no valid token, and it cannot open a flow or its envelope
+    /// is not for a new flow.
     InvalidToken,
     /// The datagram opens a flow, and its balancer used a configuration that was
     /// replaced too long ago.
--- a/crates/woodladder-core/src/target/drain.rs
+++ b/crates/woodladder-core/src/target/drain.rs
@@ -55,7 +55,7 @@
     pub connections: u32,
 }
 
-/// What happens to a target.
+/// Events that change the drain of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainEvent {
     /// A reason to leave has come up.
@@ -68,7 +68,7 @@
     Tick,
 }
 
-/// What the caller of the state machine carries out.
+/// Actions for the caller of the state machine to carry out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainAction {
     /// Notify callers on open connections that they must send no more requests
--- a/crates/woodladder-core/src/target/request/event.rs
+++ b/crates/woodladder-core/src/target/request/event.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// What the caller of the state machine carries out, in this order.
+/// Actions for the caller of the state machine to carry out, in the order in which
+/// they are returned.
 #[derive(Debug, Eq, PartialEq)]
 pub enum RequestAction {
     /// Open or reuse a back-end connection for the request, and report
--- a/crates/woodladder-core/src/target/request/outcome.rs
+++ b/crates/woodladder-core/src/target/request/outcome.rs
@@ -20,7 +20,7 @@
     Leaving,
     /// The queue is full.
     QueueFull,
-    /// All back-end connections are in use.
+    /// Streams hold all back-end connections that the connection limit allows.
     ConnectionLimit,
     /// The request could not be answered before its deadline, or would be queued
     /// for longer than allowed.
--- a/crates/woodladder-core/src/target/request/request_store.rs
+++ b/crates/woodladder-core/src/target/request/request_store.rs
@@ -15,12 +15,14 @@
     pub(super) repeatable: bool,
 }
 
-/// A request and what is needed to decide on it.
+/// A request without a final outcome: its stage, what the caller stated about it,
+/// and when it is given up.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) stage: Stage,
     pub(super) terms: RequestTerms,
-    /// Time at which the request is given up, unless it is answered before.
+    /// Time at which the request is given up unless it has ended before; `None` when
+    /// it has no time limit.
     pub(super) give_up_at: Option<Instant>,
 }
 
@@ -31,7 +33,9 @@
     }
 }
 
-/// Requests by identifier, in queue order and by the time of giving them up.
+/// Requests without a final outcome, with three indexes: all of them by identifier,
+/// the queued ones in order of arrival, and those with a time limit by the time at
+/// which they are given up.
 #[derive(Debug, Default)]
 pub(super) struct RequestStore {
     requests: BTreeMap<RequestId, Request>,
@@ -67,7 +71,7 @@
         self.give_up_times.first().map(|(at, _)| *at)
     }
 
-    /// The request whose time of giving up came first, if that time has come.
+    /// The request with the earliest time limit, if that time has come.
     pub(super) fn first_overdue(&self, now: Instant) -> Option<RequestId> {
         let (at, id) = self.give_up_times.first()?;
         (*at <= now).then_some(*id)
--- a/crates/woodladder-core/src/target/request/service_time_estimate.rs
+++ b/crates/woodladder-core/src/target/request/service_time_estimate.rs
@@ -7,9 +7,11 @@
 
 use super::options::RequestOptions;
 
-/// Divisor of the moving average: a new sample has a weight of one over this.
+/// Divisor of the moving average: a new sample has the weight
+/// 1 / `AVERAGE_DIVISOR`.
 const AVERAGE_DIVISOR: u32 = 8;
-/// Divisor of the random jitter: at most the retry time over this is added.
+/// Divisor of the random jitter: the jitter is at most the retry time divided by
+/// this, but may always be up to one second.
 const JITTER_DIVISOR: u64 = 2;
 
 /// Moving average of service times, with the bounds of retry times.
--- a/crates/woodladder-core/src/target/request/stage.rs
+++ b/crates/woodladder-core/src/target/request/stage.rs
@@ -34,7 +34,8 @@
     Answering(Answering),
 }
 
-/// The request waits for a slot.
+/// The request waits for a slot. The private field makes `Queued::new` the only
+/// way for other modules to create this stage.
 #[derive(Debug)]
 pub(super) struct Queued(());
 
@@ -50,7 +51,8 @@
     dispatched_at: Instant,
 }
 
-/// The head of the answer has been sent to the caller.
+/// The head of the answer has arrived from the back end, so that the request can no
+/// longer be refused.
 #[derive(Debug)]
 pub(super) struct Answering {
     streaming: bool,
@@ -144,8 +146,8 @@
         matches!(self, Self::Answering(answering) if answering.streaming)
     }
 
-    /// How long ago the request was dispatched, once it is sent and while it holds
-    /// a slot.
+    /// Time since the request was dispatched; `None` when the request has not been
+    /// sent yet or holds no slot any more.
     pub(super) fn service_time(&self, now: Instant) -> Option<Duration> {
         match self {
             Self::Sent(sent) => Some(now.since(sent.dispatched_at)),
--- a/crates/woodladder-core/src/target/slow_start.rs
+++ b/crates/woodladder-core/src/target/slow_start.rs
@@ -10,8 +10,8 @@
 
 /// A full share of the slots, or the normal speed of the ramp, in thousandths.
 const FULL_THOUSANDTHS: u32 = 1000;
-/// Divisor of the moving average of service times: a new sample has a weight of
-/// one over this.
+/// Divisor of the moving average of service times: a new sample has the weight
+/// 1 / `AVERAGE_DIVISOR`.
 const AVERAGE_DIVISOR: u32 = 8;
 
 /// Parameters of slow start.
@@ -47,7 +47,8 @@
         Self(u32::from(slots) * FULL_THOUSANDTHS)
     }
 
-    /// A share of this many slots; at least one slot, unless there are none.
+    /// The share of `slots` that `share_thousandths` states, at most all slots. The
+    /// result is at least one slot, or zero when `slots` is zero.
     #[must_use]
     pub fn share(slots: u16, share_thousandths: u32) -> Self {
         let scaled = u32::from(slots) * share_thousandths.min(FULL_THOUSANDTHS);
