--- a/crates/woodladder-core/src/control/availability/own.rs
+++ b/crates/woodladder-core/src/control/availability/own.rs
@@ -11,7 +11,7 @@
 pub struct ServedTarget {
     /// Identifier of the target.
     pub target: TargetId,
-    /// Run of the agent's process.
+    /// Number of the run of the agent's process.
     pub run: RunNumber,
 }
 
--- a/crates/woodladder-core/src/control/availability/pending_probes.rs
+++ b/crates/woodladder-core/src/control/availability/pending_probes.rs
@@ -102,8 +102,8 @@
         self.pending.iter().map(|probe| probe.deadline).min()
     }
 
-    /// Advances the probes whose deadline has expired, and returns what is to
-    /// be done for each.
+    /// Returns the next step for each probe whose deadline has expired. Stops
+    /// tracking the probes of agents that now count as unreachable.
     pub fn take_due(&mut self, now: Instant) -> Vec<ProbeStep> {
         let last_answer = self.last_answer;
         let mut steps = Vec::new();
--- a/crates/woodladder-core/src/control/availability/report.rs
+++ b/crates/woodladder-core/src/control/availability/report.rs
@@ -62,7 +62,7 @@
     pub target: TargetId,
     /// Control address of the target's agent.
     pub control_address: SocketAddr,
-    /// Run of the agent's process.
+    /// Number of the run of the agent's process.
     pub run: RunNumber,
     /// Version of the report within the run.
     pub version: ReportVersion,
--- a/crates/woodladder-core/src/control/chunk_set.rs
+++ b/crates/woodladder-core/src/control/chunk_set.rs
@@ -20,8 +20,9 @@
         Self::default()
     }
 
-    /// Adds a chunk. Positions beyond [`MAXIMUM_CHUNK_SET_LENGTH`] are ignored,
-    /// because a set that contains them would not fit in a datagram.
+    /// Adds a chunk. A position whose bit lies beyond the first
+    /// [`MAXIMUM_CHUNK_SET_LENGTH`] bytes of the bitmap is ignored, because a set
+    /// that contains it would not fit in a datagram.
     pub fn insert(&mut self, index: usize) {
         let byte = index / BITS_PER_BYTE;
         if byte >= MAXIMUM_CHUNK_SET_LENGTH {
--- a/crates/woodladder-core/src/control/control_message.rs
+++ b/crates/woodladder-core/src/control/control_message.rs
@@ -33,7 +33,7 @@
 pub const FRAME_HEADER_LENGTH: usize = TAG_START + TAG_LENGTH;
 /// Longest payload of a frame in bytes.
 pub const MAXIMUM_PAYLOAD_LENGTH: usize = MAXIMUM_DATAGRAM_LENGTH - FRAME_HEADER_LENGTH;
-/// Bytes of a copy that one message carries.
+/// Length of a chunk in bytes; the last chunk of a copy may be shorter.
 pub const CHUNK_LENGTH: usize = 1024;
 /// Largest number of chunks that one request may ask for.
 pub const MAXIMUM_CHUNKS_PER_REQUEST: u16 = 16;
--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -139,7 +139,8 @@
 }
 
 impl Member {
-    /// Whether the node left [`UNANSWERED_BEFORE_SILENT`] messages unanswered.
+    /// Whether the node has left at least [`UNANSWERED_BEFORE_SILENT`] messages
+    /// unanswered since it was last heard from.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         self.unanswered_messages >= UNANSWERED_BEFORE_SILENT
@@ -210,14 +211,16 @@
         }
     }
 
-    /// Records a node that another node named.
+    /// Records a node that another node named. An identity that the table
+    /// already holds for its address is kept.
     pub fn record_named_peer(&mut self, peer: Peer) {
         if let Some(member) = self.get_or_insert(peer.control_address) {
             member.peer.get_or_insert(peer);
         }
     }
 
-    /// Applies a new reading of the machine list.
+    /// Applies the entries of the machine list after it was read again. Nodes
+    /// that are missing from the list count as not listed.
     pub fn apply_machine_list(&mut self, machines: &[ListedMachine]) {
         let listed_addresses: FxHashSet<SocketAddr> = machines
             .iter()
@@ -262,8 +265,8 @@
         picked
     }
 
-    /// Picks up to `count` nodes that were heard from recently, to be named to
-    /// other nodes.
+    /// Picks up to `count` nodes to be named to other nodes: nodes that were
+    /// heard from recently and announced no planned stop.
     pub fn sample(&self, count: usize, now: Instant, random: &mut impl Rng) -> Vec<Peer> {
         let mut sample: Vec<Peer> = Vec::with_capacity(count);
         if self.members.is_empty() {
--- a/crates/woodladder-core/src/control/replica/adoption.rs
+++ b/crates/woodladder-core/src/control/replica/adoption.rs
@@ -28,9 +28,10 @@
     SnapshotLength,
     /// The delta does not lead to the snapshot that the record states.
     Delta(DeltaError),
-    /// The copy has another digest than the record states.
+    /// The digest of the copy differs from the one in the record.
     CopyDigest,
-    /// The bytes cannot be decoded.
+    /// A copy, or the value of the current entry of the key-value service,
+    /// cannot be decoded.
     Malformed,
     /// The sign-off of the bundle is not valid.
     SignOff(SignatureError),
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -143,8 +143,8 @@
         self.availability.schedule_routing_table(now);
     }
 
-    /// Handles reports that another node sent. Answers with the newer reports
-    /// that this node has.
+    /// Handles reports that another node sent. Where this node has a newer
+    /// report about the same target, it sends that report back.
     pub(super) fn handle_reports(
         &mut self,
         from: SocketAddr,
@@ -239,7 +239,8 @@
     }
 
     /// Merges a received report; returns this node's report about the target if
-    /// that report is newer.
+    /// that report is newer. A report that makes a target unavailable is ignored
+    /// if the bundle in force does not contain the target.
     fn merge_report(
         &mut self,
         report: AvailabilityReport,
@@ -281,7 +282,8 @@
     }
 
     /// Whether the bundle in force contains the target; reports that make other
-    /// targets unavailable have no effect.
+    /// targets unavailable have no effect. Also true for every target while no
+    /// roll is in force.
     fn is_target_in_force(&self, target: TargetId) -> bool {
         let Some(installed) = &self.installed else {
             return true;
--- a/crates/woodladder-core/src/control/replica/catch_up.rs
+++ b/crates/woodladder-core/src/control/replica/catch_up.rs
@@ -175,8 +175,12 @@
         record.sequence() > installed.sequence() && !self.is_known_unacceptable(record)
     }
 
-    /// Starts to fetch the snapshot of a record; returns false when the fetch
-    /// of a record with the same or a greater sequence makes progress.
+    /// Starts to fetch the snapshot of a record, unless its fetch is under way.
+    /// Abandons the fetch of a smaller sequence. Returns false, and changes
+    /// nothing, while another record with the same or a greater sequence is
+    /// being fetched and that fetch is not stuck. If that fetch is stuck, its
+    /// record is deferred; of two deferred records, the one with the greater
+    /// sequence is kept.
     fn begin_fetch(&mut self, record: RollRecord, now: Instant) -> bool {
         let sequence = record.sequence();
         if let Some(fetch) = &self.fetch {
--- a/crates/woodladder-core/src/control/replica/copy_assembly.rs
+++ b/crates/woodladder-core/src/control/replica/copy_assembly.rs
@@ -59,8 +59,8 @@
         self.chunks.get(index)?.as_deref()
     }
 
-    /// Adds a chunk; returns false when it does not belong to this copy or has
-    /// arrived before.
+    /// Adds a chunk; returns false when it does not belong to this copy, does
+    /// not have the length of the chunk at its position or has arrived before.
     pub(super) fn add(&mut self, chunk: CopyChunk) -> bool {
         let index = chunk.index as usize;
         let is_same_copy = chunk.content == self.content;
--- a/crates/woodladder-core/src/control/replica/copy_server.rs
+++ b/crates/woodladder-core/src/control/replica/copy_server.rs
@@ -108,6 +108,8 @@
         chunk_messages(request.content, &chosen)
     }
 
+    /// Returns a copy from the cache, or encodes and caches it. A full cache
+    /// drops the copy that was encoded first.
     fn get_or_encode(
         &mut self,
         content: CopyContent,
--- a/crates/woodladder-core/src/control/replica/counters.rs
+++ b/crates/woodladder-core/src/control/replica/counters.rs
@@ -54,9 +54,10 @@
     pub snapshot_length: u64,
     /// Deltas that do not lead to the snapshot that the record states.
     pub delta: u64,
-    /// Copies with another digest than the record states.
+    /// Copies whose digest differs from the one in the record.
     pub copy_digest: u64,
-    /// Values that cannot be decoded.
+    /// Copies, and values of the current entry of the key-value service, that
+    /// cannot be decoded.
     pub malformed: u64,
     /// Bundles whose sign-off is not valid.
     pub sign_off: u64,
--- a/crates/woodladder-core/src/control/replica/event.rs
+++ b/crates/woodladder-core/src/control/replica/event.rs
@@ -33,7 +33,7 @@
         /// Result of the request.
         answer: StoreAnswer,
     },
-    /// A new reading of the machine list.
+    /// The machine list was read again; these are all its entries.
     MachineList(Vec<ListedMachine>),
     /// The data path received a packet that carries this sequence.
     SequenceSeen(Sequence),
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -298,6 +298,9 @@
         ))
     }
 
+    /// Gives up the outstanding request when its time limit has passed, and
+    /// continues with the next source. Fetches the snapshot instead of a delta
+    /// after the second unanswered request since the last new chunk.
     fn handle_timeout(&mut self, now: Instant) {
         if self
             .outstanding
--- a/crates/woodladder-core/src/control/replica/install.rs
+++ b/crates/woodladder-core/src/control/replica/install.rs
@@ -57,6 +57,9 @@
         self.resume_deferred(now);
     }
 
+    /// Adds the delta from the snapshot in force to that of `next` to the
+    /// history, and computes the delta if `delta` is `None`. The first roll
+    /// starts the history, because no snapshot precedes its own.
     fn record_delta(&mut self, next: &InstalledRoll, delta: Option<SnapshotDelta>) {
         let Some(previous) = &self.installed else {
             self.delta_history.reset(next.digest());
--- a/crates/woodladder-core/src/control/replica/store_access.rs
+++ b/crates/woodladder-core/src/control/replica/store_access.rs
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Time over which all nodes together spread their reads of one snapshot,
-    /// so that they stay within the shared rate.
+    /// Time over which all nodes together spread their reads of one snapshot.
+    /// If each known node reads the snapshot once within this time, all nodes
+    /// together stay within `store_reads_per_second`.
     pub(super) fn store_read_spread(&self) -> Duration {
         let rate = f64::from(self.settings.tuning.store_reads_per_second.max(1));
         let nodes = u32::try_from(self.members.len()).unwrap_or(u32::MAX);
--- a/crates/woodladder-core/src/control/replica/token_bucket.rs
+++ b/crates/woodladder-core/src/control/replica/token_bucket.rs
@@ -45,7 +45,8 @@
         self.available_bytes = available_bytes.min(self.bytes_per_second);
     }
 
-    /// When this many bytes will be available.
+    /// When [`TokenBucket::take`] will grant this many bytes, if no others are
+    /// taken until then.
     pub(super) fn available_at(&self, bytes: usize) -> Instant {
         let missing_bytes = self
             .limited_to_capacity(bytes)
--- a/crates/woodladder-core/src/control/roll_command/plan.rs
+++ b/crates/woodladder-core/src/control/roll_command/plan.rs
@@ -114,7 +114,8 @@
         Ok(())
     }
 
-    /// Builds the roll that follows the one in force.
+    /// Builds the roll that follows `previous`, the one in force, or the first
+    /// roll if `previous` is `None`.
     pub(super) fn plan(
         &self,
         previous: Option<(&RollRecord, &Snapshot)>,
--- a/crates/woodladder-core/src/control/roll_command/stages.rs
+++ b/crates/woodladder-core/src/control/roll_command/stages.rs
@@ -19,7 +19,7 @@
 
 impl RollCommand {
     /// Handles an answer. A late answer to an earlier request is ignored,
-    /// unless it says that a swap took effect.
+    /// unless it confirms that a swap took effect.
     pub(super) fn handle_answer(
         &mut self,
         request: StoreRequestId,
@@ -58,7 +58,8 @@
     }
 
     /// Handles a request that failed or was not answered in time, and schedules
-    /// a retry.
+    /// a retry. A swap without an answer may have taken effect, so the command
+    /// then reads the current entry before it sends the swap again.
     pub(super) fn handle_failure(&mut self, answer: &StoreAnswer, now: Instant) {
         self.outstanding = None;
         if self.stage == Stage::Swap && *answer == StoreAnswer::Unknown {
@@ -171,8 +172,9 @@
         }
     }
 
-    /// The current entry still has the expected index. After a refused swap
-    /// this reading must be stale, so the entry is read once more.
+    /// Sends the swap again, because the current entry still has the expected
+    /// index. After a refused swap, the index that was read must be outdated, so
+    /// the entry is read once more instead.
     fn swap_again(&mut self, now: Instant) {
         if self.swap_refused {
             self.handle_failure(&StoreAnswer::NotFound, now);
