--- a/crates/woodladder-core/src/control/chunk_set.rs
+++ b/crates/woodladder-core/src/control/chunk_set.rs
@@ -21,8 +21,8 @@
     }
 
     /// Adds a chunk. A position whose bit lies beyond the first
-    /// [`MAXIMUM_CHUNK_SET_LENGTH`] bytes of the bitmap is ignored, because a set
-    /// that contains it would not fit in a datagram.
+    /// [`MAXIMUM_CHUNK_SET_LENGTH`] bytes of the bitmap is ignored, because a
+    /// set that contains it would not fit in a datagram.
     pub fn insert(&mut self, index: usize) {
         let byte = index / BITS_PER_BYTE;
         if byte >= MAXIMUM_CHUNK_SET_LENGTH {
--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -31,7 +31,8 @@
 /// Silent nodes are only removed while the table holds more members than this,
 /// so that a node that was cut off from all others can find them again.
 const MINIMUM_RETAINED_MEMBERS: usize = 16;
-/// One in this many picks may return a silent node.
+/// One in this many picks treats silent nodes like all others. The other picks
+/// return a silent node only if the random draws find no other.
 const SILENT_PICK_ODDS: u32 = 16;
 
 /// Role of a node.
@@ -318,6 +319,8 @@
         self.members.iter()
     }
 
+    /// Picks a node that is not in `picked`. Half of the picks prefer nodes of
+    /// the own region.
     fn pick_one(&self, picked: &[SocketAddr], random: &mut impl Rng) -> Option<SocketAddr> {
         if self.members.is_empty() {
             return None;
@@ -364,8 +367,9 @@
         self.members.last_mut()
     }
 
-    /// Removes a silent node or, if there is none, the node that was heard from
-    /// least recently. Returns `None` when the table is empty.
+    /// Removes a silent node or, if there is none, a node that was never heard
+    /// from or else the one heard from least recently. Returns `None` when the
+    /// table is empty.
     fn evict_one(&mut self) -> Option<()> {
         let silent = self.members.iter().position(Member::is_silent);
         let least_recently_heard = || {
--- a/crates/woodladder-core/src/control/replica/availability.rs
+++ b/crates/woodladder-core/src/control/replica/availability.rs
@@ -239,8 +239,8 @@
     }
 
     /// Merges a received report; returns this node's report about the target if
-    /// that report is newer. A report that makes a target unavailable is ignored
-    /// if the bundle in force does not contain the target.
+    /// that report is newer. A report that makes a target unavailable is
+    /// ignored if the bundle in force does not contain the target.
     fn merge_report(
         &mut self,
         report: AvailabilityReport,
--- a/crates/woodladder-core/src/control/replica/fetch.rs
+++ b/crates/woodladder-core/src/control/replica/fetch.rs
@@ -142,7 +142,7 @@
 
     /// Records an offer. Its sender is the next source; if it offers a delta
     /// that starts from the snapshot in force, the delta is fetched instead of
-    /// the snapshot.
+    /// the snapshot if `fetch_delta` finds it short enough.
     pub(super) fn record_offer(&mut self, source: SocketAddr, delta: &OfferedDelta, now: Instant) {
         self.sources.retain(|known| *known != source);
         self.sources.insert(0, source);
@@ -325,8 +325,8 @@
         self.next_chunk_count() * CHUNK_LENGTH
     }
 
-    /// Ends a request for chunks and returns the bytes of missing chunks to the
-    /// token bucket.
+    /// Ends the outstanding request. The bytes of requested chunks that have
+    /// not arrived are returned to the token bucket.
     fn end_chunk_request(&mut self, bucket: &mut TokenBucket) {
         if let Some((Outstanding::Chunks(missing_chunks), _)) = self.outstanding.take() {
             bucket.give_back(missing_chunks * CHUNK_LENGTH);
@@ -343,6 +343,8 @@
         matches!(self.assembly.content(), CopyContent::Delta { .. })
     }
 
+    /// Fetches the delta with this length in bytes instead of the snapshot, if
+    /// the delta is shorter and within [`MAXIMUM_CHUNKED_DELTA_LENGTH`].
     fn fetch_delta(&mut self, length: u32) {
         let content = CopyContent::Delta {
             base: self.record_request.snapshot_digest,
--- a/crates/woodladder-core/src/control/replica/gossip.rs
+++ b/crates/woodladder-core/src/control/replica/gossip.rs
@@ -241,8 +241,8 @@
         fetch.is_some_and(|fetch| fetch.record().sequence() >= sequence && !fetch.is_stuck(now))
     }
 
-    /// Offers the roll in force to a node that has the snapshot `base` in force.
-    /// Sends nothing when the rate limit for these offers is used up.
+    /// Offers the roll in force to a node that has the snapshot `base`. Sends
+    /// nothing when the rate limit for these offers is used up.
     fn offer_to(&mut self, to: SocketAddr, base: Digest, now: Instant) {
         let delta = self.delta_history.delta_from(base);
         let Some(offer) = self.offer(delta.as_ref()) else {
--- a/crates/woodladder-core/src/control/replica/probing.rs
+++ b/crates/woodladder-core/src/control/replica/probing.rs
@@ -70,8 +70,8 @@
     }
 
     /// Records that the sender of a digest message is alive. If the message
-    /// answers a probe, this node is not cut off, and the nodes that requested a
-    /// probe of the sender receive a confirmation.
+    /// answers a probe, this node is not cut off, and the nodes that requested
+    /// a probe of the sender receive a confirmation.
     pub(super) fn record_digest(&mut self, digest: &DigestMessage, now: Instant) {
         let control_address = digest.sender.control_address;
         let probing = &mut self.availability.probing;
--- a/crates/woodladder-core/src/control/replica/settings.rs
+++ b/crates/woodladder-core/src/control/replica/settings.rs
@@ -45,9 +45,9 @@
     /// fetched, is offered at once.
     pub offer_fanout: usize,
     /// Mean rate in bytes per second of the copies that the node fetches. The
-    /// same rate also limits the copies that the node sends and, separately, its
-    /// offers to nodes that are behind. It does not limit the offers to
-    /// `offer_fanout` nodes.
+    /// same rate also limits the copies that the node sends and, separately,
+    /// its offers to nodes that are behind. The offers to `offer_fanout` nodes
+    /// are not limited.
     pub copy_bytes_per_second: u32,
     /// Mean rate in bytes per second at which the node sends messages about the
     /// availability of targets and, together with these, probes outside the
--- a/crates/woodladder-core/src/control/roll_command/machine.rs
+++ b/crates/woodladder-core/src/control/roll_command/machine.rs
@@ -23,8 +23,8 @@
 /// Input of a roll command.
 #[derive(Clone, Debug)]
 pub enum RollEvent {
-    /// The time that [`RollCommand::next_wakeup`] returned has come. This is also
-    /// the first event of a command.
+    /// The time that [`RollCommand::next_wakeup`] returned has come. This is
+    /// also the first event of a command.
     Tick,
     /// The key-value service answered a request, or the request failed.
     StoreAnswer {
--- a/crates/woodladder-core/src/control/roll_command/stages.rs
+++ b/crates/woodladder-core/src/control/roll_command/stages.rs
@@ -173,8 +173,8 @@
     }
 
     /// Sends the swap again, because the current entry still has the expected
-    /// index. After a refused swap, the index that was read must be outdated, so
-    /// the entry is read once more instead.
+    /// index. After a refused swap, the index that was read must be outdated,
+    /// so the entry is read once more instead.
     fn swap_again(&mut self, now: Instant) {
         if self.swap_refused {
             self.handle_failure(&StoreAnswer::NotFound, now);
