--- a/crates/woodladder-core/src/control/membership.rs
+++ b/crates/woodladder-core/src/control/membership.rs
@@ -31,7 +31,8 @@
 /// Silent nodes are only removed while the table holds more members than this,
 /// so that a node that was cut off from all others can find them again.
 const MINIMUM_RETAINED_MEMBERS: usize = 16;
-/// One in this many picks may return a silent node.
+/// One in this many picks treats silent nodes like all others. The other picks
+/// return a silent node only if the random draws find no other.
 const SILENT_PICK_ODDS: u32 = 16;
 
 /// Role of a node.
@@ -139,7 +140,8 @@
 }
 
 impl Member {
-    /// Whether the node left [`UNANSWERED_BEFORE_SILENT`] messages unanswered.
+    /// Whether the node has left at least [`UNANSWERED_BEFORE_SILENT`] messages
+    /// unanswered since it was last heard from.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         self.unanswered_messages >= UNANSWERED_BEFORE_SILENT
@@ -210,14 +212,16 @@
         }
     }
 
-    /// Records a node that another node named.
+    /// Records a node that another node named. An identity that the table
+    /// already holds for its address is kept.
     pub fn record_named_peer(&mut self, peer: Peer) {
         if let Some(member) = self.get_or_insert(peer.control_address) {
             member.peer.get_or_insert(peer);
         }
     }
 
-    /// Applies a new reading of the machine list.
+    /// Applies the entries of the machine list after it was read again. Nodes
+    /// that are missing from the list count as not listed.
     pub fn apply_machine_list(&mut self, machines: &[ListedMachine]) {
         let listed_addresses: FxHashSet<SocketAddr> = machines
             .iter()
@@ -262,8 +266,8 @@
         picked
     }
 
-    /// Picks up to `count` nodes that were heard from recently, to be named to
-    /// other nodes.
+    /// Picks up to `count` nodes to be named to other nodes: nodes that were
+    /// heard from recently and announced no planned stop.
     pub fn sample(&self, count: usize, now: Instant, random: &mut impl Rng) -> Vec<Peer> {
         let mut sample: Vec<Peer> = Vec::with_capacity(count);
         if self.members.is_empty() {
@@ -315,6 +319,8 @@
         self.members.iter()
     }
 
+    /// Picks a node that is not in `picked`. Half of the picks prefer nodes of
+    /// the own region.
     fn pick_one(&self, picked: &[SocketAddr], random: &mut impl Rng) -> Option<SocketAddr> {
         if self.members.is_empty() {
             return None;
@@ -361,8 +367,9 @@
         self.members.last_mut()
     }
 
-    /// Removes a silent node or, if there is none, the node that was heard from
-    /// least recently. Returns `None` when the table is empty.
+    /// Removes a silent node or, if there is none, a node that was never heard
+    /// from or else the one heard from least recently. Returns `None` when the
+    /// table is empty.
     fn evict_one(&mut self) -> Option<()> {
         let silent = self.members.iter().position(Member::is_silent);
         let least_recently_heard = || {
