--- a/crates/woodladder-core/src/flow/agent_record.rs
+++ b/crates/woodladder-core/src/flow/agent_record.rs
@@ -60,8 +60,8 @@
     pub version: u64,
     /// Incarnation that holds the flows known here.
     pub incarnation: Option<Incarnation>,
-    /// When the incarnation started according to its own clock, in milliseconds of Unix
-    /// time.
+    /// When the incarnation started, in milliseconds of Unix time by the clock of the
+    /// target's machine; `None` if unknown.
     pub(super) started_at_ms: Option<u64>,
     pub(super) restart_detector: RestartDetector,
     /// Epoch of the agent before its last restart.
@@ -92,7 +92,10 @@
 }
 
 impl AgentRecord {
-    /// Whether the agent may be sent new flows, judging by its messages.
+    /// Whether the agent's messages allow new flows to be sent to it: the agent was heard
+    /// within the silence limits, fewer than `SILENT_AFTER_UNANSWERED_OPENINGS` openings
+    /// in a row are unanswered, and no probe has been unanswered for
+    /// `SILENT_WHEN_UNANSWERED_FOR`.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
         let limit = liveness_timeout(self.interval, SILENT_AFTER_INTERVALS, SILENT_AFTER);
@@ -118,10 +121,11 @@
 
     /// Updates the incarnation from a report; returns the previous one if it has ended.
     ///
-    /// The first report after the agent's restart is checked by
-    /// [`RestartDetector::supersedes`], since the agent may have heard a late heartbeat
-    /// of an earlier incarnation first. Later reports are taken as they are unless that
-    /// check is still undecided: the agent checks its heartbeats itself.
+    /// The first heartbeat that a restarted agent receives may be a late one of an earlier
+    /// incarnation. So if an incarnation is known, the first report of a new epoch is
+    /// checked by [`RestartDetector::supersedes`], and so are the next reports until that
+    /// check is decided. All other reports are accepted unchecked, because the agent checks
+    /// its heartbeats itself.
     pub(super) fn update_incarnation(
         &mut self,
         report: &TargetReport,
@@ -167,8 +171,9 @@
         self.load.requests().saturating_add(flows_sent_since_report)
     }
 
-    /// Openings that a cold target still accepts within this second, as far as is known.
-    /// `None` when it reported no limit, or none recently.
+    /// Estimated number of openings that a cold target still accepts: the reported number
+    /// minus the flows sent since that report. `None` if the last report stated no limit,
+    /// or is at least `OPENINGS_LEFT_VALID_FOR` old.
     #[must_use]
     pub fn openings_left(&self, now: Instant) -> Option<u16> {
         let is_recent = now.since(self.load_at) < OPENINGS_LEFT_VALID_FOR;
--- a/crates/woodladder-core/src/flow/configuration.rs
+++ b/crates/woodladder-core/src/flow/configuration.rs
@@ -31,7 +31,8 @@
     pub aim_ms: u32,
     /// Time after which an answer is useless to the caller, in milliseconds.
     pub timeout_ms: u32,
-    /// Whether a request can be sent again although it may already have run.
+    /// Whether a request can safely be sent again after a target may already have
+    /// processed it.
     pub is_repeatable: bool,
 }
 
--- a/crates/woodladder-core/src/flow/directory.rs
+++ b/crates/woodladder-core/src/flow/directory.rs
@@ -19,8 +19,8 @@
 use crate::clock::Instant;
 
 /// Time since the first unanswered probe after which the flows of an agent count as lost.
-/// Probes are repeated every [`PROBE_INTERVAL`], so several in a row must get lost before
-/// a live agent is taken for dead.
+/// Probes are repeated every [`PROBE_INTERVAL`], so several probes or answers in a row
+/// must be dropped before a live agent counts as lost for this reason.
 const LOST_WHEN_UNANSWERED_FOR: Duration = Duration::from_millis(1000);
 /// Time between two probes to an agent that has not answered.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
@@ -39,8 +39,9 @@
         agent: NodeAddress,
         /// The incarnation that has ended.
         ended: Incarnation,
-        /// When that incarnation was last heard. Flows that were opened later may be open
-        /// at its successor.
+        /// When that incarnation was last heard; the current time if an agent of another
+        /// service now reports from the address. Flows that were opened later may be open
+        /// at the incarnation that replaced it.
         last_heard: Instant,
     },
     /// The agent has been silent for so long that its flows count as lost.
@@ -117,7 +118,8 @@
         }
         if known.is_none_or(|record| record.service != report.service) {
             if let Some(ended) = known.and_then(|record| record.incarnation) {
-                // The address now belongs to another machine.
+                // An agent of another service now uses this address, so the target that
+                // was known here has ended.
                 changes.push(DirectoryChange::Replaced {
                     agent: address,
                     ended,
--- a/crates/woodladder-core/src/flow/flow_record/record.rs
+++ b/crates/woodladder-core/src/flow/flow_record/record.rs
@@ -16,11 +16,11 @@
 pub const MAXIMUM_BYTES: usize = 256 * 1024;
 /// Version of the encoding.
 const ENCODING_VERSION: u8 = 1;
-/// Low bits of the caller's acknowledgement number that the fingerprint ignores: for the
-/// same flows, it changes only if the number of some flow has crossed a multiple of 16 KiB.
-/// This step is far smaller than the 76,800 bytes by which the sequence number of a reset,
-/// which is derived from the recorded acknowledgement number, may differ from the one that
-/// the caller expects.
+/// Low bits of the caller's acknowledgement number that [`FlowRecord::fingerprint`]
+/// ignores: for the same flows, the fingerprint changes only if the acknowledgement
+/// number of some flow has crossed a multiple of 16 KiB. This step is far smaller than
+/// the 76,800 bytes by which the sequence number of a reset, which is derived from the
+/// recorded acknowledgement number, may differ from the one that the caller expects.
 const INSIGNIFICANT_BITS: u32 = 14;
 
 /// One flow that a target held.
@@ -52,8 +52,9 @@
 pub struct FlowRecord {
     /// Address of the balancer.
     pub balancer: NodeAddress,
-    /// Wall-clock time of writing, in milliseconds since 1970. Clocks of machines may
-    /// differ.
+    /// When the record was written, in milliseconds since 1970 by the clock of the
+    /// balancer's machine. The age of a record is only approximate, because the clocks of
+    /// machines may differ.
     pub written_at_ms: u64,
     /// The flows, grouped by holder and route.
     pub holders: Vec<HolderFlows>,
--- a/crates/woodladder-core/src/flow/flow_record/restorer.rs
+++ b/crates/woodladder-core/src/flow/flow_record/restorer.rs
@@ -1,13 +1,14 @@
 //! Finds out which recorded flows still exist after a balancer's start, by querying the
 //! agents of the targets that held them.
 //!
-//! Each agent that is heard is queried for its recorded flows, a bounded number at a time.
-//! It is queried again if an answer is lost, and once more when it starts to know all flows
-//! of its target. Its denial proves that a flow is gone: only the target whose acceptance
-//! the caller has acknowledged holds a flow, and the record names that target. If the agent
-//! answers that the target holds or may hold a flow, the flow is added to the balancer's
-//! flow table with this agent. Flows without any answer within [`QUERY_DURATION`] are
-//! dropped without further effect.
+//! Each agent that is heard is queried for its recorded flows, a bounded number at a
+//! time. It is queried again if an answer is lost, and when its reported knowledge
+//! changes: when it starts to know all flows of its target, or when the target restarts.
+//! Its denial proves that a flow is gone: only the target whose acceptance the caller has
+//! acknowledged holds a flow, and the record names that target. If the agent answers that
+//! the target holds or may hold a flow, the flow is added to the balancer's flow table
+//! with this agent. Flows without any answer within [`QUERY_DURATION`] are dropped
+//! without further effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,7 +36,8 @@
 /// Most bytes that a target can have sent on a flow since it was recorded. The sequence
 /// numbers of another flow start anywhere in the range of 32 bits.
 const MAXIMUM_PROGRESS: u32 = 1 << 20;
-/// Bytes by which a packet that arrives out of order may lie behind the record.
+/// Most bytes by which the acknowledgement number of a packet that arrives out of order may
+/// be lower than the recorded one.
 const MAXIMUM_REORDERING: u32 = 1 << 16;
 
 /// A recorded flow that is not known yet to be held or gone.
@@ -75,9 +77,10 @@
     pub recorded: u64,
     /// Flows that their target holds.
     pub held: u64,
-    /// Flows that their agent has denied, or whose target has ended.
+    /// Flows that the agent has denied holding, or whose target has ended.
     pub denied: u64,
-    /// Flows that were closed or opened anew in the meantime.
+    /// Flows that were dropped because their caller has opened a later flow between the same
+    /// ends, as a packet or the balancer's flow table showed.
     pub superseded: u64,
     /// Flows that were dropped without proof that they are held or gone.
     pub unproven: u64,
@@ -158,7 +161,8 @@
     }
 
     /// Records that an agent was heard. If its reported knowledge has changed, the agent is
-    /// queried again for the flows that it could not decide.
+    /// queried again for all of its flows that wait for an answer, also for those that it
+    /// could not decide.
     pub fn update_agent_knowledge(&mut self, agent: NodeAddress, knowledge: AgentKnowledge) {
         if !self.awaits(agent) {
             return;
@@ -272,7 +276,7 @@
         Some(*flow)
     }
 
-    /// Drops a flow because the balancer has seen a later state of it than the record.
+    /// Drops a recorded flow because its key now belongs to a later flow.
     pub fn mark_superseded(&mut self, key: &FlowKey) {
         if self.remove(key) {
             self.totals.superseded += 1;
--- a/crates/woodladder-core/src/flow/log_event.rs
+++ b/crates/woodladder-core/src/flow/log_event.rs
@@ -63,7 +63,7 @@
     /// A search for the target that holds a flow has started.
     SearchStarted {
         key: FlowKey,
-        /// Agents that are asked at the start of the search.
+        /// Number of agents to which the packet is copied at the start of the search.
         asked: usize,
     },
     /// The target that holds a searched flow was found.
@@ -174,10 +174,11 @@
     StoreWatchChanged {
         /// Whether it watches the configuration now.
         watches: bool,
-        /// Live balancers that take this duty before this one.
+        /// Number of live balancers that precede this one in the order in which balancers
+        /// take on this duty.
         others_before: usize,
-        /// Time since any balancer, as far as this one has heard, had the configuration
-        /// confirmed by the store; `None` if unknown.
+        /// Time since the store last confirmed the configuration to any balancer, as far as
+        /// this balancer has heard; `None` if unknown.
         confirmed_ago: Option<Duration>,
     },
     /// The purpose of the flow record in the store has changed.
@@ -200,7 +201,7 @@
         /// Why the record was rejected.
         error: RecordError,
     },
-    /// The fate of all flows of a record is settled.
+    /// The restoration of a flow record has ended: each of its flows has an outcome.
     FlowRecordRestored {
         /// Number of flows by outcome.
         totals: RestoreTotals,
--- a/crates/woodladder-core/src/flow/message.rs
+++ b/crates/woodladder-core/src/flow/message.rs
@@ -124,8 +124,9 @@
     /// Share of recent requests that the target has failed, in percent.
     pub failed_percent: u8,
     /// Sequence number of the target's last heartbeat; zero before the first. A balancer
-    /// writes a flow to its record only after the target has sent enough heartbeats since
-    /// the flow was located or accepted.
+    /// writes a flow to its record only after two further heartbeats since the flow was
+    /// located or accepted: the first of them may be a late one of an incarnation that had
+    /// already ended when the flow was opened.
     pub last_heartbeat: u64,
     /// Openings that a target that may be cold accepts within the second after this
     /// report; `None` if their number is not limited.
@@ -154,11 +155,11 @@
     pub service: ServiceKey,
     /// Incarnation of the target, once a heartbeat has stated it.
     pub incarnation: Option<Incarnation>,
-    /// When the incarnation started according to its own clock, in milliseconds of Unix
-    /// time.
+    /// When the incarnation started, in milliseconds of Unix time by the clock of the
+    /// target's machine; `None` if unknown.
     pub started_at_ms: Option<u64>,
     /// Time since the last heartbeat of the previous incarnation, in milliseconds. Flows
-    /// that were opened later may be open at the current incarnation.
+    /// that were opened after that heartbeat may be open at the current incarnation.
     pub previous_heartbeat_age_ms: u32,
     /// Whether the agent knows every open flow of the target: it has run since the target
     /// started, or for longer than the lifetime of a flow.
@@ -331,8 +332,8 @@
 /// Requests a [`Snapshot`] from a node; sent over a stream.
 #[derive(BorshDeserialize, BorshSerialize, Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotRequest {
-    /// Version that the requesting node uses. The response omits the configuration unless
-    /// it is newer.
+    /// Version of the configuration that the requesting node uses. The response omits the
+    /// configuration unless it is newer.
     pub known_version: u64,
     /// Whether the balancers and agents are requested too. Without them, a snapshot of 986
     /// nodes and 256 routes is a third shorter.
--- a/crates/woodladder-core/src/flow/packet.rs
+++ b/crates/woodladder-core/src/flow/packet.rs
@@ -1,4 +1,4 @@
-//! The fields of a packet that decisions depend on. The surrounding program parses and
+//! The fields of a packet that decisions depend on. Code outside this crate parses and
 //! writes the packets themselves.
 
 use std::time::Duration;
--- a/crates/woodladder-core/src/flow/peers.rs
+++ b/crates/woodladder-core/src/flow/peers.rs
@@ -20,8 +20,8 @@
 /// The same silence, in hello intervals of the balancer; the longer of both limits
 /// applies.
 const LIVE_FOR_PERIODS: f64 = 2.0;
-/// Time after which a balancer that only others have named is forgotten if it has sent no
-/// hello.
+/// Time after which a balancer whose address is known only from other nodes, the store or
+/// the settings is forgotten if it has sent no hello.
 const FIRST_HELLO_WITHIN: Duration = Duration::from_secs(4);
 /// Silence after which a balancer of any zone no longer counts as serving. This limit
 /// does not grow with the hello interval: the number of hellos that arrive within it is
--- a/crates/woodladder-core/src/flow/promises.rs
+++ b/crates/woodladder-core/src/flow/promises.rs
@@ -5,9 +5,9 @@
 //! | urgent openings first | agent | an opening is delivered while a more urgent one waits that can still be in time |
 //! | no work for a caller that has left | agent | an opening is delivered after its route's timeout |
 //! | not held past the timeout | both | a waiting opening is returned or refused after its timeout |
-//! | not held until the end untried | balancer | an opening waits for the maximum time and is then refused |
+//! | no refusal after the maximum wait | balancer | an opening waits for the maximum time and is then refused |
 //! | no refusal while a target is free | balancer | an opening is refused while a live target has a free slot |
-//! | a refused opening has not run | balancer | an opening is refused that a target has accepted |
+//! | no refusal after a target has accepted | balancer | an opening is refused that a target has accepted |
 //! | no open flow is reset | balancer | a flow that was reset turns out to be held |
 //! | a target that shuts down is acknowledged | agent | milliseconds since its first heartbeat that was rejected |
 //!
@@ -56,7 +56,7 @@
 pub struct DecidedOpening {
     /// Time since the caller first sent the opening.
     pub age: Duration,
-    /// Time from that first sending after which an answer is useless to the caller.
+    /// Value of `age` from which on an answer is useless to the caller.
     pub timeout: Duration,
     /// Whether another route of the same service has a lower priority.
     pub is_urgent: bool,
--- a/crates/woodladder-core/src/flow/selection.rs
+++ b/crates/woodladder-core/src/flow/selection.rs
@@ -26,7 +26,8 @@
 const MINIMUM_COMPARED_TARGETS: usize = 5;
 /// Fewest open flows from which a target's work per idle flow is computed.
 const MINIMUM_FLOWS: u32 = 8;
-/// Utilization above which the expected wait grows only linearly.
+/// Share of a target's slots in use by idle flows' work above which [`expected_wait`] grows
+/// only linearly.
 const MAXIMUM_UTILIZATION: f64 = 0.9;
 const MILLISLOTS_PER_SLOT: f64 = 1000.0;
 /// Factor by which requests take longer at a target that has just started.
@@ -51,9 +52,9 @@
 const TOLERATED_FAILURE_PERCENT: f64 = 15.0;
 /// Load added to a target for each further percent of failures, as a share of its slots.
 const PENALTY_PER_FAILURE_PERCENT: f64 = 0.08;
-/// Upper limit of the load added for failures, as a share of the target's slots. A target
-/// that fails all requests still gets flows once each of the others has as many additional
-/// waiting requests as slots.
+/// Upper limit of the load added for failures, as a share of the target's slots. An idle
+/// target that fails all requests still gets flows once each of the others has all slots
+/// busy and as many requests waiting as slots.
 const MAXIMUM_FAILURE_PENALTY: f64 = 2.0;
 
 /// Inputs to the selection of a target.
@@ -114,7 +115,7 @@
 
 impl TargetSelector<'_> {
     /// The best target for the flow; `None` if every target of the service was tried
-    /// before or accepts no flows.
+    /// before, accepts no new flows, is in an excluded zone or has a silent agent.
     #[must_use]
     pub fn select(&self, now: Instant) -> Option<SelectedTarget> {
         let candidates = first_candidates(
--- a/crates/woodladder-core/src/flow/store_session/backoff.rs
+++ b/crates/woodladder-core/src/flow/store_session/backoff.rs
@@ -1,5 +1,5 @@
 //! Pauses between failed store calls. They double and are randomized, so that the nodes
-//! of a fleet that lost the store do not all return at the same moment.
+//! of a fleet that lost the store do not all retry at the same moment.
 
 use std::time::Duration;
 
--- a/crates/woodladder-core/src/flow/store_session/discovery.rs
+++ b/crates/woodladder-core/src/flow/store_session/discovery.rs
@@ -7,9 +7,10 @@
 use super::{NextCall, StoreCall, StoreReply};
 use crate::clock::Instant;
 
-/// Time between lists while other balancers are heard, when a list is only a safeguard.
+/// Longest time between two reads of the list while other balancers are heard, when the list
+/// is only a safeguard. Each pause is randomized between half of this time and the whole.
 const SAFEGUARD_INTERVAL: Duration = Duration::from_secs(60);
-/// Time between lists while no balancer is heard.
+/// Longest time between two reads of the list while no balancer is heard; randomized likewise.
 const URGENT_INTERVAL: Duration = Duration::from_millis(600);
 /// Longest time after its start for which an agent waits for hellos before it reads a list:
 /// enough for the agent to send several reports to the balancers that the settings name.
@@ -22,8 +23,8 @@
 pub enum ListNeed {
     /// The node hears no balancer.
     Urgent,
-    /// The node hears some balancers. On behalf of all nodes, it checks that there are no
-    /// others which no node knows.
+    /// The node hears some balancers. On behalf of all nodes, this node checks whether the
+    /// store lists balancers that no node knows.
     Safeguard,
     /// The node hears some balancers, and other nodes do that check.
     Nothing,
@@ -128,7 +129,8 @@
                 let pause = self.backoff.next_pause();
                 self.due_at = now + pause;
                 if !self.is_urgent() {
-                    // The list is not needed now, and the store call has failed.
+                    // The node hears balancers, so the list is not urgent: the retry waits
+                    // for a safeguard interval instead of the shorter backoff pause.
                     self.due_at = now + self.backoff.randomize(SAFEGUARD_INTERVAL);
                 }
                 Vec::new()
--- a/crates/woodladder-core/src/flow/store_session/registration.rs
+++ b/crates/woodladder-core/src/flow/store_session/registration.rs
@@ -8,7 +8,8 @@
 
 /// Time for which an entry outlives its last renewal.
 const LEASE_LIFETIME: Duration = Duration::from_secs(20);
-/// Renewals per lifetime.
+/// Least number of renewals per lifetime: each pause is randomized between half and the
+/// whole of the lifetime divided by this number.
 const RENEWALS_PER_LIFETIME: u32 = 4;
 /// Polling interval while the balancer need not be registered.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
@@ -33,7 +34,7 @@
 }
 
 impl BalancerRegistration {
-    /// A session that starts at once.
+    /// A registration whose first call, the request for a lease, is due at once.
     #[must_use]
     pub fn new(seed: u64, now: Instant) -> Self {
         Self {
--- a/crates/woodladder-core/src/flow/target_restart.rs
+++ b/crates/woodladder-core/src/flow/target_restart.rs
@@ -1,13 +1,13 @@
 //! Decides whether one incarnation of a target supersedes the known one.
 //!
-//! Incarnations state when they started, by the wall clock of their machine. One that
-//! started later supersedes the known one at once; so does any other one if the start time
-//! of the known one is unknown. An earlier or missing start time proves nothing: the wall
-//! clock may have jumped back, and a node that has restarted has no record of the
-//! incarnations that were replaced before. A message with such a start time is either a
-//! delayed one of a previous incarnation or comes from a new incarnation. A new
-//! incarnation supersedes the known one if it continues to send messages while the known
-//! one stays silent for [`SILENCE_BEFORE_SUPERSEDED`].
+//! A target states when its incarnation started, by the wall clock of its machine. An
+//! incarnation with a later start time supersedes the known one at once; so does any
+//! incarnation if the start time of the known one is unknown. An earlier or missing start
+//! time proves nothing: the wall clock may have jumped back, and a node that has
+//! restarted has no record of the incarnations that were replaced before. A message with
+//! such a start time is either a delayed one of a previous incarnation or comes from a
+//! new incarnation. A new incarnation supersedes the known one if it continues to send
+//! messages while the known one stays silent for [`SILENCE_BEFORE_SUPERSEDED`].
 
 use std::time::Duration;
 
@@ -21,10 +21,10 @@
 /// One start of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetStart {
-    /// Its incarnation.
+    /// The incarnation that began with this start.
     pub incarnation: Incarnation,
-    /// When the incarnation started, in milliseconds of Unix time; `None` if it does not
-    /// state it.
+    /// When the incarnation started, in milliseconds of Unix time by the clock of the
+    /// target's machine; `None` if the target does not state a start time.
     pub started_at_ms: Option<u64>,
 }
 
--- a/crates/woodladder-core/src/flow/zone_members.rs
+++ b/crates/woodladder-core/src/flow/zone_members.rs
@@ -20,9 +20,9 @@
 /// that the system is designed for.
 pub const MAXIMUM_BALANCERS: usize = 4096;
 /// Shortest silence after which a larger balancer no longer receives relayed packets.
-/// Packets relayed to a dead balancer are lost until then. A live balancer is skipped
-/// only after two hellos in a row were lost, which costs searches for its flows but no
-/// request.
+/// Packets relayed to a dead balancer are lost until then. Packets bypass a live balancer
+/// only after two of its hellos in a row were lost; its flows must then be searched for,
+/// but no request fails.
 const RELAY_SILENT_AFTER: Duration = Duration::from_millis(450);
 /// The same silence, in hello intervals of the balancer; the longer of both limits
 /// applies.
